--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Assembler.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Assembler.java
@@ -85,7 +85,7 @@
   }
 
   /** Takes a whole group over that a former leader began. */
-  void adopt(GroupSeen group, ModelSpec model, long now) {
+  void adopt(ObservedGroup group, ModelSpec model, long now) {
     List<String> members = new ArrayList<>();
     group.members().stream()
         .sorted((a, b) -> Integer.compare(rank(a), rank(b)))
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Dissolver.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Dissolver.java
@@ -101,7 +101,7 @@
   }
 
   /** Forgets dissolutions whose group no entry shows any more, but not that it is released. */
-  void forget(Map<GroupKey, GroupSeen> groups, long now) {
+  void forget(Map<GroupKey, ObservedGroup> groups, long now) {
     // Joins that were carried out late, or another leader, may have brought a group back.
     released.removeIf(groups::containsKey);
     for (Dissolution dissolution : List.copyOf(dissolutions.values())) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ExchangePolicy.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ExchangePolicy.java
@@ -61,13 +61,13 @@
    * @return the groups to take apart, of one model and as few as gain, with what is formed instead;
    *     null when nothing gains
    */
-  @Nullable Plan plan(List<Node> free, List<GroupSeen> groups) {
+  @Nullable Plan plan(List<Node> free, List<ObservedGroup> groups) {
     for (ModelSpec model : engine.models()) {
-      List<GroupSeen> open = new ArrayList<>();
+      List<ObservedGroup> open = new ArrayList<>();
       groups.stream().filter(group -> isOpen(group, model)).forEach(open::add);
       open.sort(Comparator.comparingLong(this::nodesOfOneModel));
       for (int count = 1; count <= Math.min(open.size(), MOST_VICTIMS); count++) {
-        List<GroupSeen> victims = open.subList(0, count);
+        List<ObservedGroup> victims = open.subList(0, count);
         List<Integer> packing = gainingPacking(free, model, victims);
         if (packing != null) {
           return new Plan(List.copyOf(victims), packing);
@@ -83,7 +83,7 @@
    * @param victims the groups
    * @param packing the groups that their nodes and the free ones form, in the order of the models
    */
-  record Plan(List<GroupSeen> victims, List<Integer> packing) {}
+  record Plan(List<ObservedGroup> victims, List<Integer> packing) {}
 
   /** What the decision was made from, for the log. */
   String describe(Plan plan) {
@@ -102,7 +102,7 @@
   }
 
   /** Groups whose members hold several models are of most use for another. */
-  private long nodesOfOneModel(GroupSeen group) {
+  private long nodesOfOneModel(ObservedGroup group) {
     return group.members().stream()
         .filter(
             node ->
@@ -111,7 +111,7 @@
         .count();
   }
 
-  private static boolean isOpen(GroupSeen group, ModelSpec model) {
+  private static boolean isOpen(ObservedGroup group, ModelSpec model) {
     Node head = group.head();
     return head != null
         && model.name().equals(head.model())
@@ -120,7 +120,7 @@
   }
 
   private @Nullable List<Integer> gainingPacking(
-      List<Node> free, ModelSpec model, List<GroupSeen> victims) {
+      List<Node> free, ModelSpec model, List<ObservedGroup> victims) {
     List<Node> nodes = new ArrayList<>(free);
     victims.forEach(group -> nodes.addAll(group.members()));
     Map<String, Integer> left = new HashMap<>(standing);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Exchanges.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Exchanges.java
@@ -28,7 +28,7 @@
   private record Running(List<GroupKey> victims, List<Integer> packing, long untilNanos) {}
 
   void begin(String domain, ExchangePolicy.Plan plan, long now) {
-    List<GroupKey> victims = plan.victims().stream().map(GroupSeen::key).toList();
+    List<GroupKey> victims = plan.victims().stream().map(ObservedGroup::key).toList();
     running.put(domain, new Running(victims, plan.packing(), now + PATIENCE_NANOS));
   }
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -53,7 +53,7 @@
   private final LeavingMembers leaving = new LeavingMembers();
   private final RecentGroups recent = new RecentGroups();
   private final Lives lives = new Lives();
-  private Map<GroupKey, GroupSeen> groups = Map.of();
+  private Map<GroupKey, ObservedGroup> groups = Map.of();
   private final ListSettling settling = new ListSettling();
   private Predicate<String> inSight = anywhere -> true;
   private long lastPlan;
@@ -114,7 +114,7 @@
     dissolver.learn(nodes, now);
     settling.learn(nodes.keySet(), now);
     learnLives(nodes, now);
-    groups = GroupSeen.gather(input.nodes());
+    groups = ObservedGroup.gather(input.nodes());
     groups.keySet().forEach(key -> highestEpoch = Math.max(highestEpoch, key.epoch()));
     missing.retain(groups);
     leaving.retain(groups);
@@ -202,14 +202,14 @@
   }
 
   private void judgeGroups(Input input, long now) {
-    for (GroupSeen group : groups.values()) {
+    for (ObservedGroup group : groups.values()) {
       if (!dissolver.handles(group.key()) && !assembler.handles(group.key())) {
         judge(group, input, now);
       }
     }
   }
 
-  private void judge(GroupSeen group, Input input, long now) {
+  private void judge(ObservedGroup group, Input input, long now) {
     ModelSpec model = modelOf(group, input.engine());
     if (input.stalledHeads().contains(group.key().mark())) {
       dissolve(group, Dissolution.Manner.AT_ONCE, "its head stands still", now);
@@ -227,26 +227,26 @@
    * A member that leaves stays for a while. When many leave at once, their groups end one after the
    * other, so that most serve while some are formed anew.
    */
-  private void endUnlessTooMany(GroupSeen group, long now) {
+  private void endUnlessTooMany(ObservedGroup group, long now) {
     boolean crowded = dissolver.pending(now) >= 1 + groups.size() / GROUPS_FOR_EACH_END;
     if (!group.headMayServe() || !crowded || leaving.hasWaited(group.key(), now)) {
       dissolve(group, Dissolution.Manner.GRACEFUL, "a member leaves", now);
     }
   }
 
-  private void adoptUnlessOpen(GroupSeen group, ModelSpec model, long now) {
+  private void adoptUnlessOpen(ObservedGroup group, ModelSpec model, long now) {
     if (!group.any(MemberState.OPEN)) {
       assembler.adopt(group, model, now);
       remarks.add("group=" + group.key().name() + " adopted");
     }
   }
 
-  private void dissolve(GroupSeen group, Dissolution.Manner manner, String reason, long now) {
+  private void dissolve(ObservedGroup group, Dissolution.Manner manner, String reason, long now) {
     dissolve(group.key(), ids(group.members()), manner, reason, now);
   }
 
   /** Entries that vanished may be back soon; members that leave or are broken may not. */
-  private boolean mayComeBack(GroupSeen group, long now) {
+  private boolean mayComeBack(ObservedGroup group, long now) {
     boolean served = group.head() == null || group.any(MemberState.OPEN);
     boolean lacksOnlyEntries = served && group.soundAsListed();
     return policy.cutsAreNoDeaths() && lacksOnlyEntries && !missing.isOver(group, now);
@@ -311,7 +311,7 @@
     ExpectedGroups expected = expectedGroups(input, nodes);
     ExchangePolicy choice = exchangePolicy(input, nodes.values(), expected);
     remarkMix(choice, now);
-    for (Map.Entry<String, List<GroupSeen>> domain : untouchedGroups().entrySet()) {
+    for (Map.Entry<String, List<ObservedGroup>> domain : untouchedGroups().entrySet()) {
       List<Node> spare = free.getOrDefault(domain.getKey(), List.of());
       boolean mayWait = spare.isEmpty() && settles;
       boolean untouched = !busy.contains(domain.getKey()) && !expected.anyIn(domain.getKey());
@@ -378,7 +378,7 @@
   private void begin(String domain, ExchangePolicy.Plan plan, ExchangePolicy choice, long now) {
     remarks.add("domain=" + domain + " exchanges " + choice.describe(plan));
     exchanges.begin(domain, plan, now);
-    for (GroupSeen group : plan.victims()) {
+    for (ObservedGroup group : plan.victims()) {
       dissolve(group, Dissolution.Manner.GRACEFUL, "its nodes serve more as another model", now);
     }
   }
@@ -399,9 +399,9 @@
   }
 
   /** Groups in sight that nothing is being done to, by domain. */
-  private Map<String, List<GroupSeen>> untouchedGroups() {
-    Map<String, List<GroupSeen>> byDomain = new LinkedHashMap<>();
-    for (GroupSeen group : groups.values()) {
+  private Map<String, List<ObservedGroup>> untouchedGroups() {
+    Map<String, List<ObservedGroup>> byDomain = new LinkedHashMap<>();
+    for (ObservedGroup group : groups.values()) {
       boolean untouched = !dissolver.handles(group.key()) && !assembler.handles(group.key());
       if (untouched && inSight.test(group.members().get(0).dataCentre())) {
         String domain = group.members().get(0).domain();
@@ -508,7 +508,7 @@
   private Map<String, List<Node>> free(Map<String, Node> nodes, long now) {
     Set<String> taken = new HashSet<>(assembler.taken());
     taken.addAll(dissolver.taken(now));
-    for (GroupSeen group : groups.values()) {
+    for (ObservedGroup group : groups.values()) {
       if (!dissolver.isFree(group.key(), now)) {
         taken.addAll(ids(group.members()));
       }
@@ -526,7 +526,7 @@
 
   private Map<String, Integer> standing(EngineSpec engine) {
     Map<String, Integer> standing = new HashMap<>();
-    for (GroupSeen group : groups.values()) {
+    for (ObservedGroup group : groups.values()) {
       ModelSpec model = modelOf(group, engine);
       boolean counted =
           model != null
@@ -622,7 +622,7 @@
     dissolver.report(node.id(), place, now);
   }
 
-  private static @Nullable ModelSpec modelOf(GroupSeen group, EngineSpec engine) {
+  private static @Nullable ModelSpec modelOf(ObservedGroup group, EngineSpec engine) {
     for (Node node : group.members()) {
       String model = node.model();
       if (model != null) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LeavingMembers.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LeavingMembers.java
@@ -14,7 +14,7 @@
 
   private final Map<GroupKey, Long> since = new HashMap<>();
 
-  void retain(Map<GroupKey, GroupSeen> groups) {
+  void retain(Map<GroupKey, ObservedGroup> groups) {
     since.keySet().retainAll(groups.keySet());
   }
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/MissingMembers.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/MissingMembers.java
@@ -26,7 +26,7 @@
   private final Map<GroupKey, Long> since = new HashMap<>();
   private final Set<GroupKey> surely = new HashSet<>();
 
-  void retain(Map<GroupKey, GroupSeen> groups) {
+  void retain(Map<GroupKey, ObservedGroup> groups) {
     since.keySet().retainAll(groups.keySet());
     surely.retainAll(groups.keySet());
   }
@@ -44,7 +44,7 @@
   }
 
   /** Tells whether entries of a group have been missing for too long. */
-  boolean isOver(GroupSeen group, long now) {
+  boolean isOver(ObservedGroup group, long now) {
     long missing = now - since.computeIfAbsent(group.key(), key -> now);
     return surely.contains(group.key())
         || missing > (group.head() == null ? HEAD_NANOS : MEMBER_NANOS);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupSeen.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ObservedGroup.java
@@ -16,7 +16,7 @@
  * @param key its identity
  * @param members the members that are listed
  */
-public record GroupSeen(GroupKey key, List<Node> members) {
+public record ObservedGroup(GroupKey key, List<Node> members) {
 
   /**
    * Gathers nodes into groups.
@@ -24,14 +24,14 @@
    * @param nodes all nodes
    * @return the groups by identity
    */
-  public static Map<GroupKey, GroupSeen> gather(Collection<Node> nodes) {
-    Map<GroupKey, GroupSeen> groups = new LinkedHashMap<>();
+  public static Map<GroupKey, ObservedGroup> gather(Collection<Node> nodes) {
+    Map<GroupKey, ObservedGroup> groups = new LinkedHashMap<>();
     for (Node node : nodes) {
       Membership place = node.membership();
       if (place != null) {
         GroupKey key = new GroupKey(place.group(), place.epoch());
         groups
-            .computeIfAbsent(key, name -> new GroupSeen(name, new ArrayList<>()))
+            .computeIfAbsent(key, name -> new ObservedGroup(name, new ArrayList<>()))
             .members()
             .add(node);
       }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/ExchangePolicyTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/ExchangePolicyTest.java
@@ -24,7 +24,7 @@
   /** As measured while five large groups served; noise had made it a tenth higher. */
   private static final Map<String, Double> DEMAND = Map.of("large", 0.0460, "small", 0.1579);
 
-  private final List<GroupSeen> groups = new ArrayList<>();
+  private final List<ObservedGroup> groups = new ArrayList<>();
 
   ExchangePolicyTest() {
     for (int group = 0; group < 4; group++) {
@@ -32,7 +32,7 @@
       for (int rank = 0; rank < 4; rank++) {
         members.add(node(group, rank));
       }
-      groups.add(new GroupSeen(new GroupKey("g" + group, 1 + group), members));
+      groups.add(new ObservedGroup(new GroupKey("g" + group, 1 + group), members));
     }
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/Fleet.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/Fleet.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.fawnvale.serving.core.formation.GroupKey;
-import org.fawnvale.serving.core.formation.GroupSeen;
+import org.fawnvale.serving.core.formation.ObservedGroup;
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.EngineSpec;
 import org.fawnvale.serving.core.model.MemberState;
@@ -74,9 +74,9 @@
 
   private void addHeads(
       Map<String, Node> serving, List<Node> engines, EngineSpec engine, Announced announced) {
-    Map<GroupKey, GroupSeen> groups = GroupSeen.gather(engines);
+    Map<GroupKey, ObservedGroup> groups = ObservedGroup.gather(engines);
     seenWhole.retainAll(groups.keySet());
-    for (GroupSeen group : groups.values()) {
+    for (ObservedGroup group : groups.values()) {
       Node head = group.head();
       boolean closed = announced.closed().contains(group.key().mark());
       if (head != null && !closed && isOpen(group, head, engine)) {
@@ -95,7 +95,7 @@
     }
   }
 
-  private boolean isOpen(GroupSeen group, Node head, EngineSpec engine) {
+  private boolean isOpen(ObservedGroup group, Node head, EngineSpec engine) {
     String modelName = head.model();
     ModelSpec model = modelName == null ? null : engine.model(modelName);
     Membership place = head.membership();
