--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Assembler.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Assembler.java
@@ -36,7 +36,7 @@
 
   private static final long OPEN_AGAIN_NANOS = 200 * MILLI;
 
-  private final OrderLog log;
+  private final OrderTracker log;
   private final Map<GroupKey, Attempt> attempts = new LinkedHashMap<>();
   private final Map<GroupKey, Long> openSent = new LinkedHashMap<>();
   private final Predicate<GroupKey> released;
@@ -47,7 +47,7 @@
    * @param log what is known of the nodes' orders
    * @param released tells whether the members of a group may join another one
    */
-  Assembler(OrderLog log, Predicate<GroupKey> released) {
+  Assembler(OrderTracker log, Predicate<GroupKey> released) {
     this.log = log;
     this.released = released;
   }
@@ -176,7 +176,7 @@
       if (isNew(node)) {
         attempt.headAsked |= id.equals(attempt.head());
         sink.join(node, attempt, 0);
-      } else if (log.orders(id) == OrderLog.UNKNOWN) {
+      } else if (log.orders(id) == OrderTracker.UNKNOWN) {
         sink.report(node);
       } else if (place == null || place.equals(attempt.key) || released.test(place)) {
         attempt.headAsked |= id.equals(attempt.head());
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Dissolver.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Dissolver.java
@@ -31,7 +31,7 @@
   private static final long SETTLED_NANOS = 2_000 * MILLI;
   private static final int MOST_RELEASED = 1_000;
 
-  private final OrderLog log;
+  private final OrderTracker log;
   private final long stallNanos;
   private final Map<GroupKey, Dissolution> dissolutions = new LinkedHashMap<>();
   private final Map<String, Node> known = new LinkedHashMap<>();
@@ -39,7 +39,7 @@
   private Map<String, Node> listed = Map.of();
   private final Set<GroupKey> released = new LinkedHashSet<>();
 
-  Dissolver(OrderLog log, long stallNanos) {
+  Dissolver(OrderTracker log, long stallNanos) {
     this.log = log;
     this.stallNanos = stallNanos;
   }
@@ -246,7 +246,7 @@
       case BEGUN, DONE -> left(dissolution, id, now);
       case CONFLICT -> {
         // A leave that named a count may have been refused for the count alone.
-        if (order.expectedOrders() == OrderLog.UNKNOWN) {
+        if (order.expectedOrders() == OrderTracker.UNKNOWN) {
           left(dissolution, id, now);
         }
       }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -41,7 +41,7 @@
 
   private final String namePrefix;
   private final LoadLimiter limiter;
-  private final OrderLog log = new OrderLog();
+  private final OrderTracker log = new OrderTracker();
   private final Assembler assembler;
   private final Dissolver dissolver;
   private final StagingPlanner staging;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/OrderSink.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/OrderSink.java
@@ -7,11 +7,11 @@
 /** Collects the orders of one plan and marks their nodes as busy. */
 final class OrderSink {
 
-  private final OrderLog log;
+  private final OrderTracker log;
   private final long fence;
   private final List<GroupOrder> orders = new ArrayList<>();
 
-  OrderSink(OrderLog log, long fence) {
+  OrderSink(OrderTracker log, long fence) {
     this.log = log;
     this.fence = fence;
   }
@@ -21,7 +21,7 @@
   }
 
   void add(Node node, GroupOrder.Kind kind, GroupKey key) {
-    push(order(node, kind, key, OrderLog.UNKNOWN));
+    push(order(node, kind, key, OrderTracker.UNKNOWN));
   }
 
   /** Names the count where it is known, so that it is known afterwards as well. */
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/OrderLog.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/OrderTracker.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** What the leader knows of each node's orders and whether it answers. */
-final class OrderLog {
+final class OrderTracker {
 
   /** The count of orders of a node that has not told it. */
   static final long UNKNOWN = -1;
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/SmallScopeTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/SmallScopeTest.java
@@ -236,7 +236,7 @@
             order.model(),
             order.members(),
             order.fence(),
-            OrderLog.UNKNOWN);
+            OrderTracker.UNKNOWN);
   }
 
   private static Found search(Planted planted) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/TwoLeadersTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/TwoLeadersTest.java
@@ -118,7 +118,7 @@
 
   @Test
   void aNodeThatSaysThatItHasLeftMayBeInAnotherGroupByThen() {
-    OrderLog log = new OrderLog();
+    OrderTracker log = new OrderTracker();
     GroupKey left = GroupKey.of("first-0", "n0", 1);
     GroupOrder leave =
         new GroupOrder(
@@ -133,12 +133,12 @@
     log.reported(leave.node().id(), 2, left, 0);
     // Another leader's join may have been the third order, not the leave.
     log.answered(leave, false);
-    assertThat(log.orders(leave.node().id())).isEqualTo(OrderLog.UNKNOWN);
+    assertThat(log.orders(leave.node().id())).isEqualTo(OrderTracker.UNKNOWN);
   }
 
   @Test
   void aLeaveThatNamesTheCountTellsTheCountAfterIt() {
-    OrderLog log = new OrderLog();
+    OrderTracker log = new OrderTracker();
     GroupKey left = GroupKey.of("first-0", "n0", 1);
     Node node = input().nodes().iterator().next();
     log.reported(node.id(), 2, left, 0);
