--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Dissolver.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Dissolver.java
@@ -44,15 +44,15 @@
     this.stallNanos = stallNanos;
   }
 
-  Evidence evidence(GroupKey key, long now) {
+  ReleaseEvidence evidence(GroupKey key, long now) {
     Dissolution dissolution = dissolutions.get(key);
     if (dissolution == null) {
-      return released.contains(key) ? Evidence.RELEASED_BEFORE : Evidence.NONE;
+      return released.contains(key) ? ReleaseEvidence.RELEASED_BEFORE : ReleaseEvidence.NONE;
     }
     if (dissolution.headLeft) {
-      return Evidence.HEAD_LEFT;
+      return ReleaseEvidence.HEAD_LEFT;
     }
-    return isReleased(dissolution, now) ? Evidence.HEAD_BROKEN : Evidence.NONE;
+    return isReleased(dissolution, now) ? ReleaseEvidence.HEAD_BROKEN : ReleaseEvidence.NONE;
   }
 
   boolean handles(GroupKey key) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Evidence.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ReleaseEvidence.java
@@ -1,7 +1,7 @@
 package org.fawnvale.serving.core.formation;
 
 /** What speaks for it that the head of a group serves no more. */
-enum Evidence {
+enum ReleaseEvidence {
   /** Nothing does. */
   NONE,
   /** The head, or another life at its address, answered that it has left. */
