--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LeavingMembers.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/DrainingMembers.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** Since when groups have a member that leaves. */
-final class LeavingMembers {
+final class DrainingMembers {
 
   /**
    * How long a group may serve with a member that leaves. A member serves on for two seconds and
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -50,7 +50,7 @@
   private final Exchanges exchanges = new Exchanges();
   private final IdleTimes idleTimes = new IdleTimes();
   private final MissingMembers missing = new MissingMembers();
-  private final LeavingMembers leaving = new LeavingMembers();
+  private final DrainingMembers leaving = new DrainingMembers();
   private final RecentGroups recent = new RecentGroups();
   private final Lives lives = new Lives();
   private Map<GroupKey, ObservedGroup> groups = Map.of();
