--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationRun.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationRun.java
@@ -34,7 +34,7 @@
   private @Nullable Random restarts;
   private @Nullable Random suspensions;
   private @Nullable Random rests;
-  private @Nullable ReturningStore store;
+  private @Nullable RollbackStore store;
   private boolean knownGoesBefore;
   int ordersToResting;
 
@@ -123,14 +123,14 @@
    * @param goesBefore whether leaders hold on to what they knew, or take what the store lists
    */
   FormationRun withReturns(long seed, boolean goesBefore) {
-    store = new ReturningStore(new Random(seed));
+    store = new RollbackStore(new Random(seed));
     knownGoesBefore = goesBefore;
     return this;
   }
 
   /** The list as a leader takes it. */
   private List<Node> look(Leader leader) {
-    ReturningStore listing = store;
+    RollbackStore listing = store;
     if (listing == null) {
       return nodes.list(LAPSE_NANOS);
     }
@@ -230,7 +230,7 @@
       trouble();
       startSomeAgain();
       servedSteps += nodes.serving("large") + nodes.serving("small");
-      ReturningStore listing = store;
+      RollbackStore listing = store;
       if (listing != null) {
         listing.advance(nodes.list(LAPSE_NANOS), now);
       }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/ReturningStore.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RollbackStore.java
@@ -19,7 +19,7 @@
  * each node shows as it was then until it has written again, which takes it up to two seconds, and
  * entries of nodes that don't write lapse.
  */
-final class ReturningStore {
+final class RollbackStore {
 
   private static final long MILLI = SimulatedNodes.MILLI;
   private static final long LAPSE_NANOS = 3_600 * MILLI;
@@ -37,7 +37,7 @@
   private long era = 1;
   private long revision;
 
-  ReturningStore(Random random) {
+  RollbackStore(Random random) {
     this.random = random;
   }
 
