--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationRun.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationSimulation.java
@@ -18,7 +18,7 @@
  * One run of leaders and nodes in virtual time, with losses, late and unanswered orders, stale
  * lists and changes of leader. Two leaders may share a term, as those on both sides of a cut do.
  */
-final class FormationRun {
+final class FormationSimulation {
 
   private static final long MILLI = SimulatedNodes.MILLI;
   private static final int STEPS = 900;
@@ -86,7 +86,7 @@
     }
   }
 
-  FormationRun(Random random, Terms terms) {
+  FormationSimulation(Random random, Terms terms) {
     this.random = random;
     this.terms = terms;
     this.lateShare = random.nextDouble() * 0.4;
@@ -100,19 +100,19 @@
   }
 
   /** Nodes that died start again under their ids; what else happens stays as it was. */
-  FormationRun withRestarts(long seed) {
+  FormationSimulation withRestarts(long seed) {
     restarts = new Random(seed);
     return this;
   }
 
   /** Leaders' machines are suspended for seconds, which their steady clocks don't count. */
-  FormationRun withSuspensions(long seed) {
+  FormationSimulation withSuspensions(long seed) {
     suspensions = new Random(seed);
     return this;
   }
 
   /** Nodes ask a leader for rest of seconds; while it lasts they must be sent nothing by it. */
-  FormationRun withRests(long seed) {
+  FormationSimulation withRests(long seed) {
     rests = new Random(seed);
     return this;
   }
@@ -122,7 +122,7 @@
    *
    * @param goesBefore whether leaders hold on to what they knew, or take what the store lists
    */
-  FormationRun withReturns(long seed, boolean goesBefore) {
+  FormationSimulation withReturns(long seed, boolean goesBefore) {
     store = new RollbackStore(new Random(seed));
     knownGoesBefore = goesBefore;
     return this;
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/GroupPlannerFuzzTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/GroupPlannerFuzzTest.java
@@ -11,15 +11,15 @@
 
   @Property(tries = 150, seed = "20261202")
   void noGroupServesShortAndNoNodeIsTakenFromAGroupThatMayServe(@ForAll long seed) {
-    FormationRun run = new FormationRun(new Random(seed), FormationRun.Terms.APART);
+    FormationSimulation run = new FormationSimulation(new Random(seed), FormationSimulation.Terms.APART);
     run.play();
     assertThat(run.nodes.violations).as("seed %d", seed).isEmpty();
   }
 
   @Property(tries = 150, seed = "20261203")
   void norWhereNodesStartAgainUnderTheirIds(@ForAll long seed) {
-    FormationRun run =
-        new FormationRun(new Random(seed), FormationRun.Terms.SHARED).withRestarts(seed);
+    FormationSimulation run =
+        new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED).withRestarts(seed);
     run.nodes.reportsLag(200 * SimulatedNodes.MILLI);
     run.play();
     assertThat(run.nodes.violations).as("seed %d", seed).isEmpty();
@@ -27,8 +27,8 @@
 
   @Property(tries = 150, seed = "20261204")
   void norWhereLeadersAreSuspended(@ForAll long seed) {
-    FormationRun run =
-        new FormationRun(new Random(seed), FormationRun.Terms.SHARED)
+    FormationSimulation run =
+        new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED)
             .withRestarts(seed)
             .withSuspensions(seed + 1);
     run.nodes.reportsLag(200 * SimulatedNodes.MILLI);
@@ -38,8 +38,8 @@
 
   @Property(tries = 150, seed = "20261205")
   void norWhereNodesAskForRestWhichIsGiven(@ForAll long seed) {
-    FormationRun run =
-        new FormationRun(new Random(seed), FormationRun.Terms.SHARED)
+    FormationSimulation run =
+        new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED)
             .withRestarts(seed)
             .withRests(seed + 2);
     run.nodes.reportsLag(200 * SimulatedNodes.MILLI);
@@ -50,8 +50,8 @@
 
   @Property(tries = 150, seed = "20261206")
   void norWhereTheStoreGoesBackToCopies(@ForAll long seed) {
-    FormationRun run =
-        new FormationRun(new Random(seed), FormationRun.Terms.SHARED)
+    FormationSimulation run =
+        new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED)
             .withRestarts(seed)
             .withReturns(seed + 3, true);
     run.nodes.reportsLag(200 * SimulatedNodes.MILLI);
@@ -61,7 +61,7 @@
 
   @Property(tries = 150, seed = "4711")
   void norDoLeadersThatShareATerm(@ForAll long seed) {
-    FormationRun run = new FormationRun(new Random(seed), FormationRun.Terms.SHARED);
+    FormationSimulation run = new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED);
     run.nodes.reportsLag(200 * SimulatedNodes.MILLI);
     run.play();
     assertThat(run.nodes.violations).as("seed %d", seed).isEmpty();
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesWorthTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesWorthTest.java
@@ -17,8 +17,8 @@
   private static long served(boolean knownGoesBefore) {
     long steps = 0;
     for (int seed = 1; seed <= RUNS; seed++) {
-      FormationRun run =
-          new FormationRun(new Random(seed), FormationRun.Terms.APART)
+      FormationSimulation run =
+          new FormationSimulation(new Random(seed), FormationSimulation.Terms.APART)
               .withReturns(seed, knownGoesBefore);
       run.play();
       assertThat(run.nodes.violations).as("seed %d", seed).isEmpty();
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/TwoLeadersTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/TwoLeadersTest.java
@@ -154,12 +154,12 @@
   /** Seeds that failed: the first by the count, the second while both leaders had one fence. */
   @Test
   void randomOrdersOfTwoLeadersOfOneTermTakeNoNodeFromAGroupThatMayServe() {
-    assertThat(violations(-10310, FormationRun.Terms.SHARED_WITH_ONE_FENCE)).isEmpty();
-    assertThat(violations(1166, FormationRun.Terms.SHARED)).isEmpty();
+    assertThat(violations(-10310, FormationSimulation.Terms.SHARED_WITH_ONE_FENCE)).isEmpty();
+    assertThat(violations(1166, FormationSimulation.Terms.SHARED)).isEmpty();
   }
 
-  private static List<String> violations(long seed, FormationRun.Terms terms) {
-    FormationRun run = new FormationRun(new Random(seed), terms);
+  private static List<String> violations(long seed, FormationSimulation.Terms terms) {
+    FormationSimulation run = new FormationSimulation(new Random(seed), terms);
     run.play();
     return run.nodes.violations;
   }
