--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodesThatStartAgainTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodeRestartTest.java
@@ -20,7 +20,7 @@
  * Nodes end and start again under their ids before their entries have lapsed. Nothing that was
  * known of a former life holds for the next one.
  */
-class NodesThatStartAgainTest {
+class NodeRestartTest {
 
   private static final long MILLI = SimulatedNodes.MILLI;
 
