--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesWorthTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesBenefitTest.java
@@ -10,7 +10,7 @@
  * same 400 runs of 45 s, with leaders that do and with leaders that take what the store lists.
  * Groups that serve, added up over steps of 50 ms: 80,040 before, 87,974 after.
  */
-class RestoredNodesWorthTest {
+class RestoredNodesBenefitTest {
 
   private static final int RUNS = 400;
 
