--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/SmallScopeTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/BoundedExplorationTest.java
@@ -23,7 +23,7 @@
  * answered, carried out late without an answer, or lost. No course may break a promise. The search
  * is shown to see: with a fault planted in the leaders or their orders some course breaks one.
  */
-class SmallScopeTest {
+class BoundedExplorationTest {
 
   private static final long MILLI = SimulatedNodes.MILLI;
   private static final EngineSpec ENGINE =
@@ -128,7 +128,7 @@
       fates = rest / 2;
       mutation =
           planted == Planted.JOINS_WITHOUT_COUNT
-              ? SmallScopeTest::withoutCount
+              ? BoundedExplorationTest::withoutCount
               : UnaryOperator.identity();
       silence =
           planted == Planted.SILENCE_TAKEN_FOR_DONE
