--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/TwoLeadersTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/ConcurrentLeadersTest.java
@@ -27,7 +27,7 @@
  * <p>The evidence: the names of both groups told that two daemons led the same term; both stories
  * below, and a run of random orders, broke the promise before the mend with no other trouble.
  */
-class TwoLeadersTest {
+class ConcurrentLeadersTest {
 
   private static final long MILLI = SimulatedNodes.MILLI;
   private static final long FENCE = 1;
@@ -103,9 +103,9 @@
 
   @Test
   void aHeadThatHasComeBackIsNotJoinedElsewhereWhileItServes() {
-    lead(first, 800, TwoLeadersTest::joinsItsHead);
+    lead(first, 800, ConcurrentLeadersTest::joinsItsHead);
     // The head is not in the group yet, so it tells the second leader that it has left.
-    lead(second, 2_800, TwoLeadersTest::joins);
+    lead(second, 2_800, ConcurrentLeadersTest::joins);
     // The first leader had no answer from the head, joins it again and opens the group.
     lead(first, 30_000, order -> false);
     assertThat(nodes.serving("small")).isEqualTo(1);
