--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Assembler.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Assembler.java
@@ -37,7 +37,7 @@
   private static final long OPEN_AGAIN_NANOS = 200 * MILLI;
 
   private final OrderTracker log;
-  private final Map<GroupKey, Attempt> attempts = new LinkedHashMap<>();
+  private final Map<GroupKey, FormationAttempt> attempts = new LinkedHashMap<>();
   private final Map<GroupKey, Long> openSent = new LinkedHashMap<>();
   private final Predicate<GroupKey> released;
 
@@ -53,13 +53,13 @@
   }
 
   /** Why an attempt failed. */
-  record Failed(Attempt attempt, String reason) {}
+  record Failed(FormationAttempt attempt, String reason) {}
 
   boolean handles(GroupKey key) {
     return attempts.containsKey(key);
   }
 
-  Collection<Attempt> attempts() {
+  Collection<FormationAttempt> attempts() {
     return attempts.values();
   }
 
@@ -71,7 +71,7 @@
 
   int loadsUnderWay() {
     int loads = 0;
-    for (Attempt attempt : attempts.values()) {
+    for (FormationAttempt attempt : attempts.values()) {
       boolean loading = attempt.openedNanos < 0 && !attempt.allReady();
       loads += loading ? attempt.loads : 0;
     }
@@ -81,7 +81,7 @@
   void begin(GroupKey key, FormationPolicy.Proposal proposal, List<String> members, long now) {
     long ready = now + proposal.readyMillis() * MILLI;
     long giveUp = ready + 2 * proposal.readyMillis() * MILLI + ATTEMPT_SLACK_NANOS;
-    attempts.put(key, new Attempt(key, proposal.model(), members, proposal.loads(), ready, giveUp));
+    attempts.put(key, new FormationAttempt(key, proposal.model(), members, proposal.loads(), ready, giveUp));
   }
 
   /** Takes a whole group over that a former leader began. */
@@ -91,8 +91,8 @@
         .sorted((a, b) -> Integer.compare(rank(a), rank(b)))
         .forEach(node -> members.add(node.id()));
     long patience = 2 * model.loadMillis() * MILLI + ATTEMPT_SLACK_NANOS;
-    Attempt attempt =
-        new Attempt(
+    FormationAttempt attempt =
+        new FormationAttempt(
             group.key(), model, members, 0, now + ADOPTED_REPORT_EVERY_NANOS, now + patience);
     attempt.joined.addAll(members);
     attempt.adopted = true;
@@ -104,7 +104,7 @@
   List<Failed> judge(
       Map<String, Node> nodes, Set<String> stalledHeads, List<String> remarks, long now) {
     List<Failed> failed = new ArrayList<>();
-    for (Attempt attempt : List.copyOf(attempts.values())) {
+    for (FormationAttempt attempt : List.copyOf(attempts.values())) {
       Node head = nodes.get(attempt.head());
       if (head != null && attempt.key.holds(head.membership()) && isOpen(head)) {
         end(attempt);
@@ -120,13 +120,13 @@
     return failed;
   }
 
-  private void end(Attempt attempt) {
+  private void end(FormationAttempt attempt) {
     attempts.remove(attempt.key);
     openSent.remove(attempt.key);
   }
 
   private @Nullable String fault(
-      Attempt attempt, Map<String, Node> nodes, Set<String> stalledHeads, long now) {
+      FormationAttempt attempt, Map<String, Node> nodes, Set<String> stalledHeads, long now) {
     for (String member : attempt.members) {
       Node node = nodes.get(member);
       if (node == null || node.draining()) {
@@ -149,7 +149,7 @@
   }
 
   void advance(Map<String, Node> nodes, OrderSink sink, long now) {
-    for (Attempt attempt : attempts.values()) {
+    for (FormationAttempt attempt : attempts.values()) {
       for (String member : attempt.members) {
         Node node = nodes.get(member);
         if (node != null && !log.busy(member)) {
@@ -169,7 +169,7 @@
     }
   }
 
-  private void advanceMember(Attempt attempt, Node node, OrderSink sink, long now) {
+  private void advanceMember(FormationAttempt attempt, Node node, OrderSink sink, long now) {
     String id = node.id();
     if (!attempt.joined.contains(id)) {
       GroupKey place = log.place(id);
@@ -209,14 +209,14 @@
   }
 
   /** The word of the list is not enough for a group that another leader began. */
-  private boolean reportIsDue(Attempt attempt, String id, long now) {
+  private boolean reportIsDue(FormationAttempt attempt, String id, long now) {
     boolean expected = attempt.adopted || now > attempt.expectedReadyNanos + REPORT_AFTER_NANOS;
     long pause = attempt.adopted ? ADOPTED_REPORT_EVERY_NANOS : REPORT_EVERY_NANOS;
     return expected && now - log.lastReport(id) > pause;
   }
 
   void outcome(GroupOrder order, GroupOrder.Outcome outcome, long now) {
-    Attempt attempt = attempts.get(new GroupKey(order.group(), order.epoch()));
+    FormationAttempt attempt = attempts.get(new GroupKey(order.group(), order.epoch()));
     boolean holds = outcome == GroupOrder.Outcome.BEGUN || outcome == GroupOrder.Outcome.DONE;
     if (attempt == null || !holds) {
       return;
@@ -231,7 +231,7 @@
 
   /** A member that was ready in its former life is in no group in its new one. */
   void begunAnew(String id) {
-    for (Attempt attempt : attempts.values()) {
+    for (FormationAttempt attempt : attempts.values()) {
       if (attempt.joined.contains(id)) {
         attempt.moved = id;
       }
@@ -239,14 +239,14 @@
   }
 
   void report(String id, @Nullable Membership place) {
-    for (Attempt attempt : attempts.values()) {
+    for (FormationAttempt attempt : attempts.values()) {
       if (attempt.members.contains(id)) {
         report(attempt, id, place);
       }
     }
   }
 
-  private static void report(Attempt attempt, String id, @Nullable Membership place) {
+  private static void report(FormationAttempt attempt, String id, @Nullable Membership place) {
     if (place != null && attempt.key.holds(place)) {
       attempt.joined.add(id);
       if (isReady(place.state())) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Attempt.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/FormationAttempt.java
@@ -7,7 +7,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** A group on its way to serve. */
-final class Attempt {
+final class FormationAttempt {
 
   final GroupKey key;
   final ModelSpec model;
@@ -22,7 +22,7 @@
   boolean headAsked;
   long openedNanos = -1;
 
-  Attempt(
+  FormationAttempt(
       GroupKey key,
       ModelSpec model,
       List<String> members,
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -180,7 +180,7 @@
 
   private void noteOpened(EngineSpec engine, long now) {
     recent.forget(groups.keySet(), now);
-    for (Attempt attempt : assembler.attempts()) {
+    for (FormationAttempt attempt : assembler.attempts()) {
       boolean serves =
           attempt.openedNanos >= 0 && now - attempt.openedNanos >= engine.formMillis() * MILLI;
       if (serves) {
@@ -254,7 +254,7 @@
 
   private void judgeAttempts(Input input, Map<String, Node> nodes, long now) {
     for (Assembler.Failed failed : assembler.judge(nodes, input.stalledHeads(), remarks, now)) {
-      Attempt attempt = failed.attempt();
+      FormationAttempt attempt = failed.attempt();
       if (attempt.headAsked) {
         Dissolution.Manner manner = Dissolution.Manner.AT_ONCE;
         dissolve(attempt.key, attempt.members, manner, failed.reason(), now);
@@ -545,7 +545,7 @@
   /** The models of groups on their way, by domain. */
   private Map<String, List<ModelSpec>> modelsBeingFormed(Map<String, Node> nodes) {
     Map<String, List<ModelSpec>> models = new HashMap<>();
-    for (Attempt attempt : assembler.attempts()) {
+    for (FormationAttempt attempt : assembler.attempts()) {
       Node head = nodes.get(attempt.head());
       if (head != null) {
         models.computeIfAbsent(head.domain(), domain -> new ArrayList<>()).add(attempt.model);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/OrderSink.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/OrderSink.java
@@ -38,7 +38,7 @@
     push(new GroupOrder(node, GroupOrder.Kind.REPORT, "", 0, null, List.of(), fence, -1));
   }
 
-  void join(Node node, Attempt attempt, long expectedOrders) {
+  void join(Node node, FormationAttempt attempt, long expectedOrders) {
     push(
         new GroupOrder(
             node,
