--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StallEvidence.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StallEvidence.java
@@ -47,7 +47,7 @@
    * @param suspects heads that it holds to be standing still, as {@code ID@EPOCH}
    * @param busy ids of the heads at which it has requests
    */
-  public record Witness(String dataCentre, List<String> suspects, Set<String> busy) {}
+  public record Observation(String dataCentre, List<String> suspects, Set<String> busy) {}
 
   /**
    * Heads that surely stand still.
@@ -59,9 +59,9 @@
    * @return the heads as {@code ID@EPOCH}
    */
   public Set<String> confirmed(
-      List<Witness> witnesses, Map<String, String> dataCentres, Set<String> inSight, long now) {
-    Map<String, List<Witness>> suspicions = new HashMap<>();
-    for (Witness witness : witnesses) {
+      List<Observation> witnesses, Map<String, String> dataCentres, Set<String> inSight, long now) {
+    Map<String, List<Observation>> suspicions = new HashMap<>();
+    for (Observation witness : witnesses) {
       for (String mark : witness.suspects()) {
         suspicions.computeIfAbsent(mark, head -> new ArrayList<>()).add(witness);
       }
@@ -81,8 +81,8 @@
 
   private boolean isConfirmed(
       String mark,
-      List<Witness> by,
-      List<Witness> all,
+      List<Observation> by,
+      List<Observation> all,
       String dataCentre,
       Set<String> inSight,
       long age) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/StallEvidenceTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/StallEvidenceTest.java
@@ -16,19 +16,19 @@
 
   private final StallEvidence evidence = new StallEvidence(true);
 
-  private static StallEvidence.Witness suspects(String dataCentre) {
-    return new StallEvidence.Witness(dataCentre, List.of("h@3"), Set.of("h"));
+  private static StallEvidence.Observation suspects(String dataCentre) {
+    return new StallEvidence.Observation(dataCentre, List.of("h@3"), Set.of("h"));
   }
 
-  private static StallEvidence.Witness busy(String dataCentre) {
-    return new StallEvidence.Witness(dataCentre, List.of(), Set.of("h"));
+  private static StallEvidence.Observation busy(String dataCentre) {
+    return new StallEvidence.Observation(dataCentre, List.of(), Set.of("h"));
   }
 
-  private static StallEvidence.Witness idle(String dataCentre) {
-    return new StallEvidence.Witness(dataCentre, List.of(), Set.of());
+  private static StallEvidence.Observation idle(String dataCentre) {
+    return new StallEvidence.Observation(dataCentre, List.of(), Set.of());
   }
 
-  private Set<String> at(long millis, Set<String> inSight, StallEvidence.Witness... witnesses) {
+  private Set<String> at(long millis, Set<String> inSight, StallEvidence.Observation... witnesses) {
     return evidence.confirmed(List.of(witnesses), HEADS, inSight, millis * MILLI);
   }
 
@@ -72,7 +72,7 @@
   @Test
   void withoutTheSwitchAllDaemonsCountAlike() {
     StallEvidence plain = new StallEvidence(false);
-    List<StallEvidence.Witness> witnesses = List.of(suspects("south"), suspects("south"));
+    List<StallEvidence.Observation> witnesses = List.of(suspects("south"), suspects("south"));
     assertThat(plain.confirmed(witnesses, HEADS, Set.of("south"), 0)).containsExactly("h@3");
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/HeadSuspicions.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/HeadSuspicions.java
@@ -80,7 +80,7 @@
       return Set.of();
     }
     Set<String> shared = new HashSet<>();
-    for (StallEvidence.Witness witness : peers.witnesses()) {
+    for (StallEvidence.Observation witness : peers.witnesses()) {
       for (String mark : witness.suspects()) {
         String id = suspectSeenBy(witness, mark);
         if (id != null) {
@@ -91,7 +91,7 @@
     return shared;
   }
 
-  private @Nullable String suspectSeenBy(StallEvidence.Witness witness, String mark) {
+  private @Nullable String suspectSeenBy(StallEvidence.Observation witness, String mark) {
     String id = mark.substring(0, mark.lastIndexOf('@'));
     Head head = heads.get(id);
     if (head == null || !mark.endsWith("@" + head.epoch())) {
@@ -103,7 +103,7 @@
   }
 
   /** What all live daemons tell of heads, this one included. */
-  List<StallEvidence.Witness> witnesses() {
+  List<StallEvidence.Observation> witnesses() {
     Set<String> busy = new HashSet<>();
     dispatcher
         .states()
@@ -113,8 +113,8 @@
                 busy.add(node);
               }
             });
-    List<StallEvidence.Witness> witnesses = new ArrayList<>();
-    witnesses.add(new StallEvidence.Witness(dataCentre, own(), busy));
+    List<StallEvidence.Observation> witnesses = new ArrayList<>();
+    witnesses.add(new StallEvidence.Observation(dataCentre, own(), busy));
     witnesses.addAll(peers.witnesses());
     return witnesses;
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
@@ -108,7 +108,7 @@
       Collection<Node> nodes,
       EngineSpec engine,
       ModelDemand demand,
-      List<StallEvidence.Witness> witnesses,
+      List<StallEvidence.Observation> witnesses,
       Set<String> inSight,
       Set<String> resting) {
     long now = System.nanoTime();
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -312,15 +312,15 @@
    *
    * @return a witness for each live daemon, or for each data centre that has a digest
    */
-  public List<StallEvidence.Witness> witnesses() {
-    List<StallEvidence.Witness> witnesses = new ArrayList<>();
+  public List<StallEvidence.Observation> witnesses() {
+    List<StallEvidence.Observation> witnesses = new ArrayList<>();
     for (PeerNote note : withoutDigest()) {
       witnesses.add(
-          new StallEvidence.Witness(note.dataCentre(), note.suspects(), note.inFlight().keySet()));
+          new StallEvidence.Observation(note.dataCentre(), note.suspects(), note.inFlight().keySet()));
     }
     for (DataCentreDigest digest : freshDigests()) {
       witnesses.add(
-          new StallEvidence.Witness(
+          new StallEvidence.Observation(
               digest.dataCentre(), digest.suspects(), digest.inFlight().keySet()));
     }
     return witnesses;
