--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Assembler.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Assembler.java
@@ -145,7 +145,7 @@
     if (attempt.openedNanos < 0 && now > attempt.giveUpNanos) {
       return "it was not ready in time";
     }
-    return stalledHeads.contains(attempt.key.mark()) ? "its head stands still" : null;
+    return stalledHeads.contains(attempt.key.headAtEpoch()) ? "its head stands still" : null;
   }
 
   void advance(Map<String, Node> nodes, OrderSink sink, long now) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupKey.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupKey.java
@@ -41,7 +41,7 @@
    *
    * @return {@code ID@EPOCH}
    */
-  public String mark() {
+  public String headAtEpoch() {
     return head() + "@" + epoch;
   }
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -211,7 +211,7 @@
 
   private void judge(ObservedGroup group, Input input, long now) {
     ModelSpec model = modelOf(group, input.engine());
-    if (input.stalledHeads().contains(group.key().mark())) {
+    if (input.stalledHeads().contains(group.key().headAtEpoch())) {
       dissolve(group, Dissolution.Manner.AT_ONCE, "its head stands still", now);
     } else if (model != null && group.complete(model.size())) {
       missing.whole(group.key());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/Fleet.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/Fleet.java
@@ -78,7 +78,7 @@
     seenWhole.retainAll(groups.keySet());
     for (ObservedGroup group : groups.values()) {
       Node head = group.head();
-      boolean closed = announced.closed().contains(group.key().mark());
+      boolean closed = announced.closed().contains(group.key().headAtEpoch());
       if (head != null && !closed && isOpen(group, head, engine)) {
         serving.put(head.id(), head.withSlots(engine.slots()));
       }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
@@ -209,7 +209,7 @@
     GroupPlanner current = planner;
     List<String> closed = new ArrayList<>();
     if (current != null) {
-      current.recent().closed().forEach(key -> closed.add(key.mark()));
+      current.recent().closed().forEach(key -> closed.add(key.headAtEpoch()));
     }
     return closed;
   }
