--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -286,7 +286,7 @@
 
   /** Before the first request there is time to wait for a whole list. */
   private boolean isSettled(long now) {
-    return limiter.isBound() || settling.isSettled(now);
+    return limiter.isEnforced() || settling.isSettled(now);
   }
 
   /**
@@ -295,7 +295,7 @@
    * of power the first leader took five groups apart in 0.1 s for a demand that was declared only.
    */
   private boolean isDemandKnown(Input input) {
-    return !limiter.isBound() || input.demand().isObserved();
+    return !limiter.isEnforced() || input.demand().isObserved();
   }
 
   /** Takes groups apart whose nodes, with the free ones, serve callers better otherwise. */
@@ -435,7 +435,7 @@
 
   private JoinRule joinRule(
       EngineSpec engine, MixPlanner mix, Map<String, Integer> standing, Collection<Node> nodes) {
-    if (!limiter.isBound()) {
+    if (!limiter.isEnforced()) {
       return JoinRule.ANY;
     }
     return policy.scarceModels()
@@ -480,8 +480,8 @@
 
   private boolean mayLoad(int loads, EngineSpec engine, long now) {
     int underWay = assembler.loadsUnderWay() + staging.underWay();
-    boolean crowded = limiter.isBound() && underWay > 0 && underWay + loads > engine.loadsAtOnce();
-    return loads == 0 || !crowded && limiter.take(loads, engine.loadsPerSecond(), now);
+    boolean crowded = limiter.isEnforced() && underWay > 0 && underWay + loads > engine.loadsAtOnce();
+    return loads == 0 || !crowded && limiter.tryAcquire(loads, engine.loadsPerSecond(), now);
   }
 
   private void begin(FormationPolicy.Proposal proposal, long now) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LoadLimiter.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LoadLimiter.java
@@ -22,16 +22,16 @@
   }
 
   /** Bounds the loads from now on: before the first request of callers they are free. */
-  public void bound() {
+  public void enforce() {
     bounded = true;
   }
 
   /**
    * Tells whether loads are bounded.
    *
-   * @return true after {@link #bound}
+   * @return true after {@link #enforce}
    */
-  public boolean isBound() {
+  public boolean isEnforced() {
     return bounded;
   }
 
@@ -43,7 +43,7 @@
    * @param nowNanos the steady time
    * @return true when they may begin
    */
-  public boolean take(int loads, double perSecond, long nowNanos) {
+  public boolean tryAcquire(int loads, double perSecond, long nowNanos) {
     if (!bounded) {
       return true;
     }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationSimulation.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationSimulation.java
@@ -203,7 +203,7 @@
     term += claimsTheTermThatStands ? 0 : 1;
     named++;
     LoadLimiter limiter = new LoadLimiter(5_000 * MILLI);
-    limiter.bound();
+    limiter.enforce();
     String name = "t" + named;
     GroupPlanner planner =
         new GroupPlanner(name + "-", SimulatedNodes.STALL_NANOS, limiter, Policy.DEFAULT);
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/GroupPlannerTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/GroupPlannerTest.java
@@ -195,7 +195,7 @@
   @Test
   void survivorsFormAGroupOfTheModelThatIsMissedMost() {
     run(40_000, 1);
-    limiter.bound();
+    limiter.enforce();
     loseAMemberOf(headOf("large"));
     run(16_000, 1);
     int large = nodes.serving("large");
@@ -209,7 +209,7 @@
   @Test
   void groupsAreTakenApartWhereTheirNodesServeMoreAsAnotherModel() {
     run(40_000, 1);
-    limiter.bound();
+    limiter.enforce();
     demand = new ModelDemand(Map.of("large", 0.3, "small", 0.03));
     run(10_000, 1);
     assertThat(nodes.serving("large")).isGreaterThanOrEqualTo(3);
@@ -222,7 +222,7 @@
   @Test
   void noGroupsAreTakenApartForOneThatItsSurvivorsAreAboutToForm() {
     run(40_000, 1);
-    limiter.bound();
+    limiter.enforce();
     demand = new ModelDemand(Map.of("large", 0.2, "small", 0.1));
     run(5_000, 1);
     Set<String> small = Set.copyOf(headsOf("small"));
@@ -258,7 +258,7 @@
   @Test
   void groupsThatServeStayWhileDemandIsOnlyDeclared() {
     run(40_000, 1);
-    limiter.bound();
+    limiter.enforce();
     Set<String> before = Set.copyOf(headsOf("small"));
     demand = new ModelDemand(Map.of("large", 0.3, "small", 0.03), 0, 0);
     run(10_000, 1);
@@ -268,7 +268,7 @@
   @Test
   void groupsStayWhereADifferenceInDemandIsSmall() {
     run(40_000, 1);
-    limiter.bound();
+    limiter.enforce();
     Set<String> before = Set.copyOf(headsOf("large"));
     demand = new ModelDemand(Map.of("large", 0.15, "small", 0.135));
     run(10_000, 1);
@@ -421,7 +421,7 @@
   @Test
   void survivorsAreNotHeldIdleForANodeThatStillLoads() {
     run(20_000, 1);
-    limiter.bound();
+    limiter.enforce();
     List<String> heads = headsOf("small");
     loseAMemberOf(heads.get(0));
     nodes.add("late", "domain-b");
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/MixFollowsDemandTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/MixFollowsDemandTest.java
@@ -70,7 +70,7 @@
       }
     }
     run(60_000);
-    limiter.bound();
+    limiter.enforce();
   }
 
   private void run(long millis) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodeRestartTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodeRestartTest.java
@@ -112,7 +112,7 @@
   /** It has taken no orders: a join that names a count of its former life would be refused. */
   @Test
   void aNodeThatHasStartedAgainRefusesNoJoin() {
-    limiter.bound();
+    limiter.enforce();
     String member = memberOfRank(1);
     nodes.kill(member);
     nodes.startAgain(member);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
@@ -62,7 +62,7 @@
     this.evidence = new StallEvidence(settings.policy().cutsAreNoDeaths());
     this.incarnation = incarnation;
     if (!settings.firstStart()) {
-      limiter.bound();
+      limiter.enforce();
     }
   }
 
@@ -135,7 +135,7 @@
 
   /** Bounds loads from the weight store, since callers' requests have come. */
   public void boundLoads() {
-    limiter.bound();
+    limiter.enforce();
   }
 
   /** A new claim starts from what the nodes tell; it remembers nothing of the one before. */
