--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -162,7 +162,7 @@
    *
    * @return the lines, oldest first
    */
-  public List<String> drainRemarks() {
+  public List<String> drainLogLines() {
     List<String> drained = List.copyOf(remarks);
     remarks.clear();
     return drained;
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/GroupPlannerTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/GroupPlannerTest.java
@@ -169,10 +169,10 @@
     run(40_000, 1);
     String head = headOf("large");
     String member = otherMember(head);
-    planner.drainRemarks();
+    planner.drainLogLines();
     stalled = Set.of(mark(head));
     run(6_000, 1);
-    assertThat(planner.drainRemarks())
+    assertThat(planner.drainLogLines())
         .anySatisfy(
             remark ->
                 assertThat(remark)
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/MixFollowsDemandTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/MixFollowsDemandTest.java
@@ -95,7 +95,7 @@
         }
       }
       exchanges +=
-          (int) planner.drainRemarks().stream().filter(r -> r.contains(" exchanges ")).count();
+          (int) planner.drainLogLines().stream().filter(r -> r.contains(" exchanges ")).count();
     }
     assertThat(nodes.violations).isEmpty();
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
@@ -120,7 +120,7 @@
         new GroupPlanner.Input(
             nodes, engine, demand, stalled, inSight, resting, peers.leadership().fence());
     List<GroupOrder> orders = current.plan(input, now);
-    current.drainRemarks().forEach(LOG::info);
+    current.drainLogLines().forEach(LOG::info);
     for (GroupOrder order : orders) {
       if (order.kind() == GroupOrder.Kind.REPORT) {
         sender.report(
