--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
@@ -44,7 +44,7 @@
    * @param places the place of each listed entry, by id
    * @param nowNanos the steady time
    */
-  public void storeWentBack(
+  public void storeRolledBack(
       Map<String, Node> known,
       Set<String> gone,
       Map<String, Node> listed,
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/VanishedNodes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/VanishedNodes.java
@@ -61,7 +61,7 @@
    *
    * @return true until the last one is back or given up
    */
-  public boolean holdsAny() {
+  public boolean hasRetainedNodes() {
     return !vanished.isEmpty();
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationSimulation.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationSimulation.java
@@ -138,7 +138,7 @@
     if (leader.era != listing.era()) {
       leader.era = listing.era();
       if (knownGoesBefore) {
-        leader.restored.storeWentBack(
+        leader.restored.storeRolledBack(
             leader.known, leader.gone, listed, listing.places(), clockOf(leader));
       }
       leader.gone.clear();
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
@@ -54,7 +54,7 @@
   }
 
   private void goBack(String... gone) {
-    restored.storeWentBack(known, Set.of(gone), listed, places, 0);
+    restored.storeRolledBack(known, Set.of(gone), listed, places, 0);
   }
 
   private Node shown(String id, long atNanos) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/VanishedNodesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/VanishedNodesTest.java
@@ -25,7 +25,7 @@
     assertThat(listed(true, 100)).containsExactly(NODE);
     assertThat(listed(true, 1_600)).containsExactly(NODE);
     assertThat(listed(true, 1_601)).isEmpty();
-    assertThat(nodes.holdsAny()).isFalse();
+    assertThat(nodes.hasRetainedNodes()).isFalse();
   }
 
   @Test
@@ -48,7 +48,7 @@
     listed(true, 100);
     Node changed = MixPlannerTest.node("a", "d", "small");
     assertThat(listed(true, 200, changed)).containsExactly(changed);
-    assertThat(nodes.holdsAny()).isFalse();
+    assertThat(nodes.hasRetainedNodes()).isFalse();
   }
 
   @Test
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreSight.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreSight.java
@@ -82,13 +82,13 @@
   /** Takes note of what was known of the nodes before the store went back. */
   void storeWentBack(EraChange<Node> change) {
     wentBackAtNanos = System.nanoTime();
-    restoredNodes.storeWentBack(
+    restoredNodes.storeRolledBack(
         change.known(), change.removed(), nodes.objects(), nodes.places(), wentBackAtNanos);
   }
 
   /** Tells whether nodes are held on to that the list has lost or shows as they were before. */
   boolean changesWithTime() {
-    return vanishedNodes.holdsAny() || restoredNodes.changesWithTime();
+    return vanishedNodes.hasRetainedNodes() || restoredNodes.changesWithTime();
   }
 
   /** An entry that has gone for any other reason must not be held on to: its node leaves. */
