--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Assembler.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Assembler.java
@@ -81,7 +81,8 @@
   void begin(GroupKey key, FormationPolicy.Proposal proposal, List<String> members, long now) {
     long ready = now + proposal.readyMillis() * MILLI;
     long giveUp = ready + 2 * proposal.readyMillis() * MILLI + ATTEMPT_SLACK_NANOS;
-    attempts.put(key, new FormationAttempt(key, proposal.model(), members, proposal.loads(), ready, giveUp));
+    attempts.put(
+        key, new FormationAttempt(key, proposal.model(), members, proposal.loads(), ready, giveUp));
   }
 
   /** Takes a whole group over that a former leader began. */
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -480,7 +480,8 @@
 
   private boolean mayLoad(int loads, EngineSpec engine, long now) {
     int underWay = assembler.loadsUnderWay() + staging.underWay();
-    boolean crowded = limiter.isEnforced() && underWay > 0 && underWay + loads > engine.loadsAtOnce();
+    boolean crowded =
+        limiter.isEnforced() && underWay > 0 && underWay + loads > engine.loadsAtOnce();
     return loads == 0 || !crowded && limiter.tryAcquire(loads, engine.loadsPerSecond(), now);
   }
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/GroupPlannerFuzzTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/GroupPlannerFuzzTest.java
@@ -11,7 +11,8 @@
 
   @Property(tries = 150, seed = "20261202")
   void noGroupServesShortAndNoNodeIsTakenFromAGroupThatMayServe(@ForAll long seed) {
-    FormationSimulation run = new FormationSimulation(new Random(seed), FormationSimulation.Terms.APART);
+    FormationSimulation run =
+        new FormationSimulation(new Random(seed), FormationSimulation.Terms.APART);
     run.play();
     assertThat(run.nodes.violations).as("seed %d", seed).isEmpty();
   }
@@ -19,7 +20,8 @@
   @Property(tries = 150, seed = "20261203")
   void norWhereNodesStartAgainUnderTheirIds(@ForAll long seed) {
     FormationSimulation run =
-        new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED).withRestarts(seed);
+        new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED)
+            .withRestarts(seed);
     run.nodes.reportsLag(200 * SimulatedNodes.MILLI);
     run.play();
     assertThat(run.nodes.violations).as("seed %d", seed).isEmpty();
@@ -61,7 +63,8 @@
 
   @Property(tries = 150, seed = "4711")
   void norDoLeadersThatShareATerm(@ForAll long seed) {
-    FormationSimulation run = new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED);
+    FormationSimulation run =
+        new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED);
     run.nodes.reportsLag(200 * SimulatedNodes.MILLI);
     run.play();
     assertThat(run.nodes.violations).as("seed %d", seed).isEmpty();
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -472,7 +472,7 @@
   }
 
   private void lead(EngineSpec engine, Set<String> inSight) {
-    List<StallEvidence.Witness> witnesses = suspicions.witnesses();
+    List<StallEvidence.Observation> witnesses = suspicions.witnesses();
     boolean suspected = witnesses.stream().anyMatch(witness -> !witness.suspects().isEmpty());
     if (formation.isDue(nodes.place(), suspected)) {
       Collection<Node> engines = engines();
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -316,7 +316,8 @@
     List<StallEvidence.Observation> witnesses = new ArrayList<>();
     for (PeerNote note : withoutDigest()) {
       witnesses.add(
-          new StallEvidence.Observation(note.dataCentre(), note.suspects(), note.inFlight().keySet()));
+          new StallEvidence.Observation(
+              note.dataCentre(), note.suspects(), note.inFlight().keySet()));
     }
     for (DataCentreDigest digest : freshDigests()) {
       witnesses.add(
