--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitDesk.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitDesk.java
@@ -73,7 +73,7 @@
     }
     Owners.Daemon owner = limits.ownerOf(node);
     try {
-      String target = new LeaveQuestion(known, node.dataCentre()).target();
+      String target = new PermitRequest(known, node.dataCentre()).target();
       calls.ask(owner, target, body -> told.accept(take(node, owner, body)));
     } catch (IOException e) {
       LOG.error("node={} outcome=question_not_written cause={}", node.id(), e.toString());
@@ -111,7 +111,7 @@
   private static SharedLimits.Reply read(byte[] body) {
     if (body.length > 0) {
       try {
-        return LeaveQuestion.readReply(body);
+        return PermitRequest.readReply(body);
       } catch (IOException | RuntimeException e) {
         LOG.warn("outcome=unreadable_reply cause={}", e.toString());
       }
@@ -126,7 +126,7 @@
    * @return true when {@link #answer} answers it
    */
   public boolean isAskedBy(String target) {
-    return LeaveQuestion.isOne(target);
+    return PermitRequest.isOne(target);
   }
 
   /**
@@ -137,9 +137,9 @@
    */
   public byte[] answer(String target) {
     try {
-      LeaveQuestion question = LeaveQuestion.read(target);
+      PermitRequest question = PermitRequest.read(target);
       learn(List.of(question.limit()));
-      return LeaveQuestion.write(
+      return PermitRequest.write(
           limits.ask(question.limit().life(), question.dataCentre(), System.nanoTime()));
     } catch (IOException | RuntimeException e) {
       LOG.warn("outcome=unreadable_question cause={}", e.toString());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LeaveQuestion.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/PermitRequest.java
@@ -17,7 +17,7 @@
  * @param limit what the asker knows
  * @param dataCentre the node's data centre
  */
-record LeaveQuestion(LimitNote limit, String dataCentre) {
+record PermitRequest(LimitNote limit, String dataCentre) {
 
   private static final String PATH = "/limits/leave/";
 
@@ -37,7 +37,7 @@
     return target.startsWith(PATH);
   }
 
-  static LeaveQuestion read(String target) throws IOException {
+  static PermitRequest read(String target) throws IOException {
     byte[] bytes;
     try {
       bytes = Base64.getUrlDecoder().decode(target.substring(PATH.length()));
@@ -49,7 +49,7 @@
       if (notes.size() != 1) {
         throw new IOException("A question is about one limit, not " + notes.size() + ".");
       }
-      return new LeaveQuestion(notes.get(0), in.unpackString());
+      return new PermitRequest(notes.get(0), in.unpackString());
     }
   }
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
@@ -40,15 +40,15 @@
   }
 
   private SharedLimits.Reply askForLeave(String dataCentre) throws IOException {
-    String target = new LeaveQuestion(LIMIT, dataCentre).target();
+    String target = new PermitRequest(LIMIT, dataCentre).target();
     assertThat(limitDesk.isAskedBy(target)).isTrue();
-    return LeaveQuestion.readReply(limitDesk.answer(target));
+    return PermitRequest.readReply(limitDesk.answer(target));
   }
 
   @Test
   void aQuestionIsReadAsItWasWritten() throws IOException {
-    LeaveQuestion question = new LeaveQuestion(LIMIT, "a");
-    assertThat(LeaveQuestion.read(question.target())).isEqualTo(question);
+    PermitRequest question = new PermitRequest(LIMIT, "a");
+    assertThat(PermitRequest.read(question.target())).isEqualTo(question);
   }
 
   /** The owner may hear of a limit by the first question about it. */
@@ -78,7 +78,7 @@
     assertThat(limitDesk.answer("/limits/leave/")).isEmpty();
     assertThat(limitDesk.answer("/limits/leave/%%%")).isEmpty();
     assertThat(limitDesk.answer("/limits/leave/AAAA")).isEmpty();
-    assertThatThrownBy(() -> LeaveQuestion.read("/limits/leave/%"))
+    assertThatThrownBy(() -> PermitRequest.read("/limits/leave/%"))
         .isInstanceOf(IOException.class)
         .hasMessageContaining("base 64");
   }
