--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonPages.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonPages.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.limit.LimitDesk;
+import org.fawnvale.serving.limit.LimitPermitService;
 import org.fawnvale.serving.limit.TrialDesk;
 import org.fawnvale.serving.store.PeerCopies;
 
@@ -19,7 +19,7 @@
   private final PrometheusMeterRegistry registry;
   private final PeerCopies<Node> nodes;
   private final PeerCopies<Configuration> configurations;
-  private final LimitDesk limits;
+  private final LimitPermitService limits;
   private final TrialDesk trials;
 
   DaemonPages(
@@ -27,7 +27,7 @@
       PrometheusMeterRegistry registry,
       PeerCopies<Node> nodes,
       PeerCopies<Configuration> configurations,
-      LimitDesk limits,
+      LimitPermitService limits,
       TrialDesk trials) {
     this.readyPath = readyPath;
     this.registry = registry;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
@@ -9,7 +9,7 @@
 import org.fawnvale.serving.core.peer.PeerNote;
 import org.fawnvale.serving.core.quarantine.RequestRecord;
 import org.fawnvale.serving.gateway.RepeatGuard;
-import org.fawnvale.serving.limit.LimitDesk;
+import org.fawnvale.serving.limit.LimitPermitService;
 import org.fawnvale.serving.peer.Peers;
 
 /** What all daemons come to know together: requests that end nodes, and limits that nodes name. */
@@ -18,9 +18,9 @@
   private final Owners owners;
   private final RepeatGuard repeats;
   private final SharedLimits limits;
-  private final LimitDesk desk;
+  private final LimitPermitService desk;
 
-  NewsForPeers(Owners owners, RepeatGuard repeats, SharedLimits limits, LimitDesk desk) {
+  NewsForPeers(Owners owners, RepeatGuard repeats, SharedLimits limits, LimitPermitService desk) {
     this.owners = owners;
     this.repeats = repeats;
     this.limits = limits;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -39,7 +39,7 @@
 import org.fawnvale.serving.http.HttpReactor;
 import org.fawnvale.serving.http.NodeClient;
 import org.fawnvale.serving.http.Timers;
-import org.fawnvale.serving.limit.LimitDesk;
+import org.fawnvale.serving.limit.LimitPermitService;
 import org.fawnvale.serving.limit.OwnerCalls;
 import org.fawnvale.serving.limit.TrialDesk;
 import org.fawnvale.serving.peer.Peers;
@@ -117,7 +117,7 @@
   private final PeerCopies<Configuration> configurationCopies;
   private final PeerCopies<Node> nodeCopies;
   private final BarredRequests barred;
-  private final LimitDesk limitDesk;
+  private final LimitPermitService limitDesk;
   private final TrialDesk trialDesk;
   private final NewsForPeers news;
   private final PrometheusMeterRegistry registry =
@@ -148,7 +148,7 @@
     SharedLimits limits = new SharedLimits(owners);
     this.gate = new UpstreamGate(limits);
     OwnerCalls ownerCalls = new OwnerCalls(client, timers, settings.peerPort() + COPY_PORT_OFFSET);
-    this.limitDesk = new LimitDesk(ownerCalls, limits, registry);
+    this.limitDesk = new LimitPermitService(ownerCalls, limits, registry);
     this.dispatcher = new Dispatcher(settings.dataCentre(), gate, System::nanoTime);
     dispatcher.connected(client::hasRested);
     NodeClient toNodes = new NodeClient(client, timers, gate, platform::answer, registry);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitDesk.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
@@ -17,7 +17,7 @@
  * Asks the owners of limits for leave, and answers daemons that ask this one. All calls hold the
  * guard.
  */
-public final class LimitDesk {
+public final class LimitPermitService {
 
   private static final Logger LOG = LogManager.getLogger("limits");
 
@@ -38,7 +38,7 @@
    * @param limits what is known, and what this daemon spends
    * @param registry holds the figures
    */
-  public LimitDesk(OwnerCalls calls, SharedLimits limits, MeterRegistry registry) {
+  public LimitPermitService(OwnerCalls calls, SharedLimits limits, MeterRegistry registry) {
     this.calls = calls;
     this.limits = limits;
     this.registry = registry;
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
@@ -31,7 +31,7 @@
   private final Owners owners = new Owners(SELF);
   private final SharedLimits limits = new SharedLimits(owners);
   private final OwnerCalls calls = new OwnerCalls(new HttpClient(reactor, timers), timers, 1);
-  private final LimitDesk limitDesk = new LimitDesk(calls, limits, new SimpleMeterRegistry());
+  private final LimitPermitService limitDesk = new LimitPermitService(calls, limits, new SimpleMeterRegistry());
 
   @AfterEach
   void stop() {
