--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonPages.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonPages.java
@@ -5,7 +5,7 @@
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.limit.LimitPermitService;
-import org.fawnvale.serving.limit.TrialDesk;
+import org.fawnvale.serving.limit.TrialPermitService;
 import org.fawnvale.serving.store.PeerCopies;
 
 /** What a daemon answers to the balancer, to those who read its figures, and to its peers. */
@@ -20,7 +20,7 @@
   private final PeerCopies<Node> nodes;
   private final PeerCopies<Configuration> configurations;
   private final LimitPermitService limits;
-  private final TrialDesk trials;
+  private final TrialPermitService trials;
 
   DaemonPages(
       String readyPath,
@@ -28,7 +28,7 @@
       PeerCopies<Node> nodes,
       PeerCopies<Configuration> configurations,
       LimitPermitService limits,
-      TrialDesk trials) {
+      TrialPermitService trials) {
     this.readyPath = readyPath;
     this.registry = registry;
     this.nodes = nodes;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -41,7 +41,7 @@
 import org.fawnvale.serving.http.Timers;
 import org.fawnvale.serving.limit.LimitPermitService;
 import org.fawnvale.serving.limit.OwnerCalls;
-import org.fawnvale.serving.limit.TrialDesk;
+import org.fawnvale.serving.limit.TrialPermitService;
 import org.fawnvale.serving.peer.Peers;
 import org.fawnvale.serving.spi.Platform;
 import org.fawnvale.serving.store.EraChange;
@@ -118,7 +118,7 @@
   private final PeerCopies<Node> nodeCopies;
   private final BarredRequests barred;
   private final LimitPermitService limitDesk;
-  private final TrialDesk trialDesk;
+  private final TrialPermitService trialDesk;
   private final NewsForPeers news;
   private final PrometheusMeterRegistry registry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
@@ -159,7 +159,7 @@
     this.gateway = new Gateway(timers, toNodes, platform, dispatcher, settings.bounds(), figures);
     gateway.asksForLeave(limitDesk::ask);
     registry.gauge("fawnvale.platform.names.unread", platform, Platform::namesNotRead);
-    this.trialDesk = new TrialDesk(ownerCalls, owners, gateway.repeats()::giveTrial);
+    this.trialDesk = new TrialPermitService(ownerCalls, owners, gateway.repeats()::giveTrial);
     gateway.repeats().asksForTrials(trialDesk::ask);
     this.news = new NewsForPeers(owners, gateway.repeats(), limits, limitDesk);
     long incarnation = System.currentTimeMillis();
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialDesk.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialPermitService.java
@@ -12,7 +12,7 @@
  * ask this one. Callers come to any daemon, so a trial that one daemon makes by itself is not made
  * where they are. All calls hold the guard.
  */
-public final class TrialDesk {
+public final class TrialPermitService {
 
   private static final Logger LOG = LogManager.getLogger("trials");
 
@@ -36,7 +36,7 @@
    * @param owners tells which daemon gives leave for which request
    * @param gives gives leave for a request that this daemon decides on
    */
-  public TrialDesk(OwnerCalls calls, Owners owners, Predicate<Fingerprint> gives) {
+  public TrialPermitService(OwnerCalls calls, Owners owners, Predicate<Fingerprint> gives) {
     this.calls = calls;
     this.owners = owners;
     this.gives = gives;
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
@@ -83,8 +83,8 @@
         .hasMessageContaining("base 64");
   }
 
-  private TrialDesk trials(boolean gives, List<Fingerprint> asked) {
-    return new TrialDesk(
+  private TrialPermitService trials(boolean gives, List<Fingerprint> asked) {
+    return new TrialPermitService(
         calls,
         owners,
         fingerprint -> {
