--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -40,7 +40,7 @@
 import org.fawnvale.serving.http.NodeClient;
 import org.fawnvale.serving.http.Timers;
 import org.fawnvale.serving.limit.LimitPermitService;
-import org.fawnvale.serving.limit.OwnerCalls;
+import org.fawnvale.serving.limit.OwnerClient;
 import org.fawnvale.serving.limit.TrialPermitService;
 import org.fawnvale.serving.peer.Peers;
 import org.fawnvale.serving.spi.Platform;
@@ -147,7 +147,7 @@
         new Owners(new Owners.Daemon(settings.name(), settings.address(), settings.dataCentre()));
     SharedLimits limits = new SharedLimits(owners);
     this.gate = new UpstreamGate(limits);
-    OwnerCalls ownerCalls = new OwnerCalls(client, timers, settings.peerPort() + COPY_PORT_OFFSET);
+    OwnerClient ownerCalls = new OwnerClient(client, timers, settings.peerPort() + COPY_PORT_OFFSET);
     this.limitDesk = new LimitPermitService(ownerCalls, limits, registry);
     this.dispatcher = new Dispatcher(settings.dataCentre(), gate, System::nanoTime);
     dispatcher.connected(client::hasRested);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
@@ -26,7 +26,7 @@
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  private final OwnerCalls calls;
+  private final OwnerClient calls;
   private final SharedLimits limits;
   private final MeterRegistry registry;
   private final LimitLog log;
@@ -38,7 +38,7 @@
    * @param limits what is known, and what this daemon spends
    * @param registry holds the figures
    */
-  public LimitPermitService(OwnerCalls calls, SharedLimits limits, MeterRegistry registry) {
+  public LimitPermitService(OwnerClient calls, SharedLimits limits, MeterRegistry registry) {
     this.calls = calls;
     this.limits = limits;
     this.registry = registry;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/OwnerCalls.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/OwnerClient.java
@@ -9,7 +9,7 @@
 import org.fawnvale.serving.spi.Call;
 
 /** Asks the daemon that decides on a matter for all. */
-public final class OwnerCalls {
+public final class OwnerClient {
 
   private static final int OK = 200;
 
@@ -27,7 +27,7 @@
    * @param timers bounds their time
    * @param port where daemons answer each other
    */
-  public OwnerCalls(HttpClient client, Timers timers, int port) {
+  public OwnerClient(HttpClient client, Timers timers, int port) {
     this.client = client;
     this.timers = timers;
     this.port = port;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialPermitService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialPermitService.java
@@ -25,7 +25,7 @@
   private static final byte[] NO = {0};
   private static final int RADIX = 16;
 
-  private final OwnerCalls calls;
+  private final OwnerClient calls;
   private final Owners owners;
   private final Predicate<Fingerprint> gives;
 
@@ -36,7 +36,7 @@
    * @param owners tells which daemon gives leave for which request
    * @param gives gives leave for a request that this daemon decides on
    */
-  public TrialPermitService(OwnerCalls calls, Owners owners, Predicate<Fingerprint> gives) {
+  public TrialPermitService(OwnerClient calls, Owners owners, Predicate<Fingerprint> gives) {
     this.calls = calls;
     this.owners = owners;
     this.gives = gives;
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
@@ -30,7 +30,7 @@
   private final HttpReactor reactor = HttpReactor.start(16_384);
   private final Owners owners = new Owners(SELF);
   private final SharedLimits limits = new SharedLimits(owners);
-  private final OwnerCalls calls = new OwnerCalls(new HttpClient(reactor, timers), timers, 1);
+  private final OwnerClient calls = new OwnerClient(new HttpClient(reactor, timers), timers, 1);
   private final LimitPermitService limitDesk = new LimitPermitService(calls, limits, new SimpleMeterRegistry());
 
   @AfterEach
