--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/BarredRequests.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/BarredRequests.java
@@ -2,7 +2,7 @@
 
 import org.fawnvale.serving.core.quarantine.RequestRecord;
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.gateway.RepeatGuard;
+import org.fawnvale.serving.gateway.RequestQuarantine;
 import org.fawnvale.serving.store.QuarantineStore;
 
 /**
@@ -11,7 +11,7 @@
  */
 final class BarredRequests {
 
-  private final RepeatGuard repeats;
+  private final RequestQuarantine repeats;
   private final QuarantineStore store;
   private boolean leads;
   private StoreEra keptIn = StoreEra.UNTOLD;
@@ -22,7 +22,7 @@
    * @param repeats tells which requests are barred and which an answer has cleared
    * @param store keeps them
    */
-  BarredRequests(RepeatGuard repeats, QuarantineStore store) {
+  BarredRequests(RequestQuarantine repeats, QuarantineStore store) {
     this.repeats = repeats;
     this.store = store;
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
@@ -8,7 +8,7 @@
 import org.fawnvale.serving.core.peer.Owners;
 import org.fawnvale.serving.core.peer.PeerNote;
 import org.fawnvale.serving.core.quarantine.RequestRecord;
-import org.fawnvale.serving.gateway.RepeatGuard;
+import org.fawnvale.serving.gateway.RequestQuarantine;
 import org.fawnvale.serving.limit.LimitPermitService;
 import org.fawnvale.serving.peer.Peers;
 
@@ -16,11 +16,11 @@
 final class NewsForPeers implements Peers.SharedNews {
 
   private final Owners owners;
-  private final RepeatGuard repeats;
+  private final RequestQuarantine repeats;
   private final SharedLimits limits;
   private final LimitPermitService desk;
 
-  NewsForPeers(Owners owners, RepeatGuard repeats, SharedLimits limits, LimitPermitService desk) {
+  NewsForPeers(Owners owners, RequestQuarantine repeats, SharedLimits limits, LimitPermitService desk) {
     this.owners = owners;
     this.repeats = repeats;
     this.limits = limits;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
@@ -308,7 +308,7 @@
 
   private int retryAfterMillis() {
     return gateway.repeats().isBarred(this)
-        ? RepeatGuard.RETRY_AFTER_MILLIS
+        ? RequestQuarantine.RETRY_AFTER_MILLIS
         : gateway.retryAfterMillis(request, tried);
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -65,7 +65,7 @@
   private final GatewayFigures figures;
   private final RequestLog log;
   private final StreamWatch streams;
-  private final RepeatGuard repeats;
+  private final RequestQuarantine repeats;
   private final OfferedWork offeredWork = new OfferedWork();
   private final ReturningCallers returningCallers = new ReturningCallers();
   private final ReturnTimes returnTimes = new ReturnTimes();
@@ -103,7 +103,7 @@
     this.figures = figures;
     this.log = new RequestLog(figures, dispatcher);
     this.streams = new StreamWatch(dispatcher, figures);
-    this.repeats = new RepeatGuard(client, dispatcher, figures, this::barred);
+    this.repeats = new RequestQuarantine(client, dispatcher, figures, this::barred);
     this.early = new EarlyRequests(timers, EarlyRequests.PATIENCE_MILLIS);
     HeaderNames names = platform.headers();
     this.ownHeaders =
@@ -431,7 +431,7 @@
    *
    * @return the guard against their repeats
    */
-  public RepeatGuard repeats() {
+  public RequestQuarantine repeats() {
     return repeats;
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RepeatGuard.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
@@ -19,7 +19,7 @@
  * done is not enough to know: the caller comes back with another id, to another daemon. All calls
  * hold the guard.
  */
-public final class RepeatGuard {
+public final class RequestQuarantine {
 
   private static final Logger LOG = LogManager.getLogger("gateway");
 
@@ -59,7 +59,7 @@
   /** The end of a node elsewhere, which may only have gone out of sight. */
   private record FarEnd(Fingerprint fingerprint, Node node, long dueNanos) {}
 
-  RepeatGuard(
+  RequestQuarantine(
       NodeClient client,
       Dispatcher dispatcher,
       GatewayFigures figures,
