--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/EndProofs.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/NodeExitProbe.java
@@ -15,12 +15,12 @@
  * are in trouble, and five harmless requests were held guilty within four seconds (semilla-viva, a
  * day with lost answers). One look at an address serves all that wait for it.
  */
-final class EndProofs {
+final class NodeExitProbe {
 
   private final NodeClient client;
   private final Map<Endpoint, List<Consumer<Boolean>>> waiting = new HashMap<>();
 
-  EndProofs(NodeClient client) {
+  NodeExitProbe(NodeClient client) {
     this.client = client;
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
@@ -48,7 +48,7 @@
 
   private final Quarantine quarantine = new Quarantine();
   private final Dispatcher dispatcher;
-  private final EndProofs proofs;
+  private final NodeExitProbe proofs;
   private final Deque<FarEnd> farEnds = new ArrayDeque<>();
   private final GatewayFigures figures;
   private final Consumer<Fingerprint> giveUp;
@@ -66,7 +66,7 @@
       Consumer<Fingerprint> giveUp) {
     this.giveUp = giveUp;
     this.dispatcher = dispatcher;
-    this.proofs = new EndProofs(client);
+    this.proofs = new NodeExitProbe(client);
     this.figures = figures;
     figures.quarantine(quarantine);
     quarantine.mayTry(false);
