--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -69,7 +69,7 @@
   private final OfferedWork offeredWork = new OfferedWork();
   private final ReturningCallers returningCallers = new ReturningCallers();
   private final ReturnTimes returnTimes = new ReturnTimes();
-  private final EarlyRequests early;
+  private final StartupRequestQueue early;
   private @Nullable RouteTable routes;
   private LeaveAsker leaveAsker = (node, told) -> told.accept(false);
   private int daemons = 1;
@@ -104,7 +104,7 @@
     this.log = new RequestLog(figures, dispatcher);
     this.streams = new StreamWatch(dispatcher, figures);
     this.repeats = new RequestQuarantine(client, dispatcher, figures, this::barred);
-    this.early = new EarlyRequests(timers, EarlyRequests.PATIENCE_MILLIS);
+    this.early = new StartupRequestQueue(timers, StartupRequestQueue.PATIENCE_MILLIS);
     HeaderNames names = platform.headers();
     this.ownHeaders =
         Set.of(
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/EarlyRequests.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/StartupRequestQueue.java
@@ -12,7 +12,7 @@
  * refused request once or twice; refused with "no configuration yet" a request came back within 0.1
  * s, was refused again and was lost. All calls hold the guard.
  */
-final class EarlyRequests {
+final class StartupRequestQueue {
 
   /**
    * How long a request waits. The copies are there 0.2 to 0.5 s after the listener is; a store that
@@ -28,7 +28,7 @@
   private final Deque<Runnable> waiting = new ArrayDeque<>();
   private boolean released;
 
-  EarlyRequests(Timers timers, int patienceMillis) {
+  StartupRequestQueue(Timers timers, int patienceMillis) {
     this.timers = timers;
     this.patienceMillis = patienceMillis;
   }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/EarlyRequestsTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/StartupRequestQueueTest.java
@@ -22,7 +22,7 @@
  * before it knows routes and nodes. Each was told that there is no configuration yet, came back
  * within a tenth of a second, was told the same, and was lost.
  */
-class EarlyRequestsTest {
+class StartupRequestQueueTest {
 
   private static final String OK =
       "HTTP/1.1 200 OK\r\nT-Id: <id>\r\nT-Signed: s\r\nContent-Length: 2\r\n\r\nok";
@@ -111,7 +111,7 @@
 
   @Test
   void whoWaitsInVainIsToldSo() throws Exception {
-    EarlyRequests early = new EarlyRequests(running.timers(), SHORT_MILLIS);
+    StartupRequestQueue early = new StartupRequestQueue(running.timers(), SHORT_MILLIS);
     CountDownLatch answered = new CountDownLatch(1);
     synchronized (running.guard()) {
       early.run(answered::countDown);
@@ -122,16 +122,16 @@
 
   @Test
   void thoseBeyondTheMostThatMayWaitAreAnsweredAtOnce() {
-    EarlyRequests early = new EarlyRequests(running.timers(), 60_000);
+    StartupRequestQueue early = new StartupRequestQueue(running.timers(), 60_000);
     List<Integer> answered = new ArrayList<>();
     synchronized (running.guard()) {
-      for (int number = 0; number < EarlyRequests.MOST + 2; number++) {
+      for (int number = 0; number < StartupRequestQueue.MOST + 2; number++) {
         int asked = number;
         early.run(() -> answered.add(asked));
       }
-      assertThat(answered).containsExactly(EarlyRequests.MOST, EarlyRequests.MOST + 1);
+      assertThat(answered).containsExactly(StartupRequestQueue.MOST, StartupRequestQueue.MOST + 1);
       early.release();
     }
-    assertThat(answered).hasSize(EarlyRequests.MOST + 2);
+    assertThat(answered).hasSize(StartupRequestQueue.MOST + 2);
   }
 }
