--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -64,7 +64,7 @@
   private final Set<String> ownHeaders;
   private final GatewayFigures figures;
   private final RequestLog log;
-  private final StreamWatch streams;
+  private final StreamMonitor streams;
   private final RequestQuarantine repeats;
   private final OfferedWork offeredWork = new OfferedWork();
   private final ReturningCallers returningCallers = new ReturningCallers();
@@ -102,7 +102,7 @@
     this.bounds = bounds;
     this.figures = figures;
     this.log = new RequestLog(figures, dispatcher);
-    this.streams = new StreamWatch(dispatcher, figures);
+    this.streams = new StreamMonitor(dispatcher, figures);
     this.repeats = new RequestQuarantine(client, dispatcher, figures, this::barred);
     this.early = new StartupRequestQueue(timers, StartupRequestQueue.PATIENCE_MILLIS);
     HeaderNames names = platform.headers();
@@ -422,7 +422,7 @@
     return log;
   }
 
-  StreamWatch streams() {
+  StreamMonitor streams() {
     return streams;
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/StreamWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/StreamMonitor.java
@@ -15,7 +15,7 @@
 import org.fawnvale.serving.core.model.ServiceSpec;
 
 /** Detects from the pauses of streams that a head stands still. */
-final class StreamWatch {
+final class StreamMonitor {
 
   private static final Logger LOG = LogManager.getLogger("gateway");
   private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -23,7 +23,7 @@
   private final Dispatcher dispatcher;
   private final GatewayFigures figures;
 
-  StreamWatch(Dispatcher dispatcher, GatewayFigures figures) {
+  StreamMonitor(Dispatcher dispatcher, GatewayFigures figures) {
     this.dispatcher = dispatcher;
     this.figures = figures;
   }
