--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -34,7 +34,7 @@
 import org.fawnvale.serving.core.watch.WatchCadence;
 import org.fawnvale.serving.formation.FormationService;
 import org.fawnvale.serving.gateway.Gateway;
-import org.fawnvale.serving.gateway.GatewayFigures;
+import org.fawnvale.serving.gateway.GatewayMetrics;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.HttpReactor;
 import org.fawnvale.serving.http.NodeClient;
@@ -155,7 +155,7 @@
     toNodes.onLeaving(() -> upstreamsAreOld = true);
     this.cadence = new WatchCadence(settings.bounds().leavingMillis());
     this.fleet = new Fleet(settings.policy().cutsAreNoDeaths());
-    GatewayFigures figures = new GatewayFigures(registry);
+    GatewayMetrics figures = new GatewayMetrics(registry);
     this.gateway = new Gateway(timers, toNodes, platform, dispatcher, settings.bounds(), figures);
     gateway.asksForLeave(limitDesk::ask);
     registry.gauge("fawnvale.platform.names.unread", platform, Platform::namesNotRead);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -62,7 +62,7 @@
   private final Map<String, RetryBudget> budgets = new HashMap<>();
   private final Set<Forwarder> running = new LinkedHashSet<>();
   private final Set<String> ownHeaders;
-  private final GatewayFigures figures;
+  private final GatewayMetrics figures;
   private final RequestLog log;
   private final StreamMonitor streams;
   private final RequestQuarantine repeats;
@@ -94,7 +94,7 @@
       Platform platform,
       Dispatcher dispatcher,
       Settings.Bounds bounds,
-      GatewayFigures figures) {
+      GatewayMetrics figures) {
     this.timers = timers;
     this.client = client;
     this.platform = platform;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/GatewayFigures.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/GatewayMetrics.java
@@ -9,7 +9,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** Counters and histograms of the gateway. */
-public final class GatewayFigures {
+public final class GatewayMetrics {
 
   private final MeterRegistry registry;
   private final Map<String, Counter> counters = new HashMap<>();
@@ -20,7 +20,7 @@
    *
    * @param registry holds them
    */
-  public GatewayFigures(MeterRegistry registry) {
+  public GatewayMetrics(MeterRegistry registry) {
     this.registry = registry;
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestLog.java
@@ -16,10 +16,10 @@
   private static final Logger LOG = LogManager.getLogger("gateway");
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  private final GatewayFigures figures;
+  private final GatewayMetrics figures;
   private final Dispatcher dispatcher;
 
-  RequestLog(GatewayFigures figures, Dispatcher dispatcher) {
+  RequestLog(GatewayMetrics figures, Dispatcher dispatcher) {
     this.figures = figures;
     this.dispatcher = dispatcher;
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
@@ -50,7 +50,7 @@
   private final Dispatcher dispatcher;
   private final NodeExitProbe proofs;
   private final Deque<FarEnd> farEnds = new ArrayDeque<>();
-  private final GatewayFigures figures;
+  private final GatewayMetrics figures;
   private final Consumer<Fingerprint> giveUp;
   private BarredListener barredListener = (told, own) -> {};
   private TrialAsker trialAsker = (fingerprint, told) -> told.accept(false);
@@ -62,7 +62,7 @@
   RequestQuarantine(
       NodeClient client,
       Dispatcher dispatcher,
-      GatewayFigures figures,
+      GatewayMetrics figures,
       Consumer<Fingerprint> giveUp) {
     this.giveUp = giveUp;
     this.dispatcher = dispatcher;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/StreamMonitor.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/StreamMonitor.java
@@ -21,9 +21,9 @@
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
   private final Dispatcher dispatcher;
-  private final GatewayFigures figures;
+  private final GatewayMetrics figures;
 
-  StreamMonitor(Dispatcher dispatcher, GatewayFigures figures) {
+  StreamMonitor(Dispatcher dispatcher, GatewayMetrics figures) {
     this.dispatcher = dispatcher;
     this.figures = figures;
   }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
@@ -41,7 +41,7 @@
     TestPlatform platform = new TestPlatform();
     HttpClient client = new HttpClient(reactor, timers);
     NodeClient toNodes = new NodeClient(client, timers, gate, platform::answer, registry);
-    GatewayFigures figures = new GatewayFigures(registry);
+    GatewayMetrics figures = new GatewayMetrics(registry);
     gateway = new Gateway(timers, toNodes, platform, dispatcher, bounds, figures);
     try (ServerSocket free = new ServerSocket(0)) {
       port = free.getLocalPort();
