--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/PermitServicesTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a daemon answers to others that ask it for leave. */
-class DesksTest {
+class PermitServicesTest {
 
   private static final Owners.Daemon SELF = new Owners.Daemon("d1", "127.0.0.1", "a");
   private static final Owners.Daemon OTHER = new Owners.Daemon("d2", "127.0.0.2", "b");
