--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RestThatWasAskedForTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RetryAfterPauseTest.java
@@ -20,7 +20,7 @@
  * <p>The evidence: 353 of 478 first tries went to the six heads, all at a load near none, while the
  * other eight answered all that reached them.
  */
-class RestThatWasAskedForTest {
+class RetryAfterPauseTest {
 
   private static final int REQUESTS = 20;
   private static final String OK =
