--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RepeatsThatEndNodesTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/NodeCrashingRequestsTest.java
@@ -30,7 +30,7 @@
  * <p>The evidence: all 32 nodes that ended gave up every connection within 0.1 s, 55 to 90 ms after
  * they had begun to run one and the same request, and never ended without it.
  */
-class RepeatsThatEndNodesTest {
+class NodeCrashingRequestsTest {
 
   private static final int NODES = 10;
 
