--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/LimitsAtTheGatewayTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/GatewayLimitsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Whatever a gateway sends to a node that names a limit is counted there. */
-class LimitsAtTheGatewayTest {
+class GatewayLimitsTest {
 
   private static final int REQUESTS = 30;
   private static final double LIMIT = 0.5;
