--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -157,7 +157,7 @@
     this.fleet = new Fleet(settings.policy().cutsAreNoDeaths());
     GatewayMetrics figures = new GatewayMetrics(registry);
     this.gateway = new Gateway(timers, toNodes, platform, dispatcher, settings.bounds(), figures);
-    gateway.asksForLeave(limitDesk::ask);
+    gateway.setPermitRequester(limitDesk::ask);
     registry.gauge("fawnvale.platform.names.unread", platform, Platform::namesNotRead);
     this.trialDesk = new TrialPermitService(ownerCalls, owners, gateway.repeats()::giveTrial);
     gateway.repeats().asksForTrials(trialDesk::ask);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
@@ -170,7 +170,7 @@
       return;
     }
     questions++;
-    gateway.leaveAsker().ask(node, granted -> goOnAfterQuestion(node, why, granted));
+    gateway.permitRequester().ask(node, granted -> goOnAfterQuestion(node, why, granted));
   }
 
   private void goOnAfterQuestion(Node node, String why, boolean granted) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -71,7 +71,7 @@
   private final ReturnTimes returnTimes = new ReturnTimes();
   private final StartupRequestQueue early;
   private @Nullable RouteTable routes;
-  private LeaveAsker leaveAsker = (node, told) -> told.accept(false);
+  private PermitRequester permitRequester = (node, told) -> told.accept(false);
   private int daemons = 1;
   private boolean draining;
   private boolean refusing;
@@ -117,7 +117,7 @@
 
   /** Asks the owner of a node's limit whether a request may be sent there. */
   @FunctionalInterface
-  public interface LeaveAsker {
+  public interface PermitRequester {
 
     /**
      * Asks for leave for one request.
@@ -133,12 +133,12 @@
    *
    * @param asker asks
    */
-  public void asksForLeave(LeaveAsker asker) {
-    leaveAsker = asker;
+  public void setPermitRequester(PermitRequester asker) {
+    permitRequester = asker;
   }
 
-  LeaveAsker leaveAsker() {
-    return leaveAsker;
+  PermitRequester permitRequester() {
+    return permitRequester;
   }
 
   private static String lower(String name) {
