--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -345,7 +345,7 @@
     dispatcher.retain(nodes.objects().keySet());
     if (!fleetIsKnown && nodes.place().isKnown()) {
       fleetIsKnown = true;
-      gateway.fleetIsKnown();
+      gateway.onFleetKnown();
     }
   }
 
@@ -391,15 +391,15 @@
     }
   }
 
-  private void watchStreams() {
-    if (gateway.underWay() == 0) {
+  private void checkStreams() {
+    if (gateway.inFlight() == 0) {
       return;
     }
     Set<String> shared = suspicions.ofPeers();
     dispatcher.avoid(shared);
     int before = suspicions.countOfOwn();
     if (StallDetector.mayJudge(System.nanoTime() - startedNanos)) {
-      gateway.watchStreams(shared);
+      gateway.checkStreams(shared);
     }
     if (suspicions.countOfOwn() > before) {
       tellPeers(true);
@@ -456,7 +456,7 @@
   }
 
   private void plan(EngineSpec engine) {
-    if (gateway.hasServed() || peers.servedElsewhere()) {
+    if (gateway.hasReceivedRequest() || peers.servedElsewhere()) {
       formation.boundLoads();
       servedSinceNanos = servedSinceNanos == 0 ? System.nanoTime() : servedSinceNanos;
     }
@@ -502,7 +502,7 @@
     Peers.OfUpstreams told = peers.ofUpstreams();
     dispatcher.peersInFlight(told.inFlight());
     dispatcher.refusingPeers(told.refusing());
-    gateway.daemons(peers.daemons());
+    gateway.setDaemonCount(peers.daemons());
   }
 
   /**
@@ -549,7 +549,7 @@
     DaemonState state =
         new DaemonState(
             standing(),
-            gateway.hasServed(),
+            gateway.hasReceivedRequest(),
             inFlight,
             gateway.offeredWork(),
             suspicions.own(),
@@ -565,7 +565,7 @@
       if (refuse) {
         gateway.refuseNew();
       }
-      return gateway.underWay() > 0;
+      return gateway.inFlight() > 0;
     }
   }
 
@@ -576,11 +576,11 @@
       stopping = true;
       gateway.drain();
       tellPeers(true);
-      LOG.info("under_way={} outcome=stopping", gateway.underWay());
+      LOG.info("under_way={} outcome=stopping", gateway.inFlight());
     }
     PlannedStop planned = new PlannedStop(begun, settings.bounds().graceMillis());
     planned.await(System::nanoTime, Thread::sleep, this::refusesAndIsBusy);
-    LOG.info("under_way={} outcome=stopped", gateway.underWay());
+    LOG.info("under_way={} outcome=stopped", gateway.inFlight());
     timers.stop();
     peers.stop();
     reactor.stop();
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -164,7 +164,7 @@
   }
 
   /** Tells that routes and upstreams are known: requests that came before are sent now. */
-  public void fleetIsKnown() {
+  public void onFleetKnown() {
     early.release();
   }
 
@@ -173,7 +173,7 @@
    *
    * @param count their number, this one included
    */
-  public void daemons(int count) {
+  public void setDaemonCount(int count) {
     daemons = count;
   }
 
@@ -197,7 +197,7 @@
    *
    * @return their number
    */
-  public int underWay() {
+  public int inFlight() {
     return running.size();
   }
 
@@ -206,7 +206,7 @@
    *
    * @return true once one has come
    */
-  public boolean hasServed() {
+  public boolean hasReceivedRequest() {
     return served;
   }
 
@@ -452,7 +452,7 @@
    *
    * @param peerSuspects heads that other daemons hold to be standing still
    */
-  public void watchStreams(Set<String> peerSuspects) {
+  public void checkStreams(Set<String> peerSuspects) {
     RouteTable table = routes;
     if (table != null) {
       streams.look(running, table.configuration(), peerSuspects);
