--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/GatewayTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/GatewayTest.java
@@ -236,7 +236,7 @@
     upstream(NOT_RUN);
     synchronized (running.guard()) {
       dispatcher.state("n0").suspect(System.nanoTime());
-      gateway.watchStreams(Set.of());
+      gateway.checkStreams(Set.of());
     }
     awaitState("n1", state -> state.inFlight() == 0);
     upstream(STREAM_HEAD + ScriptedUpstream.EVENTS + LAST_CHUNK);
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
@@ -73,7 +73,7 @@
   void knowFleet() {
     synchronized (guard()) {
       gateway.routes(RouteTable.of(GatewayTest.configuration()));
-      gateway.fleetIsKnown();
+      gateway.onFleetKnown();
     }
   }
 
