--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
@@ -116,7 +116,7 @@
   }
 
   private void next(String why) {
-    if (gateway.repeats().isBarred(this)) {
+    if (gateway.quarantine().isBarred(this)) {
       tryOrRefuse(why);
       return;
     }
@@ -143,14 +143,14 @@
    * One of all that ask for a barred request may try it once more after a while, wherever it is.
    */
   private void tryOrRefuse(String why) {
-    boolean mayAsk = !askedForTrial && gateway.repeats().isWorthATrial(this);
+    boolean mayAsk = !askedForTrial && gateway.quarantine().isWorthATrial(this);
     if (!mayAsk) {
       refuse(BARRED);
       return;
     }
     askedForTrial = true;
     attempt = null;
-    gateway.repeats().askForTrial(this, granted -> goOnAfterTrialQuestion(why));
+    gateway.quarantine().askForTrial(this, granted -> goOnAfterTrialQuestion(why));
   }
 
   private void goOnAfterTrialQuestion(String why) {
@@ -214,7 +214,7 @@
     Attempt sent = new Attempt(node);
     attempt = sent;
     gateway.log().sent(request, node, why, runs + rejections);
-    gateway.repeats().sent(this);
+    gateway.quarantine().sent(this);
     sent.state.sent(System.nanoTime());
     sent.exchange = gateway.client().send(node, outgoing(node), request.body(), sent);
   }
@@ -307,7 +307,7 @@
   }
 
   private int retryAfterMillis() {
-    return gateway.repeats().isBarred(this)
+    return gateway.quarantine().isBarred(this)
         ? RequestQuarantine.RETRY_AFTER_MILLIS
         : gateway.retryAfterMillis(request, tried);
   }
@@ -479,7 +479,7 @@
     private void endStream() {
       byte[] rest = events.rest();
       settle(false);
-      gateway.repeats().answered(Forwarder.this);
+      gateway.quarantine().answered(Forwarder.this);
       beginCaller();
       caller.write(rest);
       close();
@@ -499,7 +499,7 @@
       } else {
         state.progressed(System.nanoTime());
         if (status < REDIRECT) {
-          gateway.repeats().answered(Forwarder.this);
+          gateway.quarantine().answered(Forwarder.this);
         }
         close();
         gateway.log().ended(request, status, "answered", node, 1);
@@ -517,11 +517,11 @@
     /** A request that one more end bars goes on only once it is known that there was none. */
     private void broke() {
       mayHaveRun = true;
-      if (gateway.repeats().isLastTry(Forwarder.this)) {
+      if (gateway.quarantine().isLastTry(Forwarder.this)) {
         attempt = null;
-        gateway.repeats().broke(fingerprint(), node, Forwarder.this::goOnAfterBreak);
+        gateway.quarantine().broke(fingerprint(), node, Forwarder.this::goOnAfterBreak);
       } else {
-        gateway.repeats().broke(fingerprint(), node, () -> {});
+        gateway.quarantine().broke(fingerprint(), node, () -> {});
         retry(BROKEN, true);
       }
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -431,7 +431,7 @@
    *
    * @return the guard against their repeats
    */
-  public RequestQuarantine repeats() {
+  public RequestQuarantine quarantine() {
     return repeats;
   }
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/NodeCrashingRequestsTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/NodeCrashingRequestsTest.java
@@ -113,7 +113,7 @@
     silent.awaitRequest();
     synchronized (running.guard()) {
       gateway
-          .repeats()
+          .quarantine()
           .hear(List.of(new RequestRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
     }
     assertThat(status.get()).isEqualTo(502);
@@ -125,7 +125,7 @@
     nodesThatEnd();
     synchronized (running.guard()) {
       gateway
-          .repeats()
+          .quarantine()
           .hear(List.of(new RequestRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
     }
     assertThat(ask("/safe/sheet", "r1", "rose")).isEqualTo(503);
