--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/BarredRequests.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/BarredRequests.java
@@ -61,7 +61,7 @@
     leads = leadsNow;
     if (leadsNow && !era.equals(keptIn)) {
       keptIn = era;
-      repeats.barred().forEach(store::keep);
+      repeats.barredRecords().forEach(store::keep);
     }
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
@@ -29,13 +29,13 @@
 
   /** Tells whether there is what the others should know at once. */
   boolean takeNews() {
-    boolean ofRepeats = repeats.takeNews();
+    boolean ofRepeats = repeats.takeUrgentUpdate();
     return limits.known().takeNews() || ofRepeats;
   }
 
   @Override
   public List<RequestRecord> records(boolean forOthers) {
-    return repeats.toTell(forOthers);
+    return repeats.recordsToSend(forOthers);
   }
 
   @Override
@@ -44,9 +44,9 @@
   }
 
   @Override
-  public void hear(List<RequestRecord> records, List<LimitNote> notes) {
+  public void receive(List<RequestRecord> records, List<LimitNote> notes) {
     if (!records.isEmpty()) {
-      repeats.hear(records);
+      repeats.receive(records);
     }
     desk.learn(notes);
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -159,8 +159,8 @@
     this.gateway = new Gateway(timers, toNodes, platform, dispatcher, settings.bounds(), figures);
     gateway.setPermitRequester(limitDesk::ask);
     registry.gauge("fawnvale.platform.names.unread", platform, Platform::namesNotRead);
-    this.trialDesk = new TrialPermitService(ownerCalls, owners, gateway.quarantine()::giveTrial);
-    gateway.quarantine().asksForTrials(trialDesk::ask);
+    this.trialDesk = new TrialPermitService(ownerCalls, owners, gateway.quarantine()::grantTrial);
+    gateway.quarantine().setTrialRequester(trialDesk::ask);
     this.news = new NewsForPeers(owners, gateway.quarantine(), limits, limitDesk);
     long incarnation = System.currentTimeMillis();
     this.peers = Peers.open(settings, guard, incarnation, this::placesOfPeer, news);
@@ -203,7 +203,7 @@
             settings.store(),
             platform,
             System::currentTimeMillis,
-            gateway.quarantine()::hear);
+            gateway.quarantine()::receive);
     this.barred = new BarredRequests(gateway.quarantine(), quarantine);
     this.nodeCopies = copiesOf(nodes, "/copies/nodes", Node.class, cadence.copyTimes());
   }
@@ -412,7 +412,7 @@
    * is a limit that a node names: until they know it the others send what they always did.
    */
   private void watchNews() {
-    gateway.quarantine().settle();
+    gateway.quarantine().confirmRemoteExits();
     if (news.takeNews()) {
       tellPeers(true);
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
@@ -53,7 +53,7 @@
   private final GatewayMetrics figures;
   private final Consumer<Fingerprint> giveUp;
   private BarredListener barredListener = (told, own) -> {};
-  private TrialAsker trialAsker = (fingerprint, told) -> told.accept(false);
+  private TrialRequester trialRequester = (fingerprint, told) -> told.accept(false);
   private Consumer<Fingerprint> clearedListener = fingerprint -> {};
 
   /** The end of a node elsewhere, which may only have gone out of sight. */
@@ -86,7 +86,7 @@
 
   /** Asks the daemon that gives leave for the trial of a barred request. */
   @FunctionalInterface
-  public interface TrialAsker {
+  public interface TrialRequester {
 
     /**
      * Asks for leave for one trial.
@@ -102,8 +102,8 @@
    *
    * @param asker asks
    */
-  public void asksForTrials(TrialAsker asker) {
-    trialAsker = asker;
+  public void setTrialRequester(TrialRequester asker) {
+    trialRequester = asker;
   }
 
   /** Tells whether a barred request may be harmless, so that leave for a trial is worth asking. */
@@ -118,7 +118,7 @@
    */
   void askForTrial(Forwarder forwarder, Consumer<Boolean> told) {
     Fingerprint fingerprint = forwarder.fingerprint();
-    trialAsker.ask(
+    trialRequester.ask(
         fingerprint,
         granted -> {
           LOG.info("fingerprint={} granted={} outcome=trial", fingerprint, granted);
@@ -135,7 +135,7 @@
    * @param fingerprint the request
    * @return whether it may
    */
-  public boolean giveTrial(Fingerprint fingerprint) {
+  public boolean grantTrial(Fingerprint fingerprint) {
     return quarantine.giveTrial(fingerprint, System.nanoTime());
   }
 
@@ -218,7 +218,7 @@
    *
    * @param records its records
    */
-  public void hear(List<RequestRecord> records) {
+  public void receive(List<RequestRecord> records) {
     for (Fingerprint fingerprint : quarantine.hear(records, System.nanoTime())) {
       LOG.warn("fingerprint={} outcome=barred by=peers", fingerprint);
       tellBarred(fingerprint, false);
@@ -231,12 +231,12 @@
    *
    * @return their records
    */
-  public List<RequestRecord> barred() {
+  public List<RequestRecord> barredRecords() {
     return quarantine.barredRecords();
   }
 
   /** Believes ends in other data centres that have stayed in sight since. */
-  public void settle() {
+  public void confirmRemoteExits() {
     long now = System.nanoTime();
     while (!farEnds.isEmpty() && farEnds.peekFirst().dueNanos() <= now) {
       FarEnd end = farEnds.removeFirst();
@@ -251,7 +251,7 @@
    *
    * @return true when it has, since this was asked last
    */
-  public boolean takeNews() {
+  public boolean takeUrgentUpdate() {
     return quarantine.takeNews();
   }
 
@@ -261,7 +261,7 @@
    * @param forOthers whether what others have told is told on, as a relay does
    * @return records of requests
    */
-  public List<RequestRecord> toTell(boolean forOthers) {
+  public List<RequestRecord> recordsToSend(boolean forOthers) {
     return quarantine.toTell(forOthers, System.nanoTime());
   }
 }
