--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonPages.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonPages.java
@@ -51,13 +51,13 @@
   /** Gives a peer what it lacks of the store's objects, or leave for what is counted once. */
   PageExchange.Page forPeers(String target) {
     byte[] copy = new byte[0];
-    if (limits.isAskedBy(target)) {
+    if (limits.handles(target)) {
       copy = limits.answer(target);
-    } else if (trials.isAskedBy(target)) {
+    } else if (trials.handles(target)) {
       copy = trials.answer(target);
-    } else if (nodes.isAskedBy(target)) {
+    } else if (nodes.handles(target)) {
       copy = nodes.give(target);
-    } else if (configurations.isAskedBy(target)) {
+    } else if (configurations.handles(target)) {
       copy = configurations.give(target);
     }
     return new PageExchange.Page(copy.length == 0 ? UNAVAILABLE : OK, copy);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
@@ -48,7 +48,7 @@
     if (!records.isEmpty()) {
       repeats.receive(records);
     }
-    desk.learn(notes);
+    desk.receive(notes);
   }
 
   /** Takes in which daemons are in touch: they share limits, and trials of barred requests. */
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -157,10 +157,10 @@
     this.fleet = new Fleet(settings.policy().cutsAreNoDeaths());
     GatewayMetrics figures = new GatewayMetrics(registry);
     this.gateway = new Gateway(timers, toNodes, platform, dispatcher, settings.bounds(), figures);
-    gateway.setPermitRequester(limitDesk::ask);
+    gateway.setPermitRequester(limitDesk::requestPermit);
     registry.gauge("fawnvale.platform.names.unread", platform, Platform::namesNotRead);
     this.trialDesk = new TrialPermitService(ownerCalls, owners, gateway.quarantine()::grantTrial);
-    gateway.quarantine().setTrialRequester(trialDesk::ask);
+    gateway.quarantine().setTrialRequester(trialDesk::requestPermit);
     this.news = new NewsForPeers(owners, gateway.quarantine(), limits, limitDesk);
     long incarnation = System.currentTimeMillis();
     this.peers = Peers.open(settings, guard, incarnation, this::placesOfPeer, news);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
@@ -51,7 +51,7 @@
    *
    * @param notes its notes
    */
-  public void learn(List<LimitNote> notes) {
+  public void receive(List<LimitNote> notes) {
     long now = System.nanoTime();
     for (LimitNote note : notes) {
       KnownLimits.Change change = limits.learn(note, now);
@@ -65,7 +65,7 @@
    * @param node the node
    * @param told told once, while the guard is held, whether the request may go
    */
-  public void ask(Node node, Consumer<Boolean> told) {
+  public void requestPermit(Node node, Consumer<Boolean> told) {
     LimitNote known = limits.noteOf(node.life(), System.nanoTime());
     if (known == null) {
       told.accept(true);
@@ -125,8 +125,8 @@
    * @param target the path of the question
    * @return true when {@link #answer} answers it
    */
-  public boolean isAskedBy(String target) {
-    return PermitRequest.isOne(target);
+  public boolean handles(String target) {
+    return PermitRequest.matches(target);
   }
 
   /**
@@ -138,7 +138,7 @@
   public byte[] answer(String target) {
     try {
       PermitRequest question = PermitRequest.read(target);
-      learn(List.of(question.limit()));
+      receive(List.of(question.limit()));
       return PermitRequest.write(
           limits.ask(question.limit().life(), question.dataCentre(), System.nanoTime()));
     } catch (IOException | RuntimeException e) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/PermitRequest.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/PermitRequest.java
@@ -33,7 +33,7 @@
     }
   }
 
-  static boolean isOne(String target) {
+  static boolean matches(String target) {
     return target.startsWith(PATH);
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialPermitService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialPermitService.java
@@ -52,7 +52,7 @@
    * @param fingerprint the request
    * @param told told once, while the guard is held, whether it may be tried
    */
-  public void ask(Fingerprint fingerprint, Consumer<Boolean> told) {
+  public void requestPermit(Fingerprint fingerprint, Consumer<Boolean> told) {
     String matter = matter(fingerprint);
     if (owners.isOwn(matter, NO_DATA_CENTRE)) {
       told.accept(gives.test(fingerprint));
@@ -69,7 +69,7 @@
    * @param target the path of the question
    * @return true when {@link #answer} answers it
    */
-  public boolean isAskedBy(String target) {
+  public boolean handles(String target) {
     return target.startsWith(PATH);
   }
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/PermitServicesTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/PermitServicesTest.java
@@ -41,7 +41,7 @@
 
   private SharedLimits.Reply askForLeave(String dataCentre) throws IOException {
     String target = new PermitRequest(LIMIT, dataCentre).target();
-    assertThat(limitDesk.isAskedBy(target)).isTrue();
+    assertThat(limitDesk.handles(target)).isTrue();
     return PermitRequest.readReply(limitDesk.answer(target));
   }
 
@@ -97,7 +97,7 @@
   void theOwnerOfATrialGivesLeaveItself() {
     List<Fingerprint> asked = new ArrayList<>();
     List<Boolean> told = new ArrayList<>();
-    trials(true, asked).ask(SHEET, told::add);
+    trials(true, asked).requestPermit(SHEET, told::add);
     assertThat(told).containsExactly(true);
     assertThat(asked).containsExactly(SHEET);
   }
@@ -106,7 +106,7 @@
   void aDaemonThatAsksForATrialIsToldYesOrNo() {
     List<Fingerprint> asked = new ArrayList<>();
     String target = "/trials/leave/ffffffffffffffef";
-    assertThat(trials(true, asked).isAskedBy(target)).isTrue();
+    assertThat(trials(true, asked).handles(target)).isTrue();
     assertThat(trials(true, asked).answer(target)).containsExactly(1);
     assertThat(trials(false, asked).answer(target)).containsExactly(0);
     assertThat(asked).containsExactly(SHEET, SHEET);
