--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -351,7 +351,7 @@
 
   private Announced announced() {
     if (leads) {
-      return new Announced(formation.opened(), formation.closed());
+      return new Announced(formation.recentlyOpened(), formation.recentlyClosed());
     }
     PeerNote leader = peers.leadership().leaderNote();
     return leader == null ? Announced.NOTHING : new Announced(leader.groups(), leader.closed());
@@ -467,16 +467,16 @@
     if (leads) {
       lead(engine, inSight);
     } else {
-      formation.follow();
+      formation.stopLeading();
     }
   }
 
   private void lead(EngineSpec engine, Set<String> inSight) {
     List<StallEvidence.Witness> witnesses = suspicions.witnesses();
     boolean suspected = witnesses.stream().anyMatch(witness -> !witness.suspects().isEmpty());
-    if (formation.isDue(nodes.place(), suspected)) {
+    if (formation.isPlanDue(nodes.place(), suspected)) {
       Collection<Node> engines = engines();
-      formation.lead(engines, engine, demand(engine), witnesses, inSight, resting(engines));
+      formation.planAndSend(engines, engine, demand(engine), witnesses, inSight, resting(engines));
     }
   }
 
@@ -554,8 +554,8 @@
             gateway.offeredWork(),
             suspicions.own(),
             dispatcher.refusing(),
-            leads ? formation.opened() : List.of(),
-            leads ? formation.closed() : List.of());
+            leads ? formation.recentlyOpened() : List.of(),
+            leads ? formation.recentlyClosed() : List.of());
     CopyPlaces places = new CopyPlaces(configurations.newest(), versionInForce(), nodes.newest());
     peers.tell(state, places, isNews);
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
@@ -67,7 +67,7 @@
   }
 
   /** Forgets what was planned, since another daemon leads. */
-  public void follow() {
+  public void stopLeading() {
     planner = null;
   }
 
@@ -88,7 +88,7 @@
    * @param suspected whether any daemon holds a head to be standing still
    * @return true when a plan may differ from the last one
    */
-  public boolean isDue(StorePlace shown, boolean suspected) {
+  public boolean isPlanDue(StorePlace shown, boolean suspected) {
     GroupPlanner current = planner;
     boolean busy = suspected || current == null || current.isBusy();
     return pacing.isDue(shown, busy, System.nanoTime());
@@ -104,7 +104,7 @@
    * @param inSight data centres that this daemon reaches
    * @param resting ids of nodes that want nothing from this daemon for a while
    */
-  public void lead(
+  public void planAndSend(
       Collection<Node> nodes,
       EngineSpec engine,
       ModelDemand demand,
@@ -184,7 +184,7 @@
    *
    * @return the groups; empty when this daemon does not lead
    */
-  public List<PeerNote.ServingGroup> opened() {
+  public List<PeerNote.ServingGroup> recentlyOpened() {
     GroupPlanner current = planner;
     List<PeerNote.ServingGroup> opened = new ArrayList<>();
     if (current != null) {
@@ -205,7 +205,7 @@
    *
    * @return the heads as {@code ID@EPOCH}; empty when this daemon does not lead
    */
-  public List<String> closed() {
+  public List<String> recentlyClosed() {
     GroupPlanner current = planner;
     List<String> closed = new ArrayList<>();
     if (current != null) {
