--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -158,7 +158,7 @@
     GatewayMetrics figures = new GatewayMetrics(registry);
     this.gateway = new Gateway(timers, toNodes, platform, dispatcher, settings.bounds(), figures);
     gateway.setPermitRequester(limitDesk::requestPermit);
-    registry.gauge("fawnvale.platform.names.unread", platform, Platform::namesNotRead);
+    registry.gauge("fawnvale.platform.names.unread", platform, Platform::unrecognizedNames);
     this.trialDesk = new TrialPermitService(ownerCalls, owners, gateway.quarantine()::grantTrial);
     gateway.quarantine().setTrialRequester(trialDesk::requestPermit);
     this.news = new NewsForPeers(owners, gateway.quarantine(), limits, limitDesk);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
@@ -57,7 +57,7 @@
    * @param mayBeOld whether a list that is seconds old will do, which is cheaper
    * @return the call
    */
-  Call list(Kind kind, String afterName, boolean mayBeOld);
+  Call list(Kind kind, String afterName, boolean allowStale);
 
   /**
    * Waits for changes of a kind.
@@ -113,7 +113,7 @@
    * @param kept the record
    * @return the call
    */
-  Call keep(KeptRecord kept);
+  Call create(KeptRecord kept);
 
   /**
    * The call that removes one of the system's own objects.
@@ -170,5 +170,5 @@
    *
    * @return how many different ones were seen, as far as they are remembered
    */
-  int namesNotRead();
+  int unrecognizedNames();
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
@@ -165,7 +165,7 @@
     RequestRecord next = waiting.values().iterator().next();
     KeptRecord kept = new KeptRecord(next, clockMillis.getAsLong() + KEPT_MILLIS);
     WholeCall.send(
-        client, timers, store, platform.keep(kept), CALL_MILLIS, reply -> called(next, reply));
+        client, timers, store, platform.create(kept), CALL_MILLIS, reply -> called(next, reply));
   }
 
   private void called(RequestRecord told, WholeCall.Reply reply) {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
@@ -48,7 +48,7 @@
   }
 
   @Override
-  public Call list(Kind kind, String afterName, boolean mayBeOld) {
+  public Call list(Kind kind, String afterName, boolean allowStale) {
     throw new UnsupportedOperationException("This test has no store.");
   }
 
@@ -78,7 +78,7 @@
   }
 
   @Override
-  public Call keep(KeptRecord kept) {
+  public Call create(KeptRecord kept) {
     throw new UnsupportedOperationException("This test has no store.");
   }
 
@@ -103,7 +103,7 @@
   }
 
   @Override
-  public int namesNotRead() {
+  public int unrecognizedNames() {
     return 0;
   }
 
