--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonPages.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonPages.java
@@ -55,9 +55,9 @@
       copy = limits.answer(target);
     } else if (trials.handles(target)) {
       copy = trials.answer(target);
-    } else if (nodes.handles(target)) {
+    } else if (nodes.isAskedBy(target)) {
       copy = nodes.give(target);
-    } else if (configurations.handles(target)) {
+    } else if (configurations.isAskedBy(target)) {
       copy = configurations.give(target);
     }
     return new PageExchange.Page(copy.length == 0 ? UNAVAILABLE : OK, copy);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
@@ -20,7 +20,8 @@
   private final SharedLimits limits;
   private final LimitPermitService desk;
 
-  NewsForPeers(Owners owners, RequestQuarantine repeats, SharedLimits limits, LimitPermitService desk) {
+  NewsForPeers(
+      Owners owners, RequestQuarantine repeats, SharedLimits limits, LimitPermitService desk) {
     this.owners = owners;
     this.repeats = repeats;
     this.limits = limits;
@@ -44,7 +45,7 @@
   }
 
   @Override
-  public void receive(List<RequestRecord> records, List<LimitNote> notes) {
+  public void hear(List<RequestRecord> records, List<LimitNote> notes) {
     if (!records.isEmpty()) {
       repeats.receive(records);
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -147,7 +147,8 @@
         new Owners(new Owners.Daemon(settings.name(), settings.address(), settings.dataCentre()));
     SharedLimits limits = new SharedLimits(owners);
     this.gate = new UpstreamGate(limits);
-    OwnerClient ownerCalls = new OwnerClient(client, timers, settings.peerPort() + COPY_PORT_OFFSET);
+    OwnerClient ownerCalls =
+        new OwnerClient(client, timers, settings.peerPort() + COPY_PORT_OFFSET);
     this.limitDesk = new LimitPermitService(ownerCalls, limits, registry);
     this.dispatcher = new Dispatcher(settings.dataCentre(), gate, System::nanoTime);
     dispatcher.connected(client::hasRested);
@@ -391,7 +392,7 @@
     }
   }
 
-  private void checkStreams() {
+  private void watchStreams() {
     if (gateway.inFlight() == 0) {
       return;
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/HttpClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/HttpClient.java
@@ -27,8 +27,8 @@
   /**
    * How long a connection may take to open, in milliseconds. Data centres are milliseconds apart; a
    * machine behind a cut says nothing, and the request is better off elsewhere. With 120 a daemon
-   * that was itself short of processor time gave up connections that had come up (StartupRequestQueueTest
-   * beside a load of 20 on 8 cores), and held the upstream to be gone.
+   * that was itself short of processor time gave up connections that had come up
+   * (StartupRequestQueueTest beside a load of 20 on 8 cores), and held the upstream to be gone.
    */
   private static final long CONNECT_MILLIS = 300;
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/NodeCrashingRequestsTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/NodeCrashingRequestsTest.java
@@ -114,7 +114,8 @@
     synchronized (running.guard()) {
       gateway
           .quarantine()
-          .receive(List.of(new RequestRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
+          .receive(
+              List.of(new RequestRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
     }
     assertThat(status.get()).isEqualTo(502);
     assertThat(silent.awaitGivenUp()).isTrue();
@@ -126,7 +127,8 @@
     synchronized (running.guard()) {
       gateway
           .quarantine()
-          .receive(List.of(new RequestRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
+          .receive(
+              List.of(new RequestRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
     }
     assertThat(ask("/safe/sheet", "r1", "rose")).isEqualTo(503);
     assertThat(ended()).isZero();
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/PermitServicesTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/PermitServicesTest.java
@@ -31,7 +31,8 @@
   private final Owners owners = new Owners(SELF);
   private final SharedLimits limits = new SharedLimits(owners);
   private final OwnerClient calls = new OwnerClient(new HttpClient(reactor, timers), timers, 1);
-  private final LimitPermitService limitDesk = new LimitPermitService(calls, limits, new SimpleMeterRegistry());
+  private final LimitPermitService limitDesk =
+      new LimitPermitService(calls, limits, new SimpleMeterRegistry());
 
   @AfterEach
   void stop() {
