--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonPages.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonPages.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.limit.LimitDesk;
-import org.fawnvale.serving.limit.TrialDesk;
+import org.fawnvale.serving.limit.LimitPermitService;
+import org.fawnvale.serving.limit.TrialPermitService;
 import org.fawnvale.serving.store.PeerCopies;
 
 /** What a daemon answers to the balancer, to those who read its figures, and to its peers. */
@@ -19,16 +19,16 @@
   private final PrometheusMeterRegistry registry;
   private final PeerCopies<Node> nodes;
   private final PeerCopies<Configuration> configurations;
-  private final LimitDesk limits;
-  private final TrialDesk trials;
+  private final LimitPermitService limits;
+  private final TrialPermitService trials;
 
   DaemonPages(
       String readyPath,
       PrometheusMeterRegistry registry,
       PeerCopies<Node> nodes,
       PeerCopies<Configuration> configurations,
-      LimitDesk limits,
-      TrialDesk trials) {
+      LimitPermitService limits,
+      TrialPermitService trials) {
     this.readyPath = readyPath;
     this.registry = registry;
     this.nodes = nodes;
@@ -51,9 +51,9 @@
   /** Gives a peer what it lacks of the store's objects, or leave for what is counted once. */
   PageExchange.Page forPeers(String target) {
     byte[] copy = new byte[0];
-    if (limits.isAskedBy(target)) {
+    if (limits.handles(target)) {
       copy = limits.answer(target);
-    } else if (trials.isAskedBy(target)) {
+    } else if (trials.handles(target)) {
       copy = trials.answer(target);
     } else if (nodes.isAskedBy(target)) {
       copy = nodes.give(target);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
@@ -8,19 +8,20 @@
 import org.fawnvale.serving.core.peer.Owners;
 import org.fawnvale.serving.core.peer.PeerNote;
 import org.fawnvale.serving.core.quarantine.RequestRecord;
-import org.fawnvale.serving.gateway.RepeatGuard;
-import org.fawnvale.serving.limit.LimitDesk;
+import org.fawnvale.serving.gateway.RequestQuarantine;
+import org.fawnvale.serving.limit.LimitPermitService;
 import org.fawnvale.serving.peer.Peers;
 
 /** What all daemons come to know together: requests that end nodes, and limits that nodes name. */
 final class NewsForPeers implements Peers.SharedNews {
 
   private final Owners owners;
-  private final RepeatGuard repeats;
+  private final RequestQuarantine repeats;
   private final SharedLimits limits;
-  private final LimitDesk desk;
+  private final LimitPermitService desk;
 
-  NewsForPeers(Owners owners, RepeatGuard repeats, SharedLimits limits, LimitDesk desk) {
+  NewsForPeers(
+      Owners owners, RequestQuarantine repeats, SharedLimits limits, LimitPermitService desk) {
     this.owners = owners;
     this.repeats = repeats;
     this.limits = limits;
@@ -29,13 +30,13 @@
 
   /** Tells whether there is what the others should know at once. */
   boolean takeNews() {
-    boolean ofRepeats = repeats.takeNews();
+    boolean ofRepeats = repeats.takeUrgentUpdate();
     return limits.known().takeNews() || ofRepeats;
   }
 
   @Override
   public List<RequestRecord> records(boolean forOthers) {
-    return repeats.toTell(forOthers);
+    return repeats.recordsToSend(forOthers);
   }
 
   @Override
@@ -46,9 +47,9 @@
   @Override
   public void hear(List<RequestRecord> records, List<LimitNote> notes) {
     if (!records.isEmpty()) {
-      repeats.hear(records);
+      repeats.receive(records);
     }
-    desk.learn(notes);
+    desk.receive(notes);
   }
 
   /** Takes in which daemons are in touch: they share limits, and trials of barred requests. */
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -34,14 +34,14 @@
 import org.fawnvale.serving.core.watch.WatchCadence;
 import org.fawnvale.serving.formation.FormationService;
 import org.fawnvale.serving.gateway.Gateway;
-import org.fawnvale.serving.gateway.GatewayFigures;
+
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.HttpReactor;
 import org.fawnvale.serving.http.NodeClient;
 import org.fawnvale.serving.http.Timers;
-import org.fawnvale.serving.limit.LimitDesk;
-import org.fawnvale.serving.limit.OwnerCalls;
-import org.fawnvale.serving.limit.TrialDesk;
+
+
+
 import org.fawnvale.serving.peer.Peers;
 import org.fawnvale.serving.spi.Platform;
 import org.fawnvale.serving.store.EraChange;
@@ -51,6 +51,10 @@
 import org.fawnvale.serving.store.StoreWatch;
 import org.fawnvale.serving.store.Succession;
 import org.jspecify.annotations.Nullable;
+import org.fawnvale.serving.gateway.GatewayMetrics;
+import org.fawnvale.serving.limit.LimitPermitService;
+import org.fawnvale.serving.limit.OwnerClient;
+import org.fawnvale.serving.limit.TrialPermitService;
 
 /** An entry daemon: gateway, store copies, peers and, while it leads, the formation of groups. */
 public final class ServingDaemon {
@@ -117,8 +121,8 @@
   private final PeerCopies<Configuration> configurationCopies;
   private final PeerCopies<Node> nodeCopies;
   private final BarredRequests barred;
-  private final LimitDesk limitDesk;
-  private final TrialDesk trialDesk;
+  private final LimitPermitService limitDesk;
+  private final TrialPermitService trialDesk;
   private final NewsForPeers news;
   private final PrometheusMeterRegistry registry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
@@ -147,21 +151,21 @@
         new Owners(new Owners.Daemon(settings.name(), settings.address(), settings.dataCentre()));
     SharedLimits limits = new SharedLimits(owners);
     this.gate = new UpstreamGate(limits);
-    OwnerCalls ownerCalls = new OwnerCalls(client, timers, settings.peerPort() + COPY_PORT_OFFSET);
-    this.limitDesk = new LimitDesk(ownerCalls, limits, registry);
+    OwnerClient ownerCalls = new OwnerClient(client, timers, settings.peerPort() + COPY_PORT_OFFSET);
+    this.limitDesk = new LimitPermitService(ownerCalls, limits, registry);
     this.dispatcher = new Dispatcher(settings.dataCentre(), gate, System::nanoTime);
     dispatcher.connected(client::hasRested);
     NodeClient toNodes = new NodeClient(client, timers, gate, platform::answer, registry);
     toNodes.onLeaving(() -> upstreamsAreOld = true);
     this.cadence = new WatchCadence(settings.bounds().leavingMillis());
     this.fleet = new Fleet(settings.policy().cutsAreNoDeaths());
-    GatewayFigures figures = new GatewayFigures(registry);
+    GatewayMetrics figures = new GatewayMetrics(registry);
     this.gateway = new Gateway(timers, toNodes, platform, dispatcher, settings.bounds(), figures);
-    gateway.asksForLeave(limitDesk::ask);
-    registry.gauge("fawnvale.platform.names.unread", platform, Platform::namesNotRead);
-    this.trialDesk = new TrialDesk(ownerCalls, owners, gateway.repeats()::giveTrial);
-    gateway.repeats().asksForTrials(trialDesk::ask);
-    this.news = new NewsForPeers(owners, gateway.repeats(), limits, limitDesk);
+    gateway.setPermitRequester(limitDesk::requestPermit);
+    registry.gauge("fawnvale.platform.names.unread", platform, Platform::unrecognizedNames);
+    this.trialDesk = new TrialPermitService(ownerCalls, owners, gateway.quarantine()::grantTrial);
+    gateway.quarantine().setTrialRequester(trialDesk::requestPermit);
+    this.news = new NewsForPeers(owners, gateway.quarantine(), limits, limitDesk);
     long incarnation = System.currentTimeMillis();
     this.peers = Peers.open(settings, guard, incarnation, this::placesOfPeer, news);
     this.formation = new FormationService(settings, peers, toNodes, platform, incarnation);
@@ -203,8 +207,8 @@
             settings.store(),
             platform,
             System::currentTimeMillis,
-            gateway.repeats()::hear);
-    this.barred = new BarredRequests(gateway.repeats(), quarantine);
+            gateway.quarantine()::receive);
+    this.barred = new BarredRequests(gateway.quarantine(), quarantine);
     this.nodeCopies = copiesOf(nodes, "/copies/nodes", Node.class, cadence.copyTimes());
   }
 
@@ -345,13 +349,13 @@
     dispatcher.retain(nodes.objects().keySet());
     if (!fleetIsKnown && nodes.place().isKnown()) {
       fleetIsKnown = true;
-      gateway.fleetIsKnown();
+      gateway.onFleetKnown();
     }
   }
 
   private Announced announced() {
     if (leads) {
-      return new Announced(formation.opened(), formation.closed());
+      return new Announced(formation.recentlyOpened(), formation.recentlyClosed());
     }
     PeerNote leader = peers.leadership().leaderNote();
     return leader == null ? Announced.NOTHING : new Announced(leader.groups(), leader.closed());
@@ -392,14 +396,14 @@
   }
 
   private void watchStreams() {
-    if (gateway.underWay() == 0) {
+    if (gateway.inFlight() == 0) {
       return;
     }
     Set<String> shared = suspicions.ofPeers();
     dispatcher.avoid(shared);
     int before = suspicions.countOfOwn();
     if (StallDetector.mayJudge(System.nanoTime() - startedNanos)) {
-      gateway.watchStreams(shared);
+      gateway.checkStreams(shared);
     }
     if (suspicions.countOfOwn() > before) {
       tellPeers(true);
@@ -412,7 +416,7 @@
    * is a limit that a node names: until they know it the others send what they always did.
    */
   private void watchNews() {
-    gateway.repeats().settle();
+    gateway.quarantine().confirmRemoteExits();
     if (news.takeNews()) {
       tellPeers(true);
     }
@@ -456,7 +460,7 @@
   }
 
   private void plan(EngineSpec engine) {
-    if (gateway.hasServed() || peers.servedElsewhere()) {
+    if (gateway.hasReceivedRequest() || peers.servedElsewhere()) {
       formation.boundLoads();
       servedSinceNanos = servedSinceNanos == 0 ? System.nanoTime() : servedSinceNanos;
     }
@@ -467,16 +471,16 @@
     if (leads) {
       lead(engine, inSight);
     } else {
-      formation.follow();
+      formation.stopLeading();
     }
   }
 
   private void lead(EngineSpec engine, Set<String> inSight) {
     List<StallEvidence.Observation> witnesses = suspicions.witnesses();
     boolean suspected = witnesses.stream().anyMatch(witness -> !witness.suspects().isEmpty());
-    if (formation.isDue(nodes.place(), suspected)) {
+    if (formation.isPlanDue(nodes.place(), suspected)) {
       Collection<Node> engines = engines();
-      formation.lead(engines, engine, demand(engine), witnesses, inSight, resting(engines));
+      formation.planAndSend(engines, engine, demand(engine), witnesses, inSight, resting(engines));
     }
   }
 
@@ -502,7 +506,7 @@
     Peers.OfUpstreams told = peers.ofUpstreams();
     dispatcher.peersInFlight(told.inFlight());
     dispatcher.refusingPeers(told.refusing());
-    gateway.daemons(peers.daemons());
+    gateway.setDaemonCount(peers.daemons());
   }
 
   /**
@@ -549,13 +553,13 @@
     DaemonState state =
         new DaemonState(
             standing(),
-            gateway.hasServed(),
+            gateway.hasReceivedRequest(),
             inFlight,
             gateway.offeredWork(),
             suspicions.own(),
             dispatcher.refusing(),
-            leads ? formation.opened() : List.of(),
-            leads ? formation.closed() : List.of());
+            leads ? formation.recentlyOpened() : List.of(),
+            leads ? formation.recentlyClosed() : List.of());
     CopyPlaces places = new CopyPlaces(configurations.newest(), versionInForce(), nodes.newest());
     peers.tell(state, places, isNews);
   }
@@ -565,7 +569,7 @@
       if (refuse) {
         gateway.refuseNew();
       }
-      return gateway.underWay() > 0;
+      return gateway.inFlight() > 0;
     }
   }
 
@@ -576,11 +580,11 @@
       stopping = true;
       gateway.drain();
       tellPeers(true);
-      LOG.info("under_way={} outcome=stopping", gateway.underWay());
+      LOG.info("under_way={} outcome=stopping", gateway.inFlight());
     }
     PlannedStop planned = new PlannedStop(begun, settings.bounds().graceMillis());
     planned.await(System::nanoTime, Thread::sleep, this::refusesAndIsBusy);
-    LOG.info("under_way={} outcome=stopped", gateway.underWay());
+    LOG.info("under_way={} outcome=stopped", gateway.inFlight());
     timers.stop();
     peers.stop();
     reactor.stop();
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -62,16 +62,16 @@
   private final Map<String, RetryBudget> budgets = new HashMap<>();
   private final Set<Forwarder> running = new LinkedHashSet<>();
   private final Set<String> ownHeaders;
-  private final GatewayFigures figures;
+  private final GatewayMetrics figures;
   private final RequestLog log;
-  private final StreamWatch streams;
-  private final RepeatGuard repeats;
+  private final StreamMonitor streams;
+  private final RequestQuarantine repeats;
   private final OfferedWork offeredWork = new OfferedWork();
   private final ReturningCallers returningCallers = new ReturningCallers();
   private final ReturnTimes returnTimes = new ReturnTimes();
-  private final EarlyRequests early;
+  private final StartupRequestQueue early;
   private @Nullable RouteTable routes;
-  private LeaveAsker leaveAsker = (node, told) -> told.accept(false);
+  private PermitRequester permitRequester = (node, told) -> told.accept(false);
   private int daemons = 1;
   private boolean draining;
   private boolean refusing;
@@ -94,7 +94,7 @@
       Platform platform,
       Dispatcher dispatcher,
       Settings.Bounds bounds,
-      GatewayFigures figures) {
+      GatewayMetrics figures) {
     this.timers = timers;
     this.client = client;
     this.platform = platform;
@@ -102,9 +102,9 @@
     this.bounds = bounds;
     this.figures = figures;
     this.log = new RequestLog(figures, dispatcher);
-    this.streams = new StreamWatch(dispatcher, figures);
-    this.repeats = new RepeatGuard(client, dispatcher, figures, this::barred);
-    this.early = new EarlyRequests(timers, EarlyRequests.PATIENCE_MILLIS);
+    this.streams = new StreamMonitor(dispatcher, figures);
+    this.repeats = new RequestQuarantine(client, dispatcher, figures, this::barred);
+    this.early = new StartupRequestQueue(timers, StartupRequestQueue.PATIENCE_MILLIS);
     HeaderNames names = platform.headers();
     this.ownHeaders =
         Set.of(
@@ -117,7 +117,7 @@
 
   /** Asks the owner of a node's limit whether a request may be sent there. */
   @FunctionalInterface
-  public interface LeaveAsker {
+  public interface PermitRequester {
 
     /**
      * Asks for leave for one request.
@@ -133,12 +133,12 @@
    *
    * @param asker asks
    */
-  public void asksForLeave(LeaveAsker asker) {
-    leaveAsker = asker;
+  public void setPermitRequester(PermitRequester asker) {
+    permitRequester = asker;
   }
 
-  LeaveAsker leaveAsker() {
-    return leaveAsker;
+  PermitRequester permitRequester() {
+    return permitRequester;
   }
 
   private static String lower(String name) {
@@ -164,7 +164,7 @@
   }
 
   /** Tells that routes and upstreams are known: requests that came before are sent now. */
-  public void fleetIsKnown() {
+  public void onFleetKnown() {
     early.release();
   }
 
@@ -173,7 +173,7 @@
    *
    * @param count their number, this one included
    */
-  public void daemons(int count) {
+  public void setDaemonCount(int count) {
     daemons = count;
   }
 
@@ -197,7 +197,7 @@
    *
    * @return their number
    */
-  public int underWay() {
+  public int inFlight() {
     return running.size();
   }
 
@@ -206,7 +206,7 @@
    *
    * @return true once one has come
    */
-  public boolean hasServed() {
+  public boolean hasReceivedRequest() {
     return served;
   }
 
@@ -422,7 +422,7 @@
     return log;
   }
 
-  StreamWatch streams() {
+  StreamMonitor streams() {
     return streams;
   }
 
@@ -431,7 +431,7 @@
    *
    * @return the guard against their repeats
    */
-  public RepeatGuard repeats() {
+  public RequestQuarantine quarantine() {
     return repeats;
   }
 
@@ -452,7 +452,7 @@
    *
    * @param peerSuspects heads that other daemons hold to be standing still
    */
-  public void watchStreams(Set<String> peerSuspects) {
+  public void checkStreams(Set<String> peerSuspects) {
     RouteTable table = routes;
     if (table != null) {
       streams.look(running, table.configuration(), peerSuspects);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitDesk.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
@@ -17,7 +17,7 @@
  * Asks the owners of limits for leave, and answers daemons that ask this one. All calls hold the
  * guard.
  */
-public final class LimitDesk {
+public final class LimitPermitService {
 
   private static final Logger LOG = LogManager.getLogger("limits");
 
@@ -26,7 +26,7 @@
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  private final OwnerCalls calls;
+  private final OwnerClient calls;
   private final SharedLimits limits;
   private final MeterRegistry registry;
   private final LimitLog log;
@@ -38,7 +38,7 @@
    * @param limits what is known, and what this daemon spends
    * @param registry holds the figures
    */
-  public LimitDesk(OwnerCalls calls, SharedLimits limits, MeterRegistry registry) {
+  public LimitPermitService(OwnerClient calls, SharedLimits limits, MeterRegistry registry) {
     this.calls = calls;
     this.limits = limits;
     this.registry = registry;
@@ -51,7 +51,7 @@
    *
    * @param notes its notes
    */
-  public void learn(List<LimitNote> notes) {
+  public void receive(List<LimitNote> notes) {
     long now = System.nanoTime();
     for (LimitNote note : notes) {
       KnownLimits.Change change = limits.learn(note, now);
@@ -65,7 +65,7 @@
    * @param node the node
    * @param told told once, while the guard is held, whether the request may go
    */
-  public void ask(Node node, Consumer<Boolean> told) {
+  public void requestPermit(Node node, Consumer<Boolean> told) {
     LimitNote known = limits.noteOf(node.life(), System.nanoTime());
     if (known == null) {
       told.accept(true);
@@ -73,7 +73,7 @@
     }
     Owners.Daemon owner = limits.ownerOf(node);
     try {
-      String target = new LeaveQuestion(known, node.dataCentre()).target();
+      String target = new PermitRequest(known, node.dataCentre()).target();
       calls.ask(owner, target, body -> told.accept(take(node, owner, body)));
     } catch (IOException e) {
       LOG.error("node={} outcome=question_not_written cause={}", node.id(), e.toString());
@@ -111,7 +111,7 @@
   private static SharedLimits.Reply read(byte[] body) {
     if (body.length > 0) {
       try {
-        return LeaveQuestion.readReply(body);
+        return PermitRequest.readReply(body);
       } catch (IOException | RuntimeException e) {
         LOG.warn("outcome=unreadable_reply cause={}", e.toString());
       }
@@ -125,8 +125,8 @@
    * @param target the path of the question
    * @return true when {@link #answer} answers it
    */
-  public boolean isAskedBy(String target) {
-    return LeaveQuestion.isOne(target);
+  public boolean handles(String target) {
+    return PermitRequest.matches(target);
   }
 
   /**
@@ -137,9 +137,9 @@
    */
   public byte[] answer(String target) {
     try {
-      LeaveQuestion question = LeaveQuestion.read(target);
-      learn(List.of(question.limit()));
-      return LeaveQuestion.write(
+      PermitRequest question = PermitRequest.read(target);
+      receive(List.of(question.limit()));
+      return PermitRequest.write(
           limits.ask(question.limit().life(), question.dataCentre(), System.nanoTime()));
     } catch (IOException | RuntimeException e) {
       LOG.warn("outcome=unreadable_question cause={}", e.toString());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialDesk.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialPermitService.java
@@ -12,7 +12,7 @@
  * ask this one. Callers come to any daemon, so a trial that one daemon makes by itself is not made
  * where they are. All calls hold the guard.
  */
-public final class TrialDesk {
+public final class TrialPermitService {
 
   private static final Logger LOG = LogManager.getLogger("trials");
 
@@ -25,7 +25,7 @@
   private static final byte[] NO = {0};
   private static final int RADIX = 16;
 
-  private final OwnerCalls calls;
+  private final OwnerClient calls;
   private final Owners owners;
   private final Predicate<Fingerprint> gives;
 
@@ -36,7 +36,7 @@
    * @param owners tells which daemon gives leave for which request
    * @param gives gives leave for a request that this daemon decides on
    */
-  public TrialDesk(OwnerCalls calls, Owners owners, Predicate<Fingerprint> gives) {
+  public TrialPermitService(OwnerClient calls, Owners owners, Predicate<Fingerprint> gives) {
     this.calls = calls;
     this.owners = owners;
     this.gives = gives;
@@ -52,7 +52,7 @@
    * @param fingerprint the request
    * @param told told once, while the guard is held, whether it may be tried
    */
-  public void ask(Fingerprint fingerprint, Consumer<Boolean> told) {
+  public void requestPermit(Fingerprint fingerprint, Consumer<Boolean> told) {
     String matter = matter(fingerprint);
     if (owners.isOwn(matter, NO_DATA_CENTRE)) {
       told.accept(gives.test(fingerprint));
@@ -69,7 +69,7 @@
    * @param target the path of the question
    * @return true when {@link #answer} answers it
    */
-  public boolean isAskedBy(String target) {
+  public boolean handles(String target) {
     return target.startsWith(PATH);
   }
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RepeatsThatEndNodesTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/NodeCrashingRequestsTest.java
@@ -30,7 +30,7 @@
  * <p>The evidence: all 32 nodes that ended gave up every connection within 0.1 s, 55 to 90 ms after
  * they had begun to run one and the same request, and never ended without it.
  */
-class RepeatsThatEndNodesTest {
+class NodeCrashingRequestsTest {
 
   private static final int NODES = 10;
 
@@ -113,8 +113,9 @@
     silent.awaitRequest();
     synchronized (running.guard()) {
       gateway
-          .repeats()
-          .hear(List.of(new RequestRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
+          .quarantine()
+          .receive(
+              List.of(new RequestRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
     }
     assertThat(status.get()).isEqualTo(502);
     assertThat(silent.awaitGivenUp()).isTrue();
@@ -125,8 +126,9 @@
     nodesThatEnd();
     synchronized (running.guard()) {
       gateway
-          .repeats()
-          .hear(List.of(new RequestRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
+          .quarantine()
+          .receive(
+              List.of(new RequestRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
     }
     assertThat(ask("/safe/sheet", "r1", "rose")).isEqualTo(503);
     assertThat(ended()).isZero();
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/PermitServicesTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a daemon answers to others that ask it for leave. */
-class DesksTest {
+class PermitServicesTest {
 
   private static final Owners.Daemon SELF = new Owners.Daemon("d1", "127.0.0.1", "a");
   private static final Owners.Daemon OTHER = new Owners.Daemon("d2", "127.0.0.2", "b");
@@ -30,8 +30,9 @@
   private final HttpReactor reactor = HttpReactor.start(16_384);
   private final Owners owners = new Owners(SELF);
   private final SharedLimits limits = new SharedLimits(owners);
-  private final OwnerCalls calls = new OwnerCalls(new HttpClient(reactor, timers), timers, 1);
-  private final LimitDesk limitDesk = new LimitDesk(calls, limits, new SimpleMeterRegistry());
+  private final OwnerClient calls = new OwnerClient(new HttpClient(reactor, timers), timers, 1);
+  private final LimitPermitService limitDesk =
+      new LimitPermitService(calls, limits, new SimpleMeterRegistry());
 
   @AfterEach
   void stop() {
@@ -40,15 +41,15 @@
   }
 
   private SharedLimits.Reply askForLeave(String dataCentre) throws IOException {
-    String target = new LeaveQuestion(LIMIT, dataCentre).target();
-    assertThat(limitDesk.isAskedBy(target)).isTrue();
-    return LeaveQuestion.readReply(limitDesk.answer(target));
+    String target = new PermitRequest(LIMIT, dataCentre).target();
+    assertThat(limitDesk.handles(target)).isTrue();
+    return PermitRequest.readReply(limitDesk.answer(target));
   }
 
   @Test
   void aQuestionIsReadAsItWasWritten() throws IOException {
-    LeaveQuestion question = new LeaveQuestion(LIMIT, "a");
-    assertThat(LeaveQuestion.read(question.target())).isEqualTo(question);
+    PermitRequest question = new PermitRequest(LIMIT, "a");
+    assertThat(PermitRequest.read(question.target())).isEqualTo(question);
   }
 
   /** The owner may hear of a limit by the first question about it. */
@@ -78,13 +79,13 @@
     assertThat(limitDesk.answer("/limits/leave/")).isEmpty();
     assertThat(limitDesk.answer("/limits/leave/%%%")).isEmpty();
     assertThat(limitDesk.answer("/limits/leave/AAAA")).isEmpty();
-    assertThatThrownBy(() -> LeaveQuestion.read("/limits/leave/%"))
+    assertThatThrownBy(() -> PermitRequest.read("/limits/leave/%"))
         .isInstanceOf(IOException.class)
         .hasMessageContaining("base 64");
   }
 
-  private TrialDesk trials(boolean gives, List<Fingerprint> asked) {
-    return new TrialDesk(
+  private TrialPermitService trials(boolean gives, List<Fingerprint> asked) {
+    return new TrialPermitService(
         calls,
         owners,
         fingerprint -> {
@@ -97,7 +98,7 @@
   void theOwnerOfATrialGivesLeaveItself() {
     List<Fingerprint> asked = new ArrayList<>();
     List<Boolean> told = new ArrayList<>();
-    trials(true, asked).ask(SHEET, told::add);
+    trials(true, asked).requestPermit(SHEET, told::add);
     assertThat(told).containsExactly(true);
     assertThat(asked).containsExactly(SHEET);
   }
@@ -106,7 +107,7 @@
   void aDaemonThatAsksForATrialIsToldYesOrNo() {
     List<Fingerprint> asked = new ArrayList<>();
     String target = "/trials/leave/ffffffffffffffef";
-    assertThat(trials(true, asked).isAskedBy(target)).isTrue();
+    assertThat(trials(true, asked).handles(target)).isTrue();
     assertThat(trials(true, asked).answer(target)).containsExactly(1);
     assertThat(trials(false, asked).answer(target)).containsExactly(0);
     assertThat(asked).containsExactly(SHEET, SHEET);
