--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/Fleet.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/Fleet.java
@@ -56,7 +56,7 @@
    * @param announced the leader's word on groups
    * @return the upstreams
    */
-  List<Node> serving(Collection<Node> nodes, Configuration configuration, Announced announced) {
+  List<Node> serving(Collection<Node> nodes, Configuration configuration, GroupAnnouncements announced) {
     Map<String, Node> serving = new LinkedHashMap<>();
     for (Node node : nodes) {
       ServiceSpec service = configuration.services().get(node.service());
@@ -73,7 +73,7 @@
   }
 
   private void addHeads(
-      Map<String, Node> serving, List<Node> engines, EngineSpec engine, Announced announced) {
+      Map<String, Node> serving, List<Node> engines, EngineSpec engine, GroupAnnouncements announced) {
     Map<GroupKey, GroupSeen> groups = GroupSeen.gather(engines);
     seenWhole.retainAll(groups.keySet());
     for (GroupSeen group : groups.values()) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/Announced.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/GroupAnnouncements.java
@@ -9,7 +9,7 @@
  * @param opened groups that began to serve
  * @param closed heads, as {@code ID@EPOCH}, whose groups are being taken apart
  */
-record Announced(List<PeerNote.ServingGroup> opened, List<String> closed) {
+record GroupAnnouncements(List<PeerNote.ServingGroup> opened, List<String> closed) {
 
-  static final Announced NOTHING = new Announced(List.of(), List.of());
+  static final GroupAnnouncements NOTHING = new GroupAnnouncements(List.of(), List.of());
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -129,7 +129,7 @@
   private boolean stopping;
   private boolean leads;
   private final LeavingNews leavingNews = new LeavingNews();
-  private Announced announcedBefore = Announced.NOTHING;
+  private GroupAnnouncements announcedBefore = GroupAnnouncements.NOTHING;
   private boolean groupsAreNews;
   private boolean upstreamsAreOld;
   private boolean fleetIsKnown;
@@ -338,7 +338,7 @@
       return;
     }
     upstreamsAreOld = false;
-    Announced announced = announced();
+    GroupAnnouncements announced = announced();
     List<Node> serving = fleet.serving(sight.listedNodes(), current, announced);
     suspicions.learn(serving, nodes.objects().keySet());
     dispatcher.serve(serving);
@@ -349,12 +349,12 @@
     }
   }
 
-  private Announced announced() {
+  private GroupAnnouncements announced() {
     if (leads) {
-      return new Announced(formation.opened(), formation.closed());
+      return new GroupAnnouncements(formation.opened(), formation.closed());
     }
     PeerNote leader = peers.leadership().leaderNote();
-    return leader == null ? Announced.NOTHING : new Announced(leader.groups(), leader.closed());
+    return leader == null ? GroupAnnouncements.NOTHING : new GroupAnnouncements(leader.groups(), leader.closed());
   }
 
   private Collection<Node> engines() {
@@ -492,7 +492,7 @@
   }
 
   private void learnFromPeers() {
-    Announced announced = announced();
+    GroupAnnouncements announced = announced();
     boolean isNews = !announced.equals(announcedBefore);
     if (isNews || sight.changesWithTime()) {
       announcedBefore = announced;
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/FleetTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/FleetTest.java
@@ -59,51 +59,51 @@
   private static final Node HEAD = member("head", 0, MemberState.OPEN);
   private static final Node OTHER = member("other", 1, MemberState.READY);
 
-  private List<String> serving(Announced announced, Node... nodes) {
+  private List<String> serving(GroupAnnouncements announced, Node... nodes) {
     return fleet.serving(List.of(nodes), CONFIGURATION, announced).stream().map(Node::id).toList();
   }
 
   @Test
   void theHeadOfAWholeOpenGroupServes() {
-    assertThat(serving(Announced.NOTHING, HEAD, OTHER)).containsExactly("head");
+    assertThat(serving(GroupAnnouncements.NOTHING, HEAD, OTHER)).containsExactly("head");
   }
 
   @Test
   void aGroupThatWasNeverSeenWholeDoesNotServe() {
-    assertThat(serving(Announced.NOTHING, HEAD)).isEmpty();
+    assertThat(serving(GroupAnnouncements.NOTHING, HEAD)).isEmpty();
   }
 
   @Test
   void aGroupThatWasWholeServesOnWhileAnEntryIsMissing() {
-    serving(Announced.NOTHING, HEAD, OTHER);
-    assertThat(serving(Announced.NOTHING, HEAD)).containsExactly("head");
+    serving(GroupAnnouncements.NOTHING, HEAD, OTHER);
+    assertThat(serving(GroupAnnouncements.NOTHING, HEAD)).containsExactly("head");
   }
 
   @Test
   void aGroupServesOnWhileAMemberLeavesUntilTheLeaderEndsIt() {
-    serving(Announced.NOTHING, HEAD, OTHER);
-    assertThat(serving(Announced.NOTHING, HEAD, OTHER.asDraining())).containsExactly("head");
-    Announced closed = new Announced(List.of(), List.of("head@4"));
+    serving(GroupAnnouncements.NOTHING, HEAD, OTHER);
+    assertThat(serving(GroupAnnouncements.NOTHING, HEAD, OTHER.asDraining())).containsExactly("head");
+    GroupAnnouncements closed = new GroupAnnouncements(List.of(), List.of("head@4"));
     assertThat(serving(closed, HEAD, OTHER.asDraining())).isEmpty();
   }
 
   @Test
   void aHeadThatLeavesIsSentNothing() {
-    serving(Announced.NOTHING, HEAD, OTHER);
-    assertThat(serving(Announced.NOTHING, HEAD.asDraining(), OTHER)).isEmpty();
+    serving(GroupAnnouncements.NOTHING, HEAD, OTHER);
+    assertThat(serving(GroupAnnouncements.NOTHING, HEAD.asDraining(), OTHER)).isEmpty();
   }
 
   @Test
   void aGroupThatTheLeaderTakesApartIsSentNothing() {
-    Announced closed = new Announced(List.of(), List.of("head@4"));
+    GroupAnnouncements closed = new GroupAnnouncements(List.of(), List.of("head@4"));
     assertThat(serving(closed, HEAD, OTHER)).isEmpty();
   }
 
   @Test
   void aGroupThatTheListDoesNotShowYetServesByTheLeadersWord() {
     Node free = HEAD.withGroup(null, List.of(), null);
-    Announced opened =
-        new Announced(List.of(new PeerNote.ServingGroup("head", "g~head", 5, "m")), List.of());
+    GroupAnnouncements opened =
+        new GroupAnnouncements(List.of(new PeerNote.ServingGroup("head", "g~head", 5, "m")), List.of());
     assertThat(serving(opened, free)).containsExactly("head");
   }
 }
