--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -119,7 +119,7 @@
   private final BarredRequests barred;
   private final LimitDesk limitDesk;
   private final TrialDesk trialDesk;
-  private final NewsForPeers news;
+  private final SharedStateUpdates news;
   private final PrometheusMeterRegistry registry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
   private final StoreFigures storeFigures = new StoreFigures(registry);
@@ -161,7 +161,7 @@
     registry.gauge("fawnvale.platform.names.unread", platform, Platform::namesNotRead);
     this.trialDesk = new TrialDesk(ownerCalls, owners, gateway.repeats()::giveTrial);
     gateway.repeats().asksForTrials(trialDesk::ask);
-    this.news = new NewsForPeers(owners, gateway.repeats(), limits, limitDesk);
+    this.news = new SharedStateUpdates(owners, gateway.repeats(), limits, limitDesk);
     long incarnation = System.currentTimeMillis();
     this.peers = Peers.open(settings, guard, incarnation, this::placesOfPeer, news);
     this.formation = new FormationService(settings, peers, toNodes, platform, incarnation);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
@@ -13,14 +13,14 @@
 import org.fawnvale.serving.peer.Peers;
 
 /** What all daemons come to know together: requests that end nodes, and limits that nodes name. */
-final class NewsForPeers implements Peers.SharedNews {
+final class SharedStateUpdates implements Peers.SharedNews {
 
   private final Owners owners;
   private final RepeatGuard repeats;
   private final SharedLimits limits;
   private final LimitDesk desk;
 
-  NewsForPeers(Owners owners, RepeatGuard repeats, SharedLimits limits, LimitDesk desk) {
+  SharedStateUpdates(Owners owners, RepeatGuard repeats, SharedLimits limits, LimitDesk desk) {
     this.owners = owners;
     this.repeats = repeats;
     this.limits = limits;
