--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreSight.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
@@ -17,7 +17,7 @@
 import org.fawnvale.serving.store.StoreWatch;
 
 /** What this daemon can see: the store, the nodes as it lists them, and the other data centres. */
-final class StoreSight {
+final class ClusterView {
 
   /** Nodes whose entries a copy of the store lacks write them again within two seconds. */
   private static final long WRITTEN_AGAIN_NANOS = 2_000_000_000L;
@@ -40,7 +40,7 @@
   private final RestoredNodes restoredNodes = new RestoredNodes();
   private long wentBackAtNanos = Long.MIN_VALUE / 2;
 
-  StoreSight(
+  ClusterView(
       Settings settings,
       Peers peers,
       StoreWatch<Configuration> configurations,
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -112,7 +112,7 @@
   private final FormationService formation;
   private final StoreWatch<Configuration> configurations;
   private final StoreWatch<Node> nodes;
-  private final StoreSight sight;
+  private final ClusterView sight;
   private final HeadSuspicions suspicions;
   private final PeerCopies<Configuration> configurationCopies;
   private final PeerCopies<Node> nodeCopies;
@@ -191,7 +191,7 @@
             Succession.ofStore(),
             storeFigures,
             this::nodesChanged);
-    this.sight = new StoreSight(settings, peers, configurations, nodes, gate);
+    this.sight = new ClusterView(settings, peers, configurations, nodes, gate);
     this.suspicions = new HeadSuspicions(settings.dataCentre(), dispatcher, peers);
     this.configurationCopies =
         copiesOf(
