--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -123,7 +123,7 @@
   private final PrometheusMeterRegistry registry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
   private final StoreFigures storeFigures = new StoreFigures(registry);
-  private final StoreReturns returns = new StoreReturns(registry);
+  private final StoreRollbackReporter returns = new StoreRollbackReporter(registry);
   private final long startedNanos = System.nanoTime();
   private @Nullable Configuration configuration;
   private boolean stopping;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreReturns.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreRollbackReporter.java
@@ -11,7 +11,7 @@
 import org.fawnvale.serving.store.EraChange;
 
 /** Tells people that the store has come back from a copy, and what that has changed here. */
-final class StoreReturns {
+final class StoreRollbackReporter {
 
   private static final Logger LOG = LogManager.getLogger("store");
 
@@ -22,7 +22,7 @@
    *
    * @param registry serves the figures
    */
-  StoreReturns(MeterRegistry registry) {
+  StoreRollbackReporter(MeterRegistry registry) {
     this.registry = registry;
   }
 
