--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -49,7 +49,7 @@
 import org.fawnvale.serving.store.QuarantineStore;
 import org.fawnvale.serving.store.StoreFigures;
 import org.fawnvale.serving.store.StoreWatch;
-import org.fawnvale.serving.store.Succession;
+import org.fawnvale.serving.store.MergePolicy;
 import org.jspecify.annotations.Nullable;
 
 /** An entry daemon: gateway, store copies, peers and, while it leads, the formation of groups. */
@@ -188,7 +188,7 @@
             platform::nodes,
             new StoreWatch.Pace(this::nodesRestMillis, () -> SHORT_WAIT_MILLIS),
             settings.firstStart(),
-            Succession.ofStore(),
+            MergePolicy.ofStore(),
             storeFigures,
             this::nodesChanged);
     this.sight = new ClusterView(settings, peers, configurations, nodes, gate);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/Succession.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/MergePolicy.java
@@ -9,7 +9,7 @@
  * @param <T> the type of the objects
  */
 @FunctionalInterface
-public interface Succession<T> {
+public interface MergePolicy<T> {
 
   /**
    * Compares what is known with what is told.
@@ -26,7 +26,7 @@
    * @param <T> the type of the objects
    * @return the rule
    */
-  static <T> Succession<T> ofStore() {
+  static <T> MergePolicy<T> ofStore() {
     return (known, told) -> false;
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/ObjectTable.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/ObjectTable.java
@@ -34,7 +34,7 @@
 
   private final String kind;
   private final Unreadable unreadable;
-  private final Succession<T> succession;
+  private final MergePolicy<T> succession;
   private final Map<String, T> objects = new LinkedHashMap<>();
   private final Map<String, StorePlace> places = new LinkedHashMap<>();
   private final Map<String, StorePlace> removals = new LinkedHashMap<>();
@@ -47,7 +47,7 @@
   private StorePlace newest = StorePlace.NONE;
   private long changes;
 
-  ObjectTable(String kind, Unreadable unreadable, Succession<T> succession) {
+  ObjectTable(String kind, Unreadable unreadable, MergePolicy<T> succession) {
     this.kind = kind;
     this.unreadable = unreadable;
     this.succession = succession;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
@@ -130,7 +130,7 @@
       Reader<T> reader,
       Pace pace,
       boolean firstMayBeOld,
-      Succession<T> succession,
+      MergePolicy<T> succession,
       StoreFigures figures,
       Runnable changed) {
     this.client = client;
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/ObjectTableTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/ObjectTableTest.java
@@ -32,7 +32,7 @@
   private long era = 1;
 
   private static ObjectTable<String> table() {
-    return new ObjectTable<>("nodes", ObjectTable.Unreadable.NAMES_NOTHING, Succession.ofStore());
+    return new ObjectTable<>("nodes", ObjectTable.Unreadable.NAMES_NOTHING, MergePolicy.ofStore());
   }
 
   private StorePlace at(long ofRevision) {
@@ -126,7 +126,7 @@
   @Test
   void aConfigurationThatCannotBeReadLeavesTheLastGoodOneInForce() {
     ObjectTable<String> table =
-        new ObjectTable<>("configuration", ObjectTable.Unreadable.KEEPS_LAST, Succession.ofStore());
+        new ObjectTable<>("configuration", ObjectTable.Unreadable.KEEPS_LAST, MergePolicy.ofStore());
     table.change(page(new Page.Item<>("main", at(1), false, "good"), 1));
     table.change(page(new Page.Item<>("main", at(2), false, null), 2));
     assertThat(table.objects()).containsEntry("main", "good");
@@ -195,7 +195,7 @@
     assertThat(told.get(0).removed()).containsExactly("n2");
   }
 
-  private static final Succession<String> LATER =
+  private static final MergePolicy<String> LATER =
       (known, shown) -> shown == null || known.compareTo(shown) > 0;
 
   /**
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/SmallWorld.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/SmallWorld.java
@@ -25,7 +25,7 @@
   private static final int MOST_VERSIONS = 3;
   private static final int MOST_RETURNS = 2;
   private static final int CALLS_UNTIL_AT_REST = 6;
-  private static final Succession<Integer> HIGHER = (known, told) -> told != null && known > told;
+  private static final MergePolicy<Integer> HIGHER = (known, told) -> told != null && known > told;
 
   /** What may happen next, where it can. */
   enum Event {
@@ -109,7 +109,7 @@
 
   private ObjectTable<Integer> table() {
     boolean keepsNone = flaws.contains(Flaw.CONFIGURATION_GOES_BACK);
-    Succession<Integer> succession = keepsNone ? Succession.ofStore() : HIGHER;
+    MergePolicy<Integer> succession = keepsNone ? MergePolicy.ofStore() : HIGHER;
     return new ObjectTable<>(NODE, ObjectTable.Unreadable.NAMES_NOTHING, succession);
   }
 
