--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/Copy.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/CopyUpdate.java
@@ -16,7 +16,7 @@
  * @param removed names of objects that are gone; empty when all objects are given
  * @param <T> the type of the objects
  */
-record Copy<T>(
+record CopyUpdate<T>(
     StorePlace place,
     StorePlace newest,
     boolean whole,
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/ObjectTable.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/ObjectTable.java
@@ -143,7 +143,7 @@
    * @param copy the other one's objects or changes
    * @return false when it tells nothing new
    */
-  boolean merge(Copy<T> copy) {
+  boolean merge(CopyUpdate<T> copy) {
     changes++;
     boolean isOlder = place.isAfter(copy.place());
     boolean changesOtherEra = !copy.whole() && !place.sharesEraOf(copy.place());
@@ -166,7 +166,7 @@
   }
 
   /** What goes before what is known here is taken whatever the store shows by now. */
-  private boolean takePreferred(Copy<T> copy) {
+  private boolean takePreferred(CopyUpdate<T> copy) {
     boolean taken = false;
     for (Map.Entry<String, T> told : copy.objects().entrySet()) {
       T known = objects.get(told.getKey());
@@ -184,11 +184,11 @@
    * @param since the place that the other one's copy shows
    * @return what has changed since, or all when that is not known
    */
-  Copy<T> copySince(StorePlace since) {
+  CopyUpdate<T> copySince(StorePlace since) {
     boolean removalsKnown =
         since.sharesEraOf(removalsKnownSince) && !removalsKnownSince.isAfter(since);
     if (!removalsKnown) {
-      return new Copy<>(
+      return new CopyUpdate<>(
           place, newest, true, new LinkedHashMap<>(objects), Map.copyOf(places), List.of());
     }
     Map<String, T> changed = new LinkedHashMap<>();
@@ -207,7 +207,7 @@
             removed.add(name);
           }
         });
-    return new Copy<>(place, newest, false, changed, changedAt, removed);
+    return new CopyUpdate<>(place, newest, false, changed, changedAt, removed);
   }
 
   private void retain(Set<String> names, StorePlace at) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopies.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopies.java
@@ -95,7 +95,7 @@
 
   private JavaType type() {
     TypeFactory types = Codec.MAPPER.getTypeFactory();
-    return types.constructParametricType(Copy.class, types.constructType(content));
+    return types.constructParametricType(CopyUpdate.class, types.constructType(content));
   }
 
   /**
@@ -151,7 +151,7 @@
       return;
     }
     try {
-      Copy<T> copy = Codec.MAPPER.readValue(((WholeCall.Answered) reply).body(), type());
+      CopyUpdate<T> copy = Codec.MAPPER.readValue(((WholeCall.Answered) reply).body(), type());
       watch.adopt(copy);
     } catch (IOException e) {
       LOG.warn("path={} outcome=unreadable_copy cause={}", path, e.toString());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
@@ -285,7 +285,7 @@
    *
    * @param copy the peer's objects or changes
    */
-  void adopt(Copy<T> copy) {
+  void adopt(CopyUpdate<T> copy) {
     if (table.merge(copy)) {
       LOG.debug(
           "kind={} place={} newest={} whole={} outcome=taken_from_peer",
@@ -303,7 +303,7 @@
   }
 
   /** What has changed in this daemon's copy since a place. */
-  Copy<T> copySince(StorePlace since) {
+  CopyUpdate<T> copySince(StorePlace since) {
     return table.copySince(since);
   }
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/ObjectTableTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/ObjectTableTest.java
@@ -102,7 +102,7 @@
   void anOlderCopyChangesNothing(long seed) {
     Random random = new Random(seed);
     list(random);
-    Copy<String> old = watcher.copySince(StorePlace.NONE);
+    CopyUpdate<String> old = watcher.copySince(StorePlace.NONE);
     watch(random);
     list(random);
     tell(watcher, follower);
@@ -155,7 +155,7 @@
         watch(random);
       }
       tell(watcher, follower);
-      Copy<String> ofLostHistory = follower.copySince(StorePlace.NONE);
+      CopyUpdate<String> ofLostHistory = follower.copySince(StorePlace.NONE);
       goBack(copy, copyRevisions, copied);
       for (int again = random.nextInt(8); again > 0; again--) {
         changeOne(random);
@@ -175,8 +175,8 @@
   void changesOfAnotherHistoryAreNotMixedIntoACopy() {
     watcher.change(page(new Page.Item<>("n1", at(7), false, "lost"), 7));
     era = 2;
-    Copy<String> changes =
-        new Copy<>(at(5), at(5), false, Map.of("n2", "new"), Map.of("n2", at(5)), List.of("n1"));
+    CopyUpdate<String> changes =
+        new CopyUpdate<>(at(5), at(5), false, Map.of("n2", "new"), Map.of("n2", at(5)), List.of("n1"));
     assertThat(watcher.merge(changes)).isFalse();
     assertThat(watcher.objects()).containsOnlyKeys("n1");
   }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/SmallWorld.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/SmallWorld.java
@@ -94,7 +94,7 @@
   private boolean mustList = true;
   private @Nullable Answer list;
   private @Nullable Answer changes;
-  private @Nullable Copy<Integer> copy;
+  private @Nullable CopyUpdate<Integer> copy;
   private int watcherVersion;
   private int followerVersion;
   private boolean wentBack;
@@ -254,7 +254,7 @@
   }
 
   private boolean copyComes() {
-    Copy<Integer> told = copy;
+    CopyUpdate<Integer> told = copy;
     copy = null;
     if (told != null) {
       follower.merge(flaws.contains(Flaw.OLD_COPY_MERGED) ? asPresent(told) : told);
@@ -263,11 +263,11 @@
     return true;
   }
 
-  private Copy<Integer> asPresent(Copy<Integer> told) {
+  private CopyUpdate<Integer> asPresent(CopyUpdate<Integer> told) {
     StorePlace present = new StorePlace(follower.place().era(), told.place().revision() + 9);
     Map<String, StorePlace> places = new LinkedHashMap<>();
     told.places().keySet().forEach(name -> places.put(name, present));
-    return new Copy<>(present, present, told.whole(), told.objects(), places, told.removed());
+    return new CopyUpdate<>(present, present, told.whole(), told.objects(), places, told.removed());
   }
 
   private void look() {
