--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonPages.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonPages.java
@@ -6,7 +6,7 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.limit.LimitDesk;
 import org.fawnvale.serving.limit.TrialDesk;
-import org.fawnvale.serving.store.PeerCopies;
+import org.fawnvale.serving.store.PeerCopyExchange;
 
 /** What a daemon answers to the balancer, to those who read its figures, and to its peers. */
 final class DaemonPages {
@@ -17,16 +17,16 @@
 
   private final String readyPath;
   private final PrometheusMeterRegistry registry;
-  private final PeerCopies<Node> nodes;
-  private final PeerCopies<Configuration> configurations;
+  private final PeerCopyExchange<Node> nodes;
+  private final PeerCopyExchange<Configuration> configurations;
   private final LimitDesk limits;
   private final TrialDesk trials;
 
   DaemonPages(
       String readyPath,
       PrometheusMeterRegistry registry,
-      PeerCopies<Node> nodes,
-      PeerCopies<Configuration> configurations,
+      PeerCopyExchange<Node> nodes,
+      PeerCopyExchange<Configuration> configurations,
       LimitDesk limits,
       TrialDesk trials) {
     this.readyPath = readyPath;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -45,7 +45,7 @@
 import org.fawnvale.serving.peer.Peers;
 import org.fawnvale.serving.spi.Platform;
 import org.fawnvale.serving.store.EraChange;
-import org.fawnvale.serving.store.PeerCopies;
+import org.fawnvale.serving.store.PeerCopyExchange;
 import org.fawnvale.serving.store.QuarantineStore;
 import org.fawnvale.serving.store.StoreFigures;
 import org.fawnvale.serving.store.StoreWatch;
@@ -114,8 +114,8 @@
   private final StoreWatch<Node> nodes;
   private final ClusterView sight;
   private final HeadSuspicions suspicions;
-  private final PeerCopies<Configuration> configurationCopies;
-  private final PeerCopies<Node> nodeCopies;
+  private final PeerCopyExchange<Configuration> configurationCopies;
+  private final PeerCopyExchange<Node> nodeCopies;
   private final BarredRequests barred;
   private final LimitDesk limitDesk;
   private final TrialDesk trialDesk;
@@ -208,10 +208,10 @@
     this.nodeCopies = copiesOf(nodes, "/copies/nodes", Node.class, cadence.copyTimes());
   }
 
-  private <T> PeerCopies<T> copiesOf(
+  private <T> PeerCopyExchange<T> copiesOf(
       StoreWatch<T> watch, String path, Class<T> content, CopyTimes times) {
     int port = settings.peerPort() + COPY_PORT_OFFSET;
-    return new PeerCopies<>(client, timers, watch, path, port, content, times);
+    return new PeerCopyExchange<>(client, timers, watch, path, port, content, times);
   }
 
   /**
@@ -370,8 +370,8 @@
   private void placesOfPeer(String address, boolean isNear, CopyPlaces places) {
     boolean goesBefore = places.version() > versionInForce();
     configurationCopies.hear(
-        new PeerCopies.Told(address, isNear, places.configuration(), goesBefore));
-    nodeCopies.hear(new PeerCopies.Told(address, isNear, places.nodes(), false));
+        new PeerCopyExchange.Told(address, isNear, places.configuration(), goesBefore));
+    nodeCopies.hear(new PeerCopyExchange.Told(address, isNear, places.nodes(), false));
   }
 
   private long versionInForce() {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopies.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
@@ -25,7 +25,7 @@
  *
  * @param <T> the type of the objects
  */
-public final class PeerCopies<T> {
+public final class PeerCopyExchange<T> {
 
   private static final Logger LOG = LogManager.getLogger("store");
   private static final int FETCH_MILLIS = 800;
@@ -76,7 +76,7 @@
    * @param content the type of the objects
    * @param times how long to wait between and before copies
    */
-  public PeerCopies(
+  public PeerCopyExchange(
       HttpClient client,
       Timers timers,
       StoreWatch<T> watch,
