--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -47,7 +47,7 @@
 import org.fawnvale.serving.store.EraChange;
 import org.fawnvale.serving.store.PeerCopyExchange;
 import org.fawnvale.serving.store.QuarantineStore;
-import org.fawnvale.serving.store.StoreFigures;
+import org.fawnvale.serving.store.StoreCallMetrics;
 import org.fawnvale.serving.store.StoreWatch;
 import org.fawnvale.serving.store.MergePolicy;
 import org.jspecify.annotations.Nullable;
@@ -122,7 +122,7 @@
   private final SharedStateUpdates news;
   private final PrometheusMeterRegistry registry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-  private final StoreFigures storeFigures = new StoreFigures(registry);
+  private final StoreCallMetrics storeFigures = new StoreCallMetrics(registry);
   private final StoreRollbackReporter returns = new StoreRollbackReporter(registry);
   private final long startedNanos = System.nanoTime();
   private @Nullable Configuration configuration;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreFigures.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreCallMetrics.java
@@ -7,7 +7,7 @@
 import org.fawnvale.serving.spi.Platform;
 
 /** Calls to the platform's store, each of which costs, by kind, reason and what came of it. */
-public final class StoreFigures {
+public final class StoreCallMetrics {
 
   private final MeterRegistry registry;
   private final SortedMap<String, Integer> calls = new TreeMap<>();
@@ -39,7 +39,7 @@
    *
    * @param registry serves them as counters
    */
-  public StoreFigures(MeterRegistry registry) {
+  public StoreCallMetrics(MeterRegistry registry) {
     this.registry = registry;
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
@@ -60,7 +60,7 @@
   private final Reader<T> reader;
   private final Pace pace;
   private final boolean firstMayBeOld;
-  private final StoreFigures figures;
+  private final StoreCallMetrics figures;
   private final Runnable changed;
   private final ObjectTable<T> table;
   private final EraRule eraRule = new EraRule();
@@ -131,7 +131,7 @@
       Pace pace,
       boolean firstMayBeOld,
       MergePolicy<T> succession,
-      StoreFigures figures,
+      StoreCallMetrics figures,
       Runnable changed) {
     this.client = client;
     this.timers = timers;
@@ -262,7 +262,7 @@
   /** Asks at once for what has changed, to find out whether the store still answers. */
   public void probe() {
     if (active && reachable && place().isKnown()) {
-      watch(++round, StoreFigures.Reason.RETRY, PROBE_WAIT_MILLIS);
+      watch(++round, StoreCallMetrics.Reason.RETRY, PROBE_WAIT_MILLIS);
     }
   }
 
@@ -316,7 +316,7 @@
     call(
         platform.list(kind, afterName, mayBeOld),
         StorePlace.NONE,
-        StoreFigures.Reason.LIST,
+        StoreCallMetrics.Reason.LIST,
         LIST_MILLIS,
         ofRound,
         page -> listed(page, ofRound));
@@ -325,7 +325,7 @@
   private void call(
       Call call,
       StorePlace asked,
-      StoreFigures.Reason reason,
+      StoreCallMetrics.Reason reason,
       int timeoutMillis,
       int ofRound,
       Consumer<Page<T>> good) {
@@ -343,7 +343,7 @@
   }
 
   private void replied(
-      WholeCall.Reply reply, StorePlace asked, StoreFigures.Reason reason, Consumer<Page<T>> good) {
+      WholeCall.Reply reply, StorePlace asked, StoreCallMetrics.Reason reason, Consumer<Page<T>> good) {
     if (!(reply instanceof WholeCall.Answered answer) || answer.status() != OK) {
       failed(reply, reason);
       return;
@@ -353,7 +353,7 @@
       case DROP -> earlier(era, reason);
       case LIST_ANEW -> {
         answered();
-        count(reason, StoreFigures.Outcome.OTHER_ERA);
+        count(reason, StoreCallMetrics.Outcome.OTHER_ERA);
         list("", ++round);
       }
       case TAKE -> {
@@ -363,16 +363,16 @@
     }
   }
 
-  private void take(StoreEra era, byte[] body, StoreFigures.Reason reason, Consumer<Page<T>> good) {
+  private void take(StoreEra era, byte[] body, StoreCallMetrics.Reason reason, Consumer<Page<T>> good) {
     Page<T> page = read(era, body);
     if (page == null) {
       return;
     }
     StorePlace before = newest();
     good.accept(page);
-    boolean isList = reason == StoreFigures.Reason.LIST;
+    boolean isList = reason == StoreCallMetrics.Reason.LIST;
     boolean news = isList || newest().isAfter(before);
-    count(reason, news ? StoreFigures.Outcome.NEWS : StoreFigures.Outcome.NOTHING);
+    count(reason, news ? StoreCallMetrics.Outcome.NEWS : StoreCallMetrics.Outcome.NOTHING);
     if (!isList) {
       pauseMillis = FIRST_PAUSE_MILLIS;
       forgottenBefore = false;
@@ -387,8 +387,8 @@
     answeredAtNanos = System.nanoTime();
   }
 
-  private void earlier(StoreEra era, StoreFigures.Reason reason) {
-    count(reason, StoreFigures.Outcome.OTHER_ERA);
+  private void earlier(StoreEra era, StoreCallMetrics.Reason reason) {
+    count(reason, StoreCallMetrics.Outcome.OTHER_ERA);
     if (isToldAgain()) {
       LOG.warn(
           "kind={} era={} known={} outcome=earlier_era_dropped. The store's answers must tell its"
@@ -401,8 +401,8 @@
     later(nextPauseMillis(), () -> list("", round));
   }
 
-  private void failed(WholeCall.Reply reply, StoreFigures.Reason reason) {
-    count(reason, StoreFigures.Outcome.FAILED);
+  private void failed(WholeCall.Reply reply, StoreCallMetrics.Reason reason) {
+    count(reason, StoreCallMetrics.Outcome.FAILED);
     boolean forgotten = reply instanceof WholeCall.Answered answer && answer.status() == GONE;
     if (forgotten) {
       forgotten(((WholeCall.Answered) reply).head());
@@ -455,7 +455,7 @@
    */
   private void goOn() {
     if (place().isKnown()) {
-      watch(round, StoreFigures.Reason.RETRY, PROBE_WAIT_MILLIS);
+      watch(round, StoreCallMetrics.Reason.RETRY, PROBE_WAIT_MILLIS);
     } else {
       list("", round);
     }
@@ -469,7 +469,7 @@
     return due;
   }
 
-  private void count(StoreFigures.Reason reason, StoreFigures.Outcome outcome) {
+  private void count(StoreCallMetrics.Reason reason, StoreCallMetrics.Outcome outcome) {
     figures.count(kind, reason, outcome);
   }
 
@@ -501,10 +501,10 @@
   }
 
   private void watch(int ofRound) {
-    watch(ofRound, StoreFigures.Reason.WAIT, pace.waitMillis().getAsInt());
+    watch(ofRound, StoreCallMetrics.Reason.WAIT, pace.waitMillis().getAsInt());
   }
 
-  private void watch(int ofRound, StoreFigures.Reason reason, int waitMillis) {
+  private void watch(int ofRound, StoreCallMetrics.Reason reason, int waitMillis) {
     StorePlace since = place();
     call(
         platform.watch(kind, since, waitMillis),
