--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/EveryOrderOfReturnsTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/EveryOrderOfReturnsTest.java
@@ -25,27 +25,27 @@
   private static final int LEAST_STATES = 100_000;
 
   /** What a search has found. */
-  private record Found(int states, List<SmallWorld.Event> broken) {}
+  private record Found(int states, List<StoreRollbackModel.Event> broken) {}
 
-  private static SmallWorld play(Set<SmallWorld.Flaw> flaws, List<SmallWorld.Event> events) {
-    SmallWorld world = new SmallWorld(flaws);
+  private static StoreRollbackModel play(Set<StoreRollbackModel.Flaw> flaws, List<StoreRollbackModel.Event> events) {
+    StoreRollbackModel world = new StoreRollbackModel(flaws);
     events.forEach(world::happens);
     return world;
   }
 
-  private static Found search(Set<SmallWorld.Flaw> flaws) {
+  private static Found search(Set<StoreRollbackModel.Flaw> flaws) {
     Set<String> seen = new HashSet<>();
-    Deque<List<SmallWorld.Event>> open = new ArrayDeque<>();
+    Deque<List<StoreRollbackModel.Event>> open = new ArrayDeque<>();
     open.add(List.of());
     while (!open.isEmpty()) {
-      List<SmallWorld.Event> path = open.removeFirst();
+      List<StoreRollbackModel.Event> path = open.removeFirst();
       if (play(flaws, path).hasGoneBack() || !play(flaws, path).endsRight()) {
         return new Found(seen.size(), path);
       }
-      for (SmallWorld.Event event : SmallWorld.Event.values()) {
-        SmallWorld world = play(flaws, path);
+      for (StoreRollbackModel.Event event : StoreRollbackModel.Event.values()) {
+        StoreRollbackModel world = play(flaws, path);
         if (path.size() < DEPTH && world.happens(event) && seen.add(world.signature())) {
-          List<SmallWorld.Event> longer = new ArrayList<>(path);
+          List<StoreRollbackModel.Event> longer = new ArrayList<>(path);
           longer.add(event);
           open.add(longer);
         }
@@ -62,8 +62,8 @@
   }
 
   @ParameterizedTest
-  @EnumSource(SmallWorld.Flaw.class)
-  void eachFlawIsFound(SmallWorld.Flaw flaw) {
+  @EnumSource(StoreRollbackModel.Flaw.class)
+  void eachFlawIsFound(StoreRollbackModel.Flaw flaw) {
     assertThat(search(Set.of(flaw)).broken()).as("the search misses %s", flaw).isNotEmpty();
   }
 }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/SmallWorld.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StoreRollbackModel.java
@@ -18,7 +18,7 @@
  * the other. The store goes back; answers and copies come late. The daemons' rules are the real
  * ones, or the real ones with a flaw.
  */
-final class SmallWorld {
+final class StoreRollbackModel {
 
   private static final String CONFIGURATION = "configuration";
   private static final String NODE = "node";
@@ -45,9 +45,9 @@
     COPY_COMES(world -> world.copy != null && world.copyComes()),
     WATCHER_TAKES_COPY(world -> world.watcher.place().isKnown() && world.watcherTakesCopy());
 
-    private final Predicate<SmallWorld> happens;
+    private final Predicate<StoreRollbackModel> happens;
 
-    Event(Predicate<SmallWorld> happens) {
+    Event(Predicate<StoreRollbackModel> happens) {
       this.happens = happens;
     }
   }
@@ -100,7 +100,7 @@
   private boolean wentBack;
   private boolean peersTell = true;
 
-  SmallWorld(Set<Flaw> flaws) {
+  StoreRollbackModel(Set<Flaw> flaws) {
     this.flaws = flaws.isEmpty() ? EnumSet.noneOf(Flaw.class) : EnumSet.copyOf(flaws);
     this.watcher = table();
     this.follower = table();
