--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/EveryOrderOfReturnsTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StoreRollbackExhaustiveTest.java
@@ -17,7 +17,7 @@
  * lower version, and once the trouble is over all agree with the store. Each flaw that is built in
  * breaks that somewhere.
  */
-class EveryOrderOfReturnsTest {
+class StoreRollbackExhaustiveTest {
 
   private static final int DEPTH = 11;
 
