--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/BarredRequests.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/QuarantinePersistence.java
@@ -9,7 +9,7 @@
  * Who keeps requests that end nodes in the platform's store, for daemons to come: few daemons,
  * since each call costs.
  */
-final class BarredRequests {
+final class QuarantinePersistence {
 
   private final RepeatGuard repeats;
   private final QuarantineStore store;
@@ -22,7 +22,7 @@
    * @param repeats tells which requests are barred and which an answer has cleared
    * @param store keeps them
    */
-  BarredRequests(RepeatGuard repeats, QuarantineStore store) {
+  QuarantinePersistence(RepeatGuard repeats, QuarantineStore store) {
     this.repeats = repeats;
     this.store = store;
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -116,7 +116,7 @@
   private final HeadSuspicions suspicions;
   private final PeerCopyExchange<Configuration> configurationCopies;
   private final PeerCopyExchange<Node> nodeCopies;
-  private final BarredRequests barred;
+  private final QuarantinePersistence barred;
   private final LimitDesk limitDesk;
   private final TrialDesk trialDesk;
   private final SharedStateUpdates news;
@@ -204,7 +204,7 @@
             platform,
             System::currentTimeMillis,
             gateway.repeats()::hear);
-    this.barred = new BarredRequests(gateway.repeats(), quarantine);
+    this.barred = new QuarantinePersistence(gateway.repeats(), quarantine);
     this.nodeCopies = copiesOf(nodes, "/copies/nodes", Node.class, cadence.copyTimes());
   }
 
