--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonPages.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonPages.java
@@ -37,19 +37,19 @@
     this.trials = trials;
   }
 
-  PageExchange.Page ready(String target, boolean isReady) {
+  SimpleResponseHandler.Page ready(String target, boolean isReady) {
     if (!readyPath.equals(target)) {
-      return new PageExchange.Page(NOT_FOUND, new byte[0]);
+      return new SimpleResponseHandler.Page(NOT_FOUND, new byte[0]);
     }
-    return new PageExchange.Page(isReady ? OK : UNAVAILABLE, new byte[0]);
+    return new SimpleResponseHandler.Page(isReady ? OK : UNAVAILABLE, new byte[0]);
   }
 
-  PageExchange.Page figures() {
-    return new PageExchange.Page(OK, registry.scrape().getBytes(StandardCharsets.UTF_8));
+  SimpleResponseHandler.Page figures() {
+    return new SimpleResponseHandler.Page(OK, registry.scrape().getBytes(StandardCharsets.UTF_8));
   }
 
   /** Gives a peer what it lacks of the store's objects, or leave for what is counted once. */
-  PageExchange.Page forPeers(String target) {
+  SimpleResponseHandler.Page forPeers(String target) {
     byte[] copy = new byte[0];
     if (limits.isAskedBy(target)) {
       copy = limits.answer(target);
@@ -60,6 +60,6 @@
     } else if (configurations.isAskedBy(target)) {
       copy = configurations.give(target);
     }
-    return new PageExchange.Page(copy.length == 0 ? UNAVAILABLE : OK, copy);
+    return new SimpleResponseHandler.Page(copy.length == 0 ? UNAVAILABLE : OK, copy);
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -267,10 +267,10 @@
         new DaemonPages(
             platform.readyPath(), registry, nodeCopies, configurationCopies, limitDesk, trialDesk);
     reactor.listen(
-        settings.ready(), () -> new PageExchange(guard, target -> pages.ready(target, isReady())));
-    reactor.listen(settings.metrics(), () -> new PageExchange(guard, target -> pages.figures()));
+        settings.ready(), () -> new SimpleResponseHandler(guard, target -> pages.ready(target, isReady())));
+    reactor.listen(settings.metrics(), () -> new SimpleResponseHandler(guard, target -> pages.figures()));
     Endpoint forPeers = new Endpoint(settings.address(), settings.peerPort() + COPY_PORT_OFFSET);
-    reactor.listen(forPeers, () -> new PageExchange(guard, pages::forPeers));
+    reactor.listen(forPeers, () -> new SimpleResponseHandler(guard, pages::forPeers));
   }
 
   private boolean isReady() {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/PageExchange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SimpleResponseHandler.java
@@ -20,7 +20,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** Answers a request with a small page that a function makes. */
-final class PageExchange implements AsyncServerExchangeHandler {
+final class SimpleResponseHandler implements AsyncServerExchangeHandler {
 
   private final Object guard;
   private final Function<String, Page> pages;
@@ -35,7 +35,7 @@
    */
   record Page(int status, byte[] body) {}
 
-  PageExchange(Object guard, Function<String, Page> pages) {
+  SimpleResponseHandler(Object guard, Function<String, Page> pages) {
     this.guard = guard;
     this.pages = pages;
   }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/EarlyListenerTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/EarlyListenerTest.java
@@ -46,7 +46,7 @@
       assertThat(answerTo(caller)).isEmpty();
 
       listener.serve(
-          () -> new PageExchange(new Object(), target -> new PageExchange.Page(200, new byte[0])));
+          () -> new SimpleResponseHandler(new Object(), target -> new SimpleResponseHandler.Page(200, new byte[0])));
 
       caller.setSoTimeout(LONG_MILLIS);
       assertThat(answerTo(caller)).startsWith("HTTP/1.1 200");
