--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonPages.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonEndpoints.java
@@ -9,7 +9,7 @@
 import org.fawnvale.serving.store.PeerCopyExchange;
 
 /** What a daemon answers to the balancer, to those who read its figures, and to its peers. */
-final class DaemonPages {
+final class DaemonEndpoints {
 
   private static final int OK = 200;
   private static final int NOT_FOUND = 404;
@@ -22,7 +22,7 @@
   private final LimitDesk limits;
   private final TrialDesk trials;
 
-  DaemonPages(
+  DaemonEndpoints(
       String readyPath,
       PrometheusMeterRegistry registry,
       PeerCopyExchange<Node> nodes,
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -263,8 +263,8 @@
   }
 
   private void listenForPages() {
-    DaemonPages pages =
-        new DaemonPages(
+    DaemonEndpoints pages =
+        new DaemonEndpoints(
             platform.readyPath(), registry, nodeCopies, configurationCopies, limitDesk, trialDesk);
     reactor.listen(
         settings.ready(), () -> new SimpleResponseHandler(guard, target -> pages.ready(target, isReady())));
