--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
@@ -139,7 +139,7 @@
     if (isWanted(told) && pacing.take(System.nanoTime())) {
       Endpoint peer = new Endpoint(told.address(), port);
       StorePlace since = told.goesBefore() ? StorePlace.NONE : watch.place();
-      Call question = Call.get(path + SINCE + PlaceText.write(since));
+      Call question = Call.get(path + SINCE + StorePositionText.write(since));
       WholeCall.send(client, timers, peer, question, FETCH_MILLIS, this::take);
     }
   }
@@ -182,7 +182,7 @@
       return given.copy();
     }
     try {
-      StorePlace since = PlaceText.read(target.substring(path.length() + SINCE.length()));
+      StorePlace since = StorePositionText.read(target.substring(path.length() + SINCE.length()));
       byte[] copy = Codec.MAPPER.writeValueAsBytes(watch.copySince(since));
       given = new Given(target, watch.changes(), copy);
       return copy;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PlaceText.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StorePositionText.java
@@ -4,12 +4,12 @@
 import org.fawnvale.serving.core.watch.StorePlace;
 
 /** A place in the store's history as text, for the questions that daemons ask each other. */
-final class PlaceText {
+final class StorePositionText {
 
   private static final String SEPARATOR = ".";
   private static final String NONE = "none";
 
-  private PlaceText() {}
+  private StorePositionText() {}
 
   static String write(StorePlace place) {
     return place.isKnown() ? place.era().number() + SEPARATOR + place.revision() : NONE;
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/PlaceTextTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StorePositionTextTest.java
@@ -10,18 +10,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A place comes out of its text as it went in. */
-class PlaceTextTest {
+class StorePositionTextTest {
 
   @Test
   void whatIsWrittenIsRead() {
     StorePlace place = new StorePlace(new StoreEra(3), 120);
-    assertThat(PlaceText.read(PlaceText.write(place))).isEqualTo(place);
-    assertThat(PlaceText.read(PlaceText.write(StorePlace.NONE))).isEqualTo(StorePlace.NONE);
+    assertThat(StorePositionText.read(StorePositionText.write(place))).isEqualTo(place);
+    assertThat(StorePositionText.read(StorePositionText.write(StorePlace.NONE))).isEqualTo(StorePlace.NONE);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "12", "a.b", "3.", ".4"})
   void otherTextsAreRefused(String text) {
-    assertThatThrownBy(() -> PlaceText.read(text)).isInstanceOf(NumberFormatException.class);
+    assertThatThrownBy(() -> StorePositionText.read(text)).isInstanceOf(NumberFormatException.class);
   }
 }
