--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -106,7 +106,7 @@
   private final UpstreamGate gate;
   private final Dispatcher dispatcher;
   private final WatchCadence cadence;
-  private final Fleet fleet;
+  private final UpstreamSelector fleet;
   private final Gateway gateway;
   private final Peers peers;
   private final FormationService formation;
@@ -154,7 +154,7 @@
     NodeClient toNodes = new NodeClient(client, timers, gate, platform::answer, registry);
     toNodes.onLeaving(() -> upstreamsAreOld = true);
     this.cadence = new WatchCadence(settings.bounds().leavingMillis());
-    this.fleet = new Fleet(settings.policy().cutsAreNoDeaths());
+    this.fleet = new UpstreamSelector(settings.policy().cutsAreNoDeaths());
     GatewayFigures figures = new GatewayFigures(registry);
     this.gateway = new Gateway(timers, toNodes, platform, dispatcher, settings.bounds(), figures);
     gateway.asksForLeave(limitDesk::ask);
@@ -359,7 +359,7 @@
 
   private Collection<Node> engines() {
     Configuration current = configuration;
-    return current == null ? List.of() : Fleet.engines(sight.listedNodes(), current);
+    return current == null ? List.of() : UpstreamSelector.engines(sight.listedNodes(), current);
   }
 
   private static @Nullable EngineSpec engineOf(Configuration configuration) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/Fleet.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/UpstreamSelector.java
@@ -20,7 +20,7 @@
 import org.fawnvale.serving.core.peer.PeerNote;
 
 /** Which nodes may take requests: heads of whole, open groups, and nodes of plain services. */
-final class Fleet {
+final class UpstreamSelector {
 
   /** Groups that were seen whole and open. Members whose entries vanish later may still serve. */
   private final Set<GroupKey> seenWhole = new HashSet<>();
@@ -32,7 +32,7 @@
    *
    * @param keepsIncomplete whether a group that was whole serves on while entries are missing
    */
-  Fleet(boolean keepsIncomplete) {
+  UpstreamSelector(boolean keepsIncomplete) {
     this.keepsIncomplete = keepsIncomplete;
   }
 
@@ -84,7 +84,7 @@
       }
     }
     Map<String, PeerNote.ServingGroup> opened = new HashMap<>();
-    announced.opened().forEach(group -> opened.merge(group.head(), group, Fleet::later));
+    announced.opened().forEach(group -> opened.merge(group.head(), group, UpstreamSelector::later));
     for (Node node : engines) {
       PeerNote.ServingGroup group = opened.isEmpty() ? null : opened.get(node.id());
       if (group != null && !node.draining() && !isInLaterGroup(node, group)) {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/FleetTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/UpstreamSelectorTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Which heads are sent requests, by the list and by the leader's word. */
-class FleetTest {
+class UpstreamSelectorTest {
 
   private static final EngineSpec ENGINE =
       new EngineSpec(
@@ -40,7 +40,7 @@
       new Configuration(
           1, List.of(), Map.of("engines", new ServiceSpec("engines", 100, ENGINE)), null, 1, 1, 1);
 
-  private final Fleet fleet = new Fleet(true);
+  private final UpstreamSelector fleet = new UpstreamSelector(true);
 
   private static Node member(String id, int rank, MemberState state) {
     return new Node(
