--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -45,11 +45,11 @@
 import org.fawnvale.serving.peer.Peers;
 import org.fawnvale.serving.spi.Platform;
 import org.fawnvale.serving.store.EraChange;
+import org.fawnvale.serving.store.MergePolicy;
 import org.fawnvale.serving.store.PeerCopyExchange;
 import org.fawnvale.serving.store.QuarantineStore;
 import org.fawnvale.serving.store.StoreCallMetrics;
 import org.fawnvale.serving.store.StoreWatch;
-import org.fawnvale.serving.store.MergePolicy;
 import org.jspecify.annotations.Nullable;
 
 /** An entry daemon: gateway, store copies, peers and, while it leads, the formation of groups. */
@@ -267,8 +267,10 @@
         new DaemonEndpoints(
             platform.readyPath(), registry, nodeCopies, configurationCopies, limitDesk, trialDesk);
     reactor.listen(
-        settings.ready(), () -> new SimpleResponseHandler(guard, target -> pages.ready(target, isReady())));
-    reactor.listen(settings.metrics(), () -> new SimpleResponseHandler(guard, target -> pages.figures()));
+        settings.ready(),
+        () -> new SimpleResponseHandler(guard, target -> pages.ready(target, isReady())));
+    reactor.listen(
+        settings.metrics(), () -> new SimpleResponseHandler(guard, target -> pages.figures()));
     Endpoint forPeers = new Endpoint(settings.address(), settings.peerPort() + COPY_PORT_OFFSET);
     reactor.listen(forPeers, () -> new SimpleResponseHandler(guard, pages::forPeers));
   }
@@ -354,7 +356,9 @@
       return new GroupAnnouncements(formation.opened(), formation.closed());
     }
     PeerNote leader = peers.leadership().leaderNote();
-    return leader == null ? GroupAnnouncements.NOTHING : new GroupAnnouncements(leader.groups(), leader.closed());
+    return leader == null
+        ? GroupAnnouncements.NOTHING
+        : new GroupAnnouncements(leader.groups(), leader.closed());
   }
 
   private Collection<Node> engines() {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
@@ -343,7 +343,10 @@
   }
 
   private void replied(
-      WholeCall.Reply reply, StorePlace asked, StoreCallMetrics.Reason reason, Consumer<Page<T>> good) {
+      WholeCall.Reply reply,
+      StorePlace asked,
+      StoreCallMetrics.Reason reason,
+      Consumer<Page<T>> good) {
     if (!(reply instanceof WholeCall.Answered answer) || answer.status() != OK) {
       failed(reply, reason);
       return;
@@ -363,7 +366,8 @@
     }
   }
 
-  private void take(StoreEra era, byte[] body, StoreCallMetrics.Reason reason, Consumer<Page<T>> good) {
+  private void take(
+      StoreEra era, byte[] body, StoreCallMetrics.Reason reason, Consumer<Page<T>> good) {
     Page<T> page = read(era, body);
     if (page == null) {
       return;
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/EarlyListenerTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/EarlyListenerTest.java
@@ -46,7 +46,9 @@
       assertThat(answerTo(caller)).isEmpty();
 
       listener.serve(
-          () -> new SimpleResponseHandler(new Object(), target -> new SimpleResponseHandler.Page(200, new byte[0])));
+          () ->
+              new SimpleResponseHandler(
+                  new Object(), target -> new SimpleResponseHandler.Page(200, new byte[0])));
 
       caller.setSoTimeout(LONG_MILLIS);
       assertThat(answerTo(caller)).startsWith("HTTP/1.1 200");
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/UpstreamSelectorTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/UpstreamSelectorTest.java
@@ -82,7 +82,8 @@
   @Test
   void aGroupServesOnWhileAMemberLeavesUntilTheLeaderEndsIt() {
     serving(GroupAnnouncements.NOTHING, HEAD, OTHER);
-    assertThat(serving(GroupAnnouncements.NOTHING, HEAD, OTHER.asDraining())).containsExactly("head");
+    assertThat(serving(GroupAnnouncements.NOTHING, HEAD, OTHER.asDraining()))
+        .containsExactly("head");
     GroupAnnouncements closed = new GroupAnnouncements(List.of(), List.of("head@4"));
     assertThat(serving(closed, HEAD, OTHER.asDraining())).isEmpty();
   }
@@ -103,7 +104,8 @@
   void aGroupThatTheListDoesNotShowYetServesByTheLeadersWord() {
     Node free = HEAD.withGroup(null, List.of(), null);
     GroupAnnouncements opened =
-        new GroupAnnouncements(List.of(new PeerNote.ServingGroup("head", "g~head", 5, "m")), List.of());
+        new GroupAnnouncements(
+            List.of(new PeerNote.ServingGroup("head", "g~head", 5, "m")), List.of());
     assertThat(serving(opened, free)).containsExactly("head");
   }
 }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/ObjectTableTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/ObjectTableTest.java
@@ -126,7 +126,8 @@
   @Test
   void aConfigurationThatCannotBeReadLeavesTheLastGoodOneInForce() {
     ObjectTable<String> table =
-        new ObjectTable<>("configuration", ObjectTable.Unreadable.KEEPS_LAST, MergePolicy.ofStore());
+        new ObjectTable<>(
+            "configuration", ObjectTable.Unreadable.KEEPS_LAST, MergePolicy.ofStore());
     table.change(page(new Page.Item<>("main", at(1), false, "good"), 1));
     table.change(page(new Page.Item<>("main", at(2), false, null), 2));
     assertThat(table.objects()).containsEntry("main", "good");
@@ -176,7 +177,8 @@
     watcher.change(page(new Page.Item<>("n1", at(7), false, "lost"), 7));
     era = 2;
     CopyUpdate<String> changes =
-        new CopyUpdate<>(at(5), at(5), false, Map.of("n2", "new"), Map.of("n2", at(5)), List.of("n1"));
+        new CopyUpdate<>(
+            at(5), at(5), false, Map.of("n2", "new"), Map.of("n2", at(5)), List.of("n1"));
     assertThat(watcher.merge(changes)).isFalse();
     assertThat(watcher.objects()).containsOnlyKeys("n1");
   }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StorePositionTextTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StorePositionTextTest.java
@@ -16,12 +16,14 @@
   void whatIsWrittenIsRead() {
     StorePlace place = new StorePlace(new StoreEra(3), 120);
     assertThat(StorePositionText.read(StorePositionText.write(place))).isEqualTo(place);
-    assertThat(StorePositionText.read(StorePositionText.write(StorePlace.NONE))).isEqualTo(StorePlace.NONE);
+    assertThat(StorePositionText.read(StorePositionText.write(StorePlace.NONE)))
+        .isEqualTo(StorePlace.NONE);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "12", "a.b", "3.", ".4"})
   void otherTextsAreRefused(String text) {
-    assertThatThrownBy(() -> StorePositionText.read(text)).isInstanceOf(NumberFormatException.class);
+    assertThatThrownBy(() -> StorePositionText.read(text))
+        .isInstanceOf(NumberFormatException.class);
   }
 }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StoreRollbackExhaustiveTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StoreRollbackExhaustiveTest.java
@@ -27,7 +27,8 @@
   /** What a search has found. */
   private record Found(int states, List<StoreRollbackModel.Event> broken) {}
 
-  private static StoreRollbackModel play(Set<StoreRollbackModel.Flaw> flaws, List<StoreRollbackModel.Event> events) {
+  private static StoreRollbackModel play(
+      Set<StoreRollbackModel.Flaw> flaws, List<StoreRollbackModel.Event> events) {
     StoreRollbackModel world = new StoreRollbackModel(flaws);
     events.forEach(world::happens);
     return world;
