--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonPages.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonEndpoints.java
@@ -6,10 +6,11 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.limit.LimitPermitService;
 import org.fawnvale.serving.limit.TrialPermitService;
-import org.fawnvale.serving.store.PeerCopies;
+
+import org.fawnvale.serving.store.PeerCopyExchange;
 
 /** What a daemon answers to the balancer, to those who read its figures, and to its peers. */
-final class DaemonPages {
+final class DaemonEndpoints {
 
   private static final int OK = 200;
   private static final int NOT_FOUND = 404;
@@ -17,16 +18,16 @@
 
   private final String readyPath;
   private final PrometheusMeterRegistry registry;
-  private final PeerCopies<Node> nodes;
-  private final PeerCopies<Configuration> configurations;
+  private final PeerCopyExchange<Node> nodes;
+  private final PeerCopyExchange<Configuration> configurations;
   private final LimitPermitService limits;
   private final TrialPermitService trials;
 
-  DaemonPages(
+  DaemonEndpoints(
       String readyPath,
       PrometheusMeterRegistry registry,
-      PeerCopies<Node> nodes,
-      PeerCopies<Configuration> configurations,
+      PeerCopyExchange<Node> nodes,
+      PeerCopyExchange<Configuration> configurations,
       LimitPermitService limits,
       TrialPermitService trials) {
     this.readyPath = readyPath;
@@ -37,19 +38,19 @@
     this.trials = trials;
   }
 
-  PageExchange.Page ready(String target, boolean isReady) {
+  SimpleResponseHandler.Page ready(String target, boolean isReady) {
     if (!readyPath.equals(target)) {
-      return new PageExchange.Page(NOT_FOUND, new byte[0]);
+      return new SimpleResponseHandler.Page(NOT_FOUND, new byte[0]);
     }
-    return new PageExchange.Page(isReady ? OK : UNAVAILABLE, new byte[0]);
+    return new SimpleResponseHandler.Page(isReady ? OK : UNAVAILABLE, new byte[0]);
   }
 
-  PageExchange.Page figures() {
-    return new PageExchange.Page(OK, registry.scrape().getBytes(StandardCharsets.UTF_8));
+  SimpleResponseHandler.Page figures() {
+    return new SimpleResponseHandler.Page(OK, registry.scrape().getBytes(StandardCharsets.UTF_8));
   }
 
   /** Gives a peer what it lacks of the store's objects, or leave for what is counted once. */
-  PageExchange.Page forPeers(String target) {
+  SimpleResponseHandler.Page forPeers(String target) {
     byte[] copy = new byte[0];
     if (limits.handles(target)) {
       copy = limits.answer(target);
@@ -60,6 +61,6 @@
     } else if (configurations.isAskedBy(target)) {
       copy = configurations.give(target);
     }
-    return new PageExchange.Page(copy.length == 0 ? UNAVAILABLE : OK, copy);
+    return new SimpleResponseHandler.Page(copy.length == 0 ? UNAVAILABLE : OK, copy);
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -45,16 +45,19 @@
 import org.fawnvale.serving.peer.Peers;
 import org.fawnvale.serving.spi.Platform;
 import org.fawnvale.serving.store.EraChange;
-import org.fawnvale.serving.store.PeerCopies;
+
 import org.fawnvale.serving.store.QuarantineStore;
-import org.fawnvale.serving.store.StoreFigures;
+
 import org.fawnvale.serving.store.StoreWatch;
-import org.fawnvale.serving.store.Succession;
+
 import org.jspecify.annotations.Nullable;
 import org.fawnvale.serving.gateway.GatewayMetrics;
 import org.fawnvale.serving.limit.LimitPermitService;
 import org.fawnvale.serving.limit.OwnerClient;
 import org.fawnvale.serving.limit.TrialPermitService;
+import org.fawnvale.serving.store.MergePolicy;
+import org.fawnvale.serving.store.PeerCopyExchange;
+import org.fawnvale.serving.store.StoreCallMetrics;
 
 /** An entry daemon: gateway, store copies, peers and, while it leads, the formation of groups. */
 public final class ServingDaemon {
@@ -110,30 +113,30 @@
   private final UpstreamGate gate;
   private final Dispatcher dispatcher;
   private final WatchCadence cadence;
-  private final Fleet fleet;
+  private final UpstreamSelector fleet;
   private final Gateway gateway;
   private final Peers peers;
   private final FormationService formation;
   private final StoreWatch<Configuration> configurations;
   private final StoreWatch<Node> nodes;
-  private final StoreSight sight;
+  private final ClusterView sight;
   private final HeadSuspicions suspicions;
-  private final PeerCopies<Configuration> configurationCopies;
-  private final PeerCopies<Node> nodeCopies;
-  private final BarredRequests barred;
+  private final PeerCopyExchange<Configuration> configurationCopies;
+  private final PeerCopyExchange<Node> nodeCopies;
+  private final QuarantinePersistence barred;
   private final LimitPermitService limitDesk;
   private final TrialPermitService trialDesk;
-  private final NewsForPeers news;
+  private final SharedStateUpdates news;
   private final PrometheusMeterRegistry registry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-  private final StoreFigures storeFigures = new StoreFigures(registry);
-  private final StoreReturns returns = new StoreReturns(registry);
+  private final StoreCallMetrics storeFigures = new StoreCallMetrics(registry);
+  private final StoreRollbackReporter returns = new StoreRollbackReporter(registry);
   private final long startedNanos = System.nanoTime();
   private @Nullable Configuration configuration;
   private boolean stopping;
   private boolean leads;
   private final LeavingNews leavingNews = new LeavingNews();
-  private Announced announcedBefore = Announced.NOTHING;
+  private GroupAnnouncements announcedBefore = GroupAnnouncements.NOTHING;
   private boolean groupsAreNews;
   private boolean upstreamsAreOld;
   private boolean fleetIsKnown;
@@ -158,14 +161,14 @@
     NodeClient toNodes = new NodeClient(client, timers, gate, platform::answer, registry);
     toNodes.onLeaving(() -> upstreamsAreOld = true);
     this.cadence = new WatchCadence(settings.bounds().leavingMillis());
-    this.fleet = new Fleet(settings.policy().cutsAreNoDeaths());
+    this.fleet = new UpstreamSelector(settings.policy().cutsAreNoDeaths());
     GatewayMetrics figures = new GatewayMetrics(registry);
     this.gateway = new Gateway(timers, toNodes, platform, dispatcher, settings.bounds(), figures);
     gateway.setPermitRequester(limitDesk::requestPermit);
     registry.gauge("fawnvale.platform.names.unread", platform, Platform::unrecognizedNames);
     this.trialDesk = new TrialPermitService(ownerCalls, owners, gateway.quarantine()::grantTrial);
     gateway.quarantine().setTrialRequester(trialDesk::requestPermit);
-    this.news = new NewsForPeers(owners, gateway.quarantine(), limits, limitDesk);
+    this.news = new SharedStateUpdates(owners, gateway.quarantine(), limits, limitDesk);
     long incarnation = System.currentTimeMillis();
     this.peers = Peers.open(settings, guard, incarnation, this::placesOfPeer, news);
     this.formation = new FormationService(settings, peers, toNodes, platform, incarnation);
@@ -192,10 +195,10 @@
             platform::nodes,
             new StoreWatch.Pace(this::nodesRestMillis, () -> SHORT_WAIT_MILLIS),
             settings.firstStart(),
-            Succession.ofStore(),
+            MergePolicy.ofStore(),
             storeFigures,
             this::nodesChanged);
-    this.sight = new StoreSight(settings, peers, configurations, nodes, gate);
+    this.sight = new ClusterView(settings, peers, configurations, nodes, gate);
     this.suspicions = new HeadSuspicions(settings.dataCentre(), dispatcher, peers);
     this.configurationCopies =
         copiesOf(
@@ -208,14 +211,14 @@
             platform,
             System::currentTimeMillis,
             gateway.quarantine()::receive);
-    this.barred = new BarredRequests(gateway.quarantine(), quarantine);
+    this.barred = new QuarantinePersistence(gateway.quarantine(), quarantine);
     this.nodeCopies = copiesOf(nodes, "/copies/nodes", Node.class, cadence.copyTimes());
   }
 
-  private <T> PeerCopies<T> copiesOf(
+  private <T> PeerCopyExchange<T> copiesOf(
       StoreWatch<T> watch, String path, Class<T> content, CopyTimes times) {
     int port = settings.peerPort() + COPY_PORT_OFFSET;
-    return new PeerCopies<>(client, timers, watch, path, port, content, times);
+    return new PeerCopyExchange<>(client, timers, watch, path, port, content, times);
   }
 
   /**
@@ -267,14 +270,14 @@
   }
 
   private void listenForPages() {
-    DaemonPages pages =
-        new DaemonPages(
+    DaemonEndpoints pages =
+        new DaemonEndpoints(
             platform.readyPath(), registry, nodeCopies, configurationCopies, limitDesk, trialDesk);
     reactor.listen(
-        settings.ready(), () -> new PageExchange(guard, target -> pages.ready(target, isReady())));
-    reactor.listen(settings.metrics(), () -> new PageExchange(guard, target -> pages.figures()));
+        settings.ready(), () -> new SimpleResponseHandler(guard, target -> pages.ready(target, isReady())));
+    reactor.listen(settings.metrics(), () -> new SimpleResponseHandler(guard, target -> pages.figures()));
     Endpoint forPeers = new Endpoint(settings.address(), settings.peerPort() + COPY_PORT_OFFSET);
-    reactor.listen(forPeers, () -> new PageExchange(guard, pages::forPeers));
+    reactor.listen(forPeers, () -> new SimpleResponseHandler(guard, pages::forPeers));
   }
 
   private boolean isReady() {
@@ -342,7 +345,7 @@
       return;
     }
     upstreamsAreOld = false;
-    Announced announced = announced();
+    GroupAnnouncements announced = announced();
     List<Node> serving = fleet.serving(sight.listedNodes(), current, announced);
     suspicions.learn(serving, nodes.objects().keySet());
     dispatcher.serve(serving);
@@ -353,17 +356,17 @@
     }
   }
 
-  private Announced announced() {
+  private GroupAnnouncements announced() {
     if (leads) {
-      return new Announced(formation.recentlyOpened(), formation.recentlyClosed());
+      return new GroupAnnouncements(formation.recentlyOpened(), formation.recentlyClosed());
     }
     PeerNote leader = peers.leadership().leaderNote();
-    return leader == null ? Announced.NOTHING : new Announced(leader.groups(), leader.closed());
+    return leader == null ? GroupAnnouncements.NOTHING : new GroupAnnouncements(leader.groups(), leader.closed());
   }
 
   private Collection<Node> engines() {
     Configuration current = configuration;
-    return current == null ? List.of() : Fleet.engines(sight.listedNodes(), current);
+    return current == null ? List.of() : UpstreamSelector.engines(sight.listedNodes(), current);
   }
 
   private static @Nullable EngineSpec engineOf(Configuration configuration) {
@@ -374,8 +377,8 @@
   private void placesOfPeer(String address, boolean isNear, CopyPlaces places) {
     boolean goesBefore = places.version() > versionInForce();
     configurationCopies.hear(
-        new PeerCopies.Told(address, isNear, places.configuration(), goesBefore));
-    nodeCopies.hear(new PeerCopies.Told(address, isNear, places.nodes(), false));
+        new PeerCopyExchange.Told(address, isNear, places.configuration(), goesBefore));
+    nodeCopies.hear(new PeerCopyExchange.Told(address, isNear, places.nodes(), false));
   }
 
   private long versionInForce() {
@@ -496,7 +499,7 @@
   }
 
   private void learnFromPeers() {
-    Announced announced = announced();
+    GroupAnnouncements announced = announced();
     boolean isNews = !announced.equals(announcedBefore);
     if (isNews || sight.changesWithTime()) {
       announcedBefore = announced;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
@@ -13,14 +13,14 @@
 import org.fawnvale.serving.peer.Peers;
 
 /** What all daemons come to know together: requests that end nodes, and limits that nodes name. */
-final class NewsForPeers implements Peers.SharedNews {
+final class SharedStateUpdates implements Peers.SharedNews {
 
   private final Owners owners;
   private final RequestQuarantine repeats;
   private final SharedLimits limits;
   private final LimitPermitService desk;
 
-  NewsForPeers(
+  SharedStateUpdates(
       Owners owners, RequestQuarantine repeats, SharedLimits limits, LimitPermitService desk) {
     this.owners = owners;
     this.repeats = repeats;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/Fleet.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/UpstreamSelector.java
@@ -20,7 +20,7 @@
 import org.fawnvale.serving.core.peer.PeerNote;
 
 /** Which nodes may take requests: heads of whole, open groups, and nodes of plain services. */
-final class Fleet {
+final class UpstreamSelector {
 
   /** Groups that were seen whole and open. Members whose entries vanish later may still serve. */
   private final Set<GroupKey> seenWhole = new HashSet<>();
@@ -32,7 +32,7 @@
    *
    * @param keepsIncomplete whether a group that was whole serves on while entries are missing
    */
-  Fleet(boolean keepsIncomplete) {
+  UpstreamSelector(boolean keepsIncomplete) {
     this.keepsIncomplete = keepsIncomplete;
   }
 
@@ -56,7 +56,7 @@
    * @param announced the leader's word on groups
    * @return the upstreams
    */
-  List<Node> serving(Collection<Node> nodes, Configuration configuration, Announced announced) {
+  List<Node> serving(Collection<Node> nodes, Configuration configuration, GroupAnnouncements announced) {
     Map<String, Node> serving = new LinkedHashMap<>();
     for (Node node : nodes) {
       ServiceSpec service = configuration.services().get(node.service());
@@ -73,7 +73,7 @@
   }
 
   private void addHeads(
-      Map<String, Node> serving, List<Node> engines, EngineSpec engine, Announced announced) {
+      Map<String, Node> serving, List<Node> engines, EngineSpec engine, GroupAnnouncements announced) {
     Map<GroupKey, ObservedGroup> groups = ObservedGroup.gather(engines);
     seenWhole.retainAll(groups.keySet());
     for (ObservedGroup group : groups.values()) {
@@ -84,7 +84,7 @@
       }
     }
     Map<String, PeerNote.ServingGroup> opened = new HashMap<>();
-    announced.opened().forEach(group -> opened.merge(group.head(), group, Fleet::later));
+    announced.opened().forEach(group -> opened.merge(group.head(), group, UpstreamSelector::later));
     for (Node node : engines) {
       PeerNote.ServingGroup group = opened.isEmpty() ? null : opened.get(node.id());
       if (group != null && !node.draining() && !isInLaterGroup(node, group)) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopies.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
@@ -25,7 +25,7 @@
  *
  * @param <T> the type of the objects
  */
-public final class PeerCopies<T> {
+public final class PeerCopyExchange<T> {
 
   private static final Logger LOG = LogManager.getLogger("store");
   private static final int FETCH_MILLIS = 800;
@@ -76,7 +76,7 @@
    * @param content the type of the objects
    * @param times how long to wait between and before copies
    */
-  public PeerCopies(
+  public PeerCopyExchange(
       HttpClient client,
       Timers timers,
       StoreWatch<T> watch,
@@ -95,7 +95,7 @@
 
   private JavaType type() {
     TypeFactory types = Codec.MAPPER.getTypeFactory();
-    return types.constructParametricType(Copy.class, types.constructType(content));
+    return types.constructParametricType(CopyUpdate.class, types.constructType(content));
   }
 
   /**
@@ -139,7 +139,7 @@
     if (isWanted(told) && pacing.take(System.nanoTime())) {
       Endpoint peer = new Endpoint(told.address(), port);
       StorePlace since = told.goesBefore() ? StorePlace.NONE : watch.place();
-      Call question = Call.get(path + SINCE + PlaceText.write(since));
+      Call question = Call.get(path + SINCE + StorePositionText.write(since));
       WholeCall.send(client, timers, peer, question, FETCH_MILLIS, this::take);
     }
   }
@@ -151,7 +151,7 @@
       return;
     }
     try {
-      Copy<T> copy = Codec.MAPPER.readValue(((WholeCall.Answered) reply).body(), type());
+      CopyUpdate<T> copy = Codec.MAPPER.readValue(((WholeCall.Answered) reply).body(), type());
       watch.adopt(copy);
     } catch (IOException e) {
       LOG.warn("path={} outcome=unreadable_copy cause={}", path, e.toString());
@@ -182,7 +182,7 @@
       return given.copy();
     }
     try {
-      StorePlace since = PlaceText.read(target.substring(path.length() + SINCE.length()));
+      StorePlace since = StorePositionText.read(target.substring(path.length() + SINCE.length()));
       byte[] copy = Codec.MAPPER.writeValueAsBytes(watch.copySince(since));
       given = new Given(target, watch.changes(), copy);
       return copy;
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/ObjectTableTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/ObjectTableTest.java
@@ -32,7 +32,7 @@
   private long era = 1;
 
   private static ObjectTable<String> table() {
-    return new ObjectTable<>("nodes", ObjectTable.Unreadable.NAMES_NOTHING, Succession.ofStore());
+    return new ObjectTable<>("nodes", ObjectTable.Unreadable.NAMES_NOTHING, MergePolicy.ofStore());
   }
 
   private StorePlace at(long ofRevision) {
@@ -102,7 +102,7 @@
   void anOlderCopyChangesNothing(long seed) {
     Random random = new Random(seed);
     list(random);
-    Copy<String> old = watcher.copySince(StorePlace.NONE);
+    CopyUpdate<String> old = watcher.copySince(StorePlace.NONE);
     watch(random);
     list(random);
     tell(watcher, follower);
@@ -126,7 +126,8 @@
   @Test
   void aConfigurationThatCannotBeReadLeavesTheLastGoodOneInForce() {
     ObjectTable<String> table =
-        new ObjectTable<>("configuration", ObjectTable.Unreadable.KEEPS_LAST, Succession.ofStore());
+        new ObjectTable<>(
+            "configuration", ObjectTable.Unreadable.KEEPS_LAST, MergePolicy.ofStore());
     table.change(page(new Page.Item<>("main", at(1), false, "good"), 1));
     table.change(page(new Page.Item<>("main", at(2), false, null), 2));
     assertThat(table.objects()).containsEntry("main", "good");
@@ -155,7 +156,7 @@
         watch(random);
       }
       tell(watcher, follower);
-      Copy<String> ofLostHistory = follower.copySince(StorePlace.NONE);
+      CopyUpdate<String> ofLostHistory = follower.copySince(StorePlace.NONE);
       goBack(copy, copyRevisions, copied);
       for (int again = random.nextInt(8); again > 0; again--) {
         changeOne(random);
@@ -175,8 +176,9 @@
   void changesOfAnotherHistoryAreNotMixedIntoACopy() {
     watcher.change(page(new Page.Item<>("n1", at(7), false, "lost"), 7));
     era = 2;
-    Copy<String> changes =
-        new Copy<>(at(5), at(5), false, Map.of("n2", "new"), Map.of("n2", at(5)), List.of("n1"));
+    CopyUpdate<String> changes =
+        new CopyUpdate<>(
+            at(5), at(5), false, Map.of("n2", "new"), Map.of("n2", at(5)), List.of("n1"));
     assertThat(watcher.merge(changes)).isFalse();
     assertThat(watcher.objects()).containsOnlyKeys("n1");
   }
@@ -195,7 +197,7 @@
     assertThat(told.get(0).removed()).containsExactly("n2");
   }
 
-  private static final Succession<String> LATER =
+  private static final MergePolicy<String> LATER =
       (known, shown) -> shown == null || known.compareTo(shown) > 0;
 
   /**
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/SmallWorld.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StoreRollbackModel.java
@@ -18,14 +18,14 @@
  * the other. The store goes back; answers and copies come late. The daemons' rules are the real
  * ones, or the real ones with a flaw.
  */
-final class SmallWorld {
+final class StoreRollbackModel {
 
   private static final String CONFIGURATION = "configuration";
   private static final String NODE = "node";
   private static final int MOST_VERSIONS = 3;
   private static final int MOST_RETURNS = 2;
   private static final int CALLS_UNTIL_AT_REST = 6;
-  private static final Succession<Integer> HIGHER = (known, told) -> told != null && known > told;
+  private static final MergePolicy<Integer> HIGHER = (known, told) -> told != null && known > told;
 
   /** What may happen next, where it can. */
   enum Event {
@@ -45,9 +45,9 @@
     COPY_COMES(world -> world.copy != null && world.copyComes()),
     WATCHER_TAKES_COPY(world -> world.watcher.place().isKnown() && world.watcherTakesCopy());
 
-    private final Predicate<SmallWorld> happens;
+    private final Predicate<StoreRollbackModel> happens;
 
-    Event(Predicate<SmallWorld> happens) {
+    Event(Predicate<StoreRollbackModel> happens) {
       this.happens = happens;
     }
   }
@@ -94,13 +94,13 @@
   private boolean mustList = true;
   private @Nullable Answer list;
   private @Nullable Answer changes;
-  private @Nullable Copy<Integer> copy;
+  private @Nullable CopyUpdate<Integer> copy;
   private int watcherVersion;
   private int followerVersion;
   private boolean wentBack;
   private boolean peersTell = true;
 
-  SmallWorld(Set<Flaw> flaws) {
+  StoreRollbackModel(Set<Flaw> flaws) {
     this.flaws = flaws.isEmpty() ? EnumSet.noneOf(Flaw.class) : EnumSet.copyOf(flaws);
     this.watcher = table();
     this.follower = table();
@@ -109,7 +109,7 @@
 
   private ObjectTable<Integer> table() {
     boolean keepsNone = flaws.contains(Flaw.CONFIGURATION_GOES_BACK);
-    Succession<Integer> succession = keepsNone ? Succession.ofStore() : HIGHER;
+    MergePolicy<Integer> succession = keepsNone ? MergePolicy.ofStore() : HIGHER;
     return new ObjectTable<>(NODE, ObjectTable.Unreadable.NAMES_NOTHING, succession);
   }
 
@@ -254,7 +254,7 @@
   }
 
   private boolean copyComes() {
-    Copy<Integer> told = copy;
+    CopyUpdate<Integer> told = copy;
     copy = null;
     if (told != null) {
       follower.merge(flaws.contains(Flaw.OLD_COPY_MERGED) ? asPresent(told) : told);
@@ -263,11 +263,11 @@
     return true;
   }
 
-  private Copy<Integer> asPresent(Copy<Integer> told) {
+  private CopyUpdate<Integer> asPresent(CopyUpdate<Integer> told) {
     StorePlace present = new StorePlace(follower.place().era(), told.place().revision() + 9);
     Map<String, StorePlace> places = new LinkedHashMap<>();
     told.places().keySet().forEach(name -> places.put(name, present));
-    return new Copy<>(present, present, told.whole(), told.objects(), places, told.removed());
+    return new CopyUpdate<>(present, present, told.whole(), told.objects(), places, told.removed());
   }
 
   private void look() {
