--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonEndpoints.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonEndpoints.java
@@ -6,7 +6,6 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.limit.LimitPermitService;
 import org.fawnvale.serving.limit.TrialPermitService;
-
 import org.fawnvale.serving.store.PeerCopyExchange;
 
 /** What a daemon answers to the balancer, to those who read its figures, and to its peers. */
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -34,30 +34,23 @@
 import org.fawnvale.serving.core.watch.WatchCadence;
 import org.fawnvale.serving.formation.FormationService;
 import org.fawnvale.serving.gateway.Gateway;
-
+import org.fawnvale.serving.gateway.GatewayMetrics;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.HttpReactor;
 import org.fawnvale.serving.http.NodeClient;
 import org.fawnvale.serving.http.Timers;
-
-
-
-import org.fawnvale.serving.peer.Peers;
-import org.fawnvale.serving.spi.Platform;
-import org.fawnvale.serving.store.EraChange;
-
-import org.fawnvale.serving.store.QuarantineStore;
-
-import org.fawnvale.serving.store.StoreWatch;
-
-import org.jspecify.annotations.Nullable;
-import org.fawnvale.serving.gateway.GatewayMetrics;
 import org.fawnvale.serving.limit.LimitPermitService;
 import org.fawnvale.serving.limit.OwnerClient;
 import org.fawnvale.serving.limit.TrialPermitService;
+import org.fawnvale.serving.peer.Peers;
+import org.fawnvale.serving.spi.Platform;
+import org.fawnvale.serving.store.EraChange;
 import org.fawnvale.serving.store.MergePolicy;
 import org.fawnvale.serving.store.PeerCopyExchange;
+import org.fawnvale.serving.store.QuarantineStore;
 import org.fawnvale.serving.store.StoreCallMetrics;
+import org.fawnvale.serving.store.StoreWatch;
+import org.jspecify.annotations.Nullable;
 
 /** An entry daemon: gateway, store copies, peers and, while it leads, the formation of groups. */
 public final class ServingDaemon {
@@ -154,7 +147,8 @@
         new Owners(new Owners.Daemon(settings.name(), settings.address(), settings.dataCentre()));
     SharedLimits limits = new SharedLimits(owners);
     this.gate = new UpstreamGate(limits);
-    OwnerClient ownerCalls = new OwnerClient(client, timers, settings.peerPort() + COPY_PORT_OFFSET);
+    OwnerClient ownerCalls =
+        new OwnerClient(client, timers, settings.peerPort() + COPY_PORT_OFFSET);
     this.limitDesk = new LimitPermitService(ownerCalls, limits, registry);
     this.dispatcher = new Dispatcher(settings.dataCentre(), gate, System::nanoTime);
     dispatcher.connected(client::hasRested);
@@ -274,8 +268,10 @@
         new DaemonEndpoints(
             platform.readyPath(), registry, nodeCopies, configurationCopies, limitDesk, trialDesk);
     reactor.listen(
-        settings.ready(), () -> new SimpleResponseHandler(guard, target -> pages.ready(target, isReady())));
-    reactor.listen(settings.metrics(), () -> new SimpleResponseHandler(guard, target -> pages.figures()));
+        settings.ready(),
+        () -> new SimpleResponseHandler(guard, target -> pages.ready(target, isReady())));
+    reactor.listen(
+        settings.metrics(), () -> new SimpleResponseHandler(guard, target -> pages.figures()));
     Endpoint forPeers = new Endpoint(settings.address(), settings.peerPort() + COPY_PORT_OFFSET);
     reactor.listen(forPeers, () -> new SimpleResponseHandler(guard, pages::forPeers));
   }
@@ -361,7 +357,9 @@
       return new GroupAnnouncements(formation.recentlyOpened(), formation.recentlyClosed());
     }
     PeerNote leader = peers.leadership().leaderNote();
-    return leader == null ? GroupAnnouncements.NOTHING : new GroupAnnouncements(leader.groups(), leader.closed());
+    return leader == null
+        ? GroupAnnouncements.NOTHING
+        : new GroupAnnouncements(leader.groups(), leader.closed());
   }
 
   private Collection<Node> engines() {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/UpstreamSelector.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/UpstreamSelector.java
@@ -56,7 +56,8 @@
    * @param announced the leader's word on groups
    * @return the upstreams
    */
-  List<Node> serving(Collection<Node> nodes, Configuration configuration, GroupAnnouncements announced) {
+  List<Node> serving(
+      Collection<Node> nodes, Configuration configuration, GroupAnnouncements announced) {
     Map<String, Node> serving = new LinkedHashMap<>();
     for (Node node : nodes) {
       ServiceSpec service = configuration.services().get(node.service());
@@ -73,7 +74,10 @@
   }
 
   private void addHeads(
-      Map<String, Node> serving, List<Node> engines, EngineSpec engine, GroupAnnouncements announced) {
+      Map<String, Node> serving,
+      List<Node> engines,
+      EngineSpec engine,
+      GroupAnnouncements announced) {
     Map<GroupKey, ObservedGroup> groups = ObservedGroup.gather(engines);
     seenWhole.retainAll(groups.keySet());
     for (ObservedGroup group : groups.values()) {
