--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
@@ -8,7 +8,7 @@
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeAnswer;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 
 /**
  * Whether this daemon may send anything to a node, by what the node's own answers asked for. A wish
@@ -29,8 +29,8 @@
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
   private final SharedLimits limits;
-  private final Map<NodeLife, Long> restEnds = new HashMap<>();
-  private final Set<NodeLife> leaving = new LinkedHashSet<>();
+  private final Map<NodeIncarnation, Long> restEnds = new HashMap<>();
+  private final Set<NodeIncarnation> leaving = new LinkedHashSet<>();
 
   /**
    * Creates a gate.
@@ -68,7 +68,7 @@
    * @param nowNanos the steady time
    * @return what was new
    */
-  public News hear(NodeLife life, NodeAnswer said, long nowNanos) {
+  public News hear(NodeIncarnation life, NodeAnswer said, long nowNanos) {
     boolean rests = said.restMillis() > 0 && rest(life, said.restMillis(), nowNanos);
     if (said.leaving() && leaving.add(life)) {
       forgetFirst(leaving);
@@ -78,7 +78,7 @@
   }
 
   /** Of two wishes for rest the one that ends later holds. */
-  private boolean rest(NodeLife life, long millis, long nowNanos) {
+  private boolean rest(NodeIncarnation life, long millis, long nowNanos) {
     restEnds.values().removeIf(end -> end - nowNanos <= 0);
     long end = nowNanos + millis * NANOS_PER_MILLI;
     Long before = restEnds.get(life);
@@ -90,7 +90,7 @@
     return true;
   }
 
-  private static void forgetFirst(Set<NodeLife> lives) {
+  private static void forgetFirst(Set<NodeIncarnation> lives) {
     if (lives.size() > MOST_LIVES) {
       lives.remove(lives.iterator().next());
     }
@@ -103,7 +103,7 @@
    * @param nowNanos the steady time
    * @return false while it rests, and once it has said that it leaves
    */
-  public boolean takesRequests(NodeLife life, long nowNanos) {
+  public boolean takesRequests(NodeIncarnation life, long nowNanos) {
     return !isLeaving(life) && !rests(life, nowNanos);
   }
 
@@ -114,7 +114,7 @@
    * @param nowNanos the steady time
    * @return true while it rests
    */
-  public boolean rests(NodeLife life, long nowNanos) {
+  public boolean rests(NodeIncarnation life, long nowNanos) {
     Long end = restEnds.get(life);
     return end != null && end - nowNanos > 0;
   }
@@ -125,7 +125,7 @@
    * @param life the node's life
    * @return true once it has
    */
-  public boolean isLeaving(NodeLife life) {
+  public boolean isLeaving(NodeIncarnation life) {
     return leaving.contains(life);
   }
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/NodeReport.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/NodeReport.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -13,7 +13,7 @@
  * @param staged the models on its host
  * @param membership its place in a group; null when it has none
  * @param orders the orders that it has taken in this life
- * @param startedMillis when this life began; {@link NodeLife#UNTOLD} when it does not tell
+ * @param startedMillis when this life began; {@link NodeIncarnation#UNTOLD} when it does not tell
  */
 public record NodeReport(
     @Nullable String model,
@@ -30,7 +30,7 @@
    */
   boolean isOf(Node node) {
     long known = node.life().startedMillis();
-    boolean untold = startedMillis == NodeLife.UNTOLD || known == NodeLife.UNTOLD;
+    boolean untold = startedMillis == NodeIncarnation.UNTOLD || known == NodeIncarnation.UNTOLD;
     return untold || startedMillis == known;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/KnownLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/KnownLimits.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.StatedLimit;
 import org.jspecify.annotations.Nullable;
 
@@ -48,7 +48,7 @@
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  private final Map<NodeLife, Entry> entries = new LinkedHashMap<>();
+  private final Map<NodeIncarnation, Entry> entries = new LinkedHashMap<>();
   private int inForce;
   private int turn;
   private boolean news;
@@ -85,7 +85,7 @@
    * @param life the node's life
    * @return requests a second; {@link LimitNote#OVER} when it has none
    */
-  public double of(NodeLife life) {
+  public double of(NodeIncarnation life) {
     if (inForce == 0) {
       return LimitNote.OVER;
     }
@@ -99,7 +99,7 @@
    * @param life the node's life
    * @return its stamp; {@link #UNKNOWN} when nothing is known
    */
-  public int stamp(NodeLife life) {
+  public int stamp(NodeIncarnation life) {
     Entry entry = entries.get(life);
     return entry == null ? UNKNOWN : entry.stamp;
   }
@@ -124,7 +124,11 @@
    * @return what was new
    */
   public Change hear(
-      NodeLife life, @Nullable StatedLimit said, int sentStamp, boolean mayEnd, long nowNanos) {
+      NodeIncarnation life,
+      @Nullable StatedLimit said,
+      int sentStamp,
+      boolean mayEnd,
+      long nowNanos) {
     Entry entry = entries.get(life);
     boolean isNewest = entry == null || sentStamp >= entry.stamp;
     if (said == null) {
@@ -143,14 +147,15 @@
         : Change.NONE;
   }
 
-  private Change hearClean(NodeLife life, Entry entry, long nowNanos) {
+  private Change hearClean(NodeIncarnation life, Entry entry, long nowNanos) {
     entry.clean++;
     return entry.clean < CLEAN_ANSWERS
         ? Change.NONE
         : change(life, LimitNote.OVER, entry.stamp + 1, true, nowNanos);
   }
 
-  private Change change(NodeLife life, double perSecond, int stamp, boolean own, long nowNanos) {
+  private Change change(
+      NodeIncarnation life, double perSecond, int stamp, boolean own, long nowNanos) {
     Entry entry = entries.computeIfAbsent(life, any -> new Entry());
     boolean was = !entry.isOver();
     news |= own && perSecond < entry.perSecond;
@@ -266,12 +271,12 @@
    * @param nowNanos the steady time
    * @return a note; null when nothing is known
    */
-  public @Nullable LimitNote noteOf(NodeLife life, long nowNanos) {
+  public @Nullable LimitNote noteOf(NodeIncarnation life, long nowNanos) {
     Entry entry = entries.get(life);
     return entry == null ? null : note(life, entry, nowNanos);
   }
 
-  private static LimitNote note(NodeLife life, Entry entry, long nowNanos) {
+  private static LimitNote note(NodeIncarnation life, Entry entry, long nowNanos) {
     long age = Math.max(0, nowNanos - entry.shownNanos) / NANOS_PER_MILLI;
     return new LimitNote(life, entry.stamp, entry.perSecond, age);
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/LimitNote.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/LimitNote.java
@@ -1,6 +1,6 @@
 package org.fawnvale.serving.core.limit;
 
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 
 /**
  * What one daemon tells others of the limit that a node names.
@@ -12,7 +12,7 @@
  *     #OVER} when it names no limit any more
  * @param ageMillis how long ago a daemon last got an answer that shows it, in milliseconds
  */
-public record LimitNote(NodeLife life, int stamp, double perSecond, long ageMillis) {
+public record LimitNote(NodeIncarnation life, int stamp, double perSecond, long ageMillis) {
 
   /** The limit of a node that names none any more. */
   public static final double OVER = Double.POSITIVE_INFINITY;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeAnswer;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.peer.Owners;
 import org.jspecify.annotations.Nullable;
 
@@ -25,9 +25,9 @@
 
   private final KnownLimits known = new KnownLimits();
   private final Owners owners;
-  private final Map<NodeLife, Owned> buckets = new HashMap<>();
-  private final Map<NodeLife, Leave> leaves = new HashMap<>();
-  private final Map<NodeLife, Long> askAgain = new HashMap<>();
+  private final Map<NodeIncarnation, Owned> buckets = new HashMap<>();
+  private final Map<NodeIncarnation, Leave> leaves = new HashMap<>();
+  private final Map<NodeIncarnation, Long> askAgain = new HashMap<>();
 
   private record Owned(String dataCentre, TokenBucket bucket) {}
 
@@ -91,7 +91,7 @@
    * @return what was new
    */
   public KnownLimits.Change hear(
-      NodeLife life, NodeAnswer said, int sentStamp, boolean isCallers, long nowNanos) {
+      NodeIncarnation life, NodeAnswer said, int sentStamp, boolean isCallers, long nowNanos) {
     boolean success = said.status() >= SUCCESS && said.status() < REDIRECT;
     return settle(life, known.hear(life, said.limit(), sentStamp, isCallers && success, nowNanos));
   }
@@ -107,7 +107,7 @@
     return settle(told.life(), known.learn(told, nowNanos));
   }
 
-  private KnownLimits.Change settle(NodeLife life, KnownLimits.Change change) {
+  private KnownLimits.Change settle(NodeIncarnation life, KnownLimits.Change change) {
     if (change == KnownLimits.Change.ENDED) {
       buckets.remove(life);
       leaves.remove(life);
@@ -127,7 +127,7 @@
     askAgain.clear();
   }
 
-  private boolean isSpentHere(NodeLife life, Owned owned) {
+  private boolean isSpentHere(NodeIncarnation life, Owned owned) {
     return known.of(life) != LimitNote.OVER && owners.isOwn(life.id(), owned.dataCentre());
   }
 
@@ -151,19 +151,19 @@
     return owners.isOwn(node.id(), node.dataCentre()) ? Room.HERE : Room.ASK;
   }
 
-  private TokenBucket bucket(NodeLife life, String dataCentre, long nowNanos) {
+  private TokenBucket bucket(NodeIncarnation life, String dataCentre, long nowNanos) {
     return buckets
         .computeIfAbsent(
             life, any -> new Owned(dataCentre, new TokenBucket(owners.decidesFromNanos(nowNanos))))
         .bucket();
   }
 
-  private boolean holdsLeave(NodeLife life, long nowNanos) {
+  private boolean holdsLeave(NodeIncarnation life, long nowNanos) {
     Leave leave = leaves.get(life);
     return leave != null && leave.untilNanos() - nowNanos > 0;
   }
 
-  private long waitsToAsk(NodeLife life, long nowNanos) {
+  private long waitsToAsk(NodeIncarnation life, long nowNanos) {
     Long again = askAgain.get(life);
     return again == null ? 0 : Math.max(0, again - nowNanos);
   }
@@ -188,7 +188,7 @@
         && bucket(node.life(), node.dataCentre(), nowNanos).take(limit, owners.share(), nowNanos);
   }
 
-  private void useLeave(NodeLife life) {
+  private void useLeave(NodeIncarnation life) {
     leaves.computeIfPresent(
         life,
         (any, leave) ->
@@ -213,7 +213,7 @@
    * @param nowNanos the steady time
    * @return the reply
    */
-  public Reply ask(NodeLife life, String dataCentre, long nowNanos) {
+  public Reply ask(NodeIncarnation life, String dataCentre, long nowNanos) {
     double limit = known.of(life);
     if (limit == LimitNote.OVER || !owners.isOwn(life.id(), dataCentre)) {
       return new NotOwned();
@@ -230,7 +230,7 @@
    * @param life the node's life
    * @param nowNanos the steady time
    */
-  public void granted(NodeLife life, long nowNanos) {
+  public void granted(NodeIncarnation life, long nowNanos) {
     leaves.values().removeIf(leave -> leave.untilNanos() - nowNanos <= 0);
     int before = holdsLeave(life, nowNanos) ? leaves.get(life).requests() : 0;
     leaves.put(life, new Leave(before + 1, nowNanos + LEAVE_NANOS));
@@ -243,7 +243,7 @@
    * @param nanos when to ask again, in nanoseconds from now
    * @param nowNanos the steady time
    */
-  public void denied(NodeLife life, long nanos, long nowNanos) {
+  public void denied(NodeIncarnation life, long nanos, long nowNanos) {
     askAgain.values().removeIf(again -> again - nowNanos <= 0);
     askAgain.put(life, nowNanos + nanos);
   }
@@ -285,7 +285,7 @@
    * @param nowNanos the steady time
    * @return a note; null when nothing is known
    */
-  public @Nullable LimitNote noteOf(NodeLife life, long nowNanos) {
+  public @Nullable LimitNote noteOf(NodeIncarnation life, long nowNanos) {
     return known.noteOf(life, nowNanos);
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Lives.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Lives.java
@@ -12,7 +12,7 @@
  */
 public final class Lives {
 
-  private final Map<String, NodeLife> last = new HashMap<>();
+  private final Map<String, NodeIncarnation> last = new HashMap<>();
 
   /**
    * Takes nodes in.
@@ -23,7 +23,7 @@
   public Set<String> learn(Collection<Node> nodes) {
     Set<String> begunAnew = new HashSet<>();
     for (Node node : nodes) {
-      NodeLife before = last.put(node.id(), node.life());
+      NodeIncarnation before = last.put(node.id(), node.life());
       if (before != null && !before.equals(node.life())) {
         begunAnew.add(node.id());
       }
@@ -38,7 +38,7 @@
    * @return false once a later life of its id was seen
    */
   public boolean isCurrent(Node node) {
-    NodeLife seen = last.get(node.id());
+    NodeIncarnation seen = last.get(node.id());
     return seen == null || seen.equals(node.life());
   }
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Node.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Node.java
@@ -18,7 +18,7 @@
  * @param membership its place in a group; null when it has none
  */
 public record Node(
-    NodeLife life,
+    NodeIncarnation life,
     String service,
     Endpoint endpoint,
     String dataCentre,
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/NodeLife.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/NodeIncarnation.java
@@ -8,7 +8,7 @@
  * @param startedMillis when it started, in milliseconds of Unix time as it tells it; {@link
  *     #UNTOLD} when it does not tell
  */
-public record NodeLife(String id, long startedMillis) {
+public record NodeIncarnation(String id, long startedMillis) {
 
   /** The start of a node that does not tell when it started: each of its ids has one life. */
   public static final long UNTOLD = 0;
@@ -19,7 +19,7 @@
    * @param id the id
    * @return the life
    */
-  public static NodeLife only(String id) {
-    return new NodeLife(id, UNTOLD);
+  public static NodeIncarnation only(String id) {
+    return new NodeIncarnation(id, UNTOLD);
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/Quarantine.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/Quarantine.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -201,7 +201,7 @@
    * @param nowNanos the steady time
    * @return how many ends are held against the request now
    */
-  public int ended(Fingerprint fingerprint, NodeLife life, long nowNanos) {
+  public int ended(Fingerprint fingerprint, NodeIncarnation life, long nowNanos) {
     return learn(new RequestRecord(fingerprint, Set.of(life), Set.of()), true, nowNanos);
   }
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/RequestRecord.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/RequestRecord.java
@@ -2,7 +2,7 @@
 
 import java.util.HashSet;
 import java.util.Set;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 
 /**
  * What is known of one request that was running where a node ended. Records are merged by union, so
@@ -12,7 +12,8 @@
  * @param ended lives of nodes that ended while they ran it
  * @param excused those of them that are not held against it, since it has been answered later
  */
-public record RequestRecord(Fingerprint fingerprint, Set<NodeLife> ended, Set<NodeLife> excused) {
+public record RequestRecord(
+    Fingerprint fingerprint, Set<NodeIncarnation> ended, Set<NodeIncarnation> excused) {
 
   /**
    * Nodes whose end is held against the request.
@@ -21,7 +22,7 @@
    */
   public int count() {
     int count = 0;
-    for (NodeLife life : ended) {
+    for (NodeIncarnation life : ended) {
       count += excused.contains(life) ? 0 : 1;
     }
     return count;
@@ -37,11 +38,11 @@
     return new RequestRecord(fingerprint, union(ended, other.ended), union(excused, other.excused));
   }
 
-  private static Set<NodeLife> union(Set<NodeLife> one, Set<NodeLife> other) {
+  private static Set<NodeIncarnation> union(Set<NodeIncarnation> one, Set<NodeIncarnation> other) {
     if (one.containsAll(other)) {
       return one;
     }
-    Set<NodeLife> both = new HashSet<>(one);
+    Set<NodeIncarnation> both = new HashSet<>(one);
     both.addAll(other);
     return Set.copyOf(both);
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ConnectionReuseTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ConnectionReuseTest.java
@@ -15,7 +15,7 @@
 import org.fawnvale.serving.core.model.MemberState;
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.peer.Owners;
 import org.junit.jupiter.api.Test;
 
@@ -58,7 +58,7 @@
 
   private static Node head(int number) {
     return new Node(
-        NodeLife.only("h" + number),
+        NodeIncarnation.only("h" + number),
         "engines",
         new Endpoint("10.0.0.1", 1 + number),
         "here",
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
@@ -14,7 +14,7 @@
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeAnswer;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.peer.Owners;
 import org.junit.jupiter.api.Test;
 
@@ -33,7 +33,7 @@
 
   private static Node head(String id, String dataCentre) {
     return new Node(
-        NodeLife.only(id),
+        NodeIncarnation.only(id),
         "engines",
         new Endpoint("10.0.0.1", 1),
         dataCentre,
@@ -79,7 +79,7 @@
   void aPlainUpstreamIsFullOnlyWithTwoWaitingForEachSlot() {
     Node plain =
         new Node(
-            NodeLife.only("p"),
+            NodeIncarnation.only("p"),
             "plain",
             new Endpoint("10.0.0.1", 1),
             "here",
@@ -165,7 +165,7 @@
   void headsThatRestAreLeftOutHoweverEmptyTheyLook() {
     dispatcher.serve(List.of(head("a", "here"), head("b", "here")));
     dispatcher.peersInFlight(Map.of("b", SLOTS - 1));
-    gate.hear(NodeLife.only("a"), restOf(3_000), now.get());
+    gate.hear(NodeIncarnation.only("a"), restOf(3_000), now.get());
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
     dispatcher.peersInFlight(Map.of("b", SLOTS));
     assertThat(dispatcher.choose(FIRST, Set.of())).isInstanceOf(Choice.Refuse.class);
@@ -176,8 +176,8 @@
   @Test
   void whereAllRestTheRefusalTellsWhenTheFirstMayBeAskedAgain() {
     dispatcher.serve(List.of(head("a", "here"), head("b", "here")));
-    gate.hear(NodeLife.only("a"), restOf(3_000), now.get());
-    gate.hear(NodeLife.only("b"), restOf(1_000), now.get());
+    gate.hear(NodeIncarnation.only("a"), restOf(3_000), now.get());
+    gate.hear(NodeIncarnation.only("b"), restOf(1_000), now.get());
     now.set(200 * MILLI);
     Choice choice = dispatcher.choose(FIRST, Set.of("b"));
     assertThat(choice)
@@ -229,7 +229,7 @@
   @Test
   void othersAreToldOfThoseThatRestAndThoseThatTurnAwayAThirdTime() {
     dispatcher.serve(List.of(head("a", "here"), head("b", "here"), head("c", "here")));
-    gate.hear(NodeLife.only("c"), restOf(10_000), now.get());
+    gate.hear(NodeIncarnation.only("c"), restOf(10_000), now.get());
     UpstreamState turning = dispatcher.state("a");
     turning.turnedAway(now.get());
     now.set(100 * MILLI);
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadPlay.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadPlay.java
@@ -24,7 +24,7 @@
 import org.fawnvale.serving.core.model.ModelSpec;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeAnswer;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.RequestSize;
 import org.fawnvale.serving.core.peer.Owners;
 
@@ -232,7 +232,7 @@
 
   private Node head(int number) {
     return new Node(
-        NodeLife.only("h" + number),
+        NodeIncarnation.only("h" + number),
         "engines",
         new Endpoint("10.0.0.1", 1 + number),
         "dc" + number % DATA_CENTRES,
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/UpstreamGateTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/UpstreamGateTest.java
@@ -7,7 +7,7 @@
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeAnswer;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.peer.Owners;
 import org.junit.jupiter.api.Test;
 
@@ -19,7 +19,7 @@
   /** The steady time may begin anywhere, below zero too. */
   private static final long START = -5 * SECOND;
 
-  private static final NodeLife LIFE = new NodeLife("n", 1);
+  private static final NodeIncarnation LIFE = new NodeIncarnation("n", 1);
   private static final NodeAnswer LEAVES = new NodeAnswer(200, false, true, 0, null, null);
   private static final NodeAnswer PLAIN = new NodeAnswer(200, false, false, 0, null, null);
 
@@ -30,7 +30,7 @@
     return new NodeAnswer(503, true, false, millis, null, null);
   }
 
-  private static Node node(NodeLife life) {
+  private static Node node(NodeIncarnation life) {
     Endpoint endpoint = new Endpoint("10.0.0.1", 80);
     return new Node(life, "s", endpoint, "a", 1, false, "", null, List.of(), null);
   }
@@ -65,7 +65,7 @@
   void aNewLifeUnderTheSameIdHasAskedForNothing() {
     gate.hear(LIFE, restOf(3_000), START);
     gate.hear(LIFE, LEAVES, START);
-    assertThat(gate.takesRequests(new NodeLife("n", 2), START + 1)).isTrue();
+    assertThat(gate.takesRequests(new NodeIncarnation("n", 2), START + 1)).isTrue();
   }
 
   @Test
@@ -78,10 +78,10 @@
 
   @Test
   void theFirstEndOfSomeRestsIsTold() {
-    NodeLife other = new NodeLife("m", 1);
+    NodeIncarnation other = new NodeIncarnation("m", 1);
     gate.hear(LIFE, restOf(3_000), START);
     gate.hear(other, restOf(2_000), START);
-    List<Node> nodes = List.of(node(LIFE), node(other), node(new NodeLife("free", 1)));
+    List<Node> nodes = List.of(node(LIFE), node(other), node(new NodeIncarnation("free", 1)));
     assertThat(gate.nanosToFirstEnd(nodes, START + SECOND)).isEqualTo(SECOND);
     assertThat(gate.nanosToFirstEnd(nodes, START + 3 * SECOND)).isEqualTo(UpstreamGate.NOW);
   }
@@ -89,11 +89,11 @@
   @Test
   void whatIsKeptIsBounded() {
     for (int number = 0; number < 40_000; number++) {
-      gate.hear(new NodeLife("n" + number, 1), restOf(60_000), START);
-      gate.hear(new NodeLife("n" + number, 1), LEAVES, START);
+      gate.hear(new NodeIncarnation("n" + number, 1), restOf(60_000), START);
+      gate.hear(new NodeIncarnation("n" + number, 1), LEAVES, START);
     }
     assertThat(gate.resting(START)).isEqualTo(16_384);
     assertThat(gate.leaving()).isEqualTo(16_384);
-    assertThat(gate.takesRequests(new NodeLife("n39999", 1), START)).isFalse();
+    assertThat(gate.takesRequests(new NodeIncarnation("n39999", 1), START)).isFalse();
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/ExchangePolicyTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/ExchangePolicyTest.java
@@ -10,7 +10,7 @@
 import org.fawnvale.serving.core.model.MemberState;
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -39,7 +39,7 @@
   private static Node node(int group, int rank) {
     MemberState state = rank == 0 ? MemberState.OPEN : MemberState.READY;
     return new Node(
-        NodeLife.only("n" + group + rank),
+        NodeIncarnation.only("n" + group + rank),
         "engines",
         new Endpoint("10.0.0.1", 1),
         "here",
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/MixPlannerTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/MixPlannerTest.java
@@ -11,7 +11,7 @@
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.model.EngineSpec;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.junit.jupiter.api.Test;
 
 /** How many groups of each model the free nodes form. */
@@ -24,7 +24,7 @@
   static Node node(String id, String domain, String model, String... staged) {
     Endpoint endpoint = new Endpoint("10.0.0.1", 1);
     return new Node(
-        NodeLife.only(id),
+        NodeIncarnation.only(id),
         "engines",
         endpoint,
         "here",
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodesThatStartAgainTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodesThatStartAgainTest.java
@@ -10,7 +10,7 @@
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.Policy;
 import org.fawnvale.serving.core.peer.Owners;
 import org.junit.jupiter.api.BeforeEach;
@@ -149,7 +149,7 @@
 
   private static Node node(long started, String model) {
     Endpoint endpoint = new Endpoint("127.0.0.1", 1);
-    NodeLife life = new NodeLife("n", started);
+    NodeIncarnation life = new NodeIncarnation("n", started);
     return new Node(life, "s", endpoint, "a", 1, false, "d", model, List.of(), null);
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
@@ -10,7 +10,7 @@
 import org.fawnvale.serving.core.model.MemberState;
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePlace;
 import org.junit.jupiter.api.Test;
@@ -28,7 +28,7 @@
 
   private static Node node(String id, long started) {
     return new Node(
-        new NodeLife(id, started),
+        new NodeIncarnation(id, started),
         "stock",
         new Endpoint("127.0.0.1", 1),
         "a",
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/SimulatedNodes.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/SimulatedNodes.java
@@ -18,7 +18,7 @@
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.ModelSpec;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 
 /**
  * Nodes that follow the published rules of orders, in virtual time, and the oracle that watches two
@@ -215,7 +215,7 @@
         life.group == null ? null : new Membership(life.group, life.epoch, life.rank, life.state);
     List<String> staged = life.staged == null ? List.of() : List.of(life.staged);
     return new Node(
-        new NodeLife(life.id, life.startedMillis),
+        new NodeIncarnation(life.id, life.startedMillis),
         "engines",
         new Endpoint("127.0.0.1", 1),
         "a",
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/KnownLimitsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/KnownLimitsTest.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.Random;
 import org.fawnvale.serving.core.limit.KnownLimits.Change;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.StatedLimit;
 import org.junit.jupiter.api.Test;
 
 /** What is known of limits, by answers and by what others tell. */
 class KnownLimitsTest {
 
-  private static final NodeLife NODE = NodeLife.only("n1");
+  private static final NodeIncarnation NODE = NodeIncarnation.only("n1");
   private static final long SECOND = 1_000_000_000L;
 
   private final KnownLimits known = new KnownLimits();
@@ -36,7 +36,7 @@
     assertThat(names(1.6, KnownLimits.UNKNOWN)).isEqualTo(Change.NAMED);
     assertThat(names(1.6, KnownLimits.UNKNOWN)).isEqualTo(Change.NONE);
     assertThat(known.of(NODE)).isEqualTo(1.6);
-    assertThat(known.of(NodeLife.only("n2"))).isEqualTo(LimitNote.OVER);
+    assertThat(known.of(NodeIncarnation.only("n2"))).isEqualTo(LimitNote.OVER);
   }
 
   @Test
@@ -104,7 +104,7 @@
   @Test
   void aNewLifeHasNone() {
     names(1, KnownLimits.UNKNOWN);
-    assertThat(known.of(new NodeLife(NODE.id(), 7))).isEqualTo(LimitNote.OVER);
+    assertThat(known.of(new NodeIncarnation(NODE.id(), 7))).isEqualTo(LimitNote.OVER);
   }
 
   @Test
@@ -160,7 +160,7 @@
   @Test
   void limitsWithoutEndFillNeitherMemoryNorNotes() {
     for (int number = 0; number < 20_000; number++) {
-      NodeLife life = NodeLife.only("n" + number);
+      NodeIncarnation life = NodeIncarnation.only("n" + number);
       known.hear(life, StatedLimit.of(1, "1"), KnownLimits.UNKNOWN, true, SECOND);
       if (number % 1_000 == 0) {
         assertThat(known.toTell(true, SECOND)).hasSizeLessThanOrEqualTo(40);
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/LimitPlay.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/LimitPlay.java
@@ -10,7 +10,7 @@
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeAnswer;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.StatedLimit;
 import org.fawnvale.serving.core.peer.Owners;
 
@@ -38,7 +38,7 @@
       new PriorityQueue<>((one, other) -> Long.compare(one.at(), other.at()));
   private final Node node =
       new Node(
-          NodeLife.only("n1"),
+          NodeIncarnation.only("n1"),
           "s",
           new Endpoint("10.0.0.1", 1),
           "dc0",
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/BarredAwayFromTheLeaderTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/BarredAwayFromTheLeaderTest.java
@@ -4,7 +4,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.peer.Owners;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -42,7 +42,7 @@
     }
     inTouch(0, DAEMONS);
     for (int end = 1; end <= Quarantine.MOST_ENDS; end++) {
-      daemons.get(end).ended(SHEET, NodeLife.only("n" + end), 0);
+      daemons.get(end).ended(SHEET, NodeIncarnation.only("n" + end), 0);
       tellAll(daemons.get(end), 0);
     }
   }
@@ -94,7 +94,7 @@
   @Test
   void aGuiltyOneEndsOneNodeMore() {
     assertThat(trialsUntil(120 * SECOND, ALL)).isEqualTo(1);
-    daemons.get(5).ended(SHEET, NodeLife.only("n4"), 61 * SECOND);
+    daemons.get(5).ended(SHEET, NodeIncarnation.only("n4"), 61 * SECOND);
     tellAll(daemons.get(5), 61 * SECOND);
     for (Quarantine daemon : daemons) {
       assertThat(daemon.isWorthATrial(SHEET, 900 * SECOND)).isFalse();
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/HarmlessRequestsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/HarmlessRequestsTest.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -126,7 +126,7 @@
     private void end(int head, int now) {
       lives++;
       downUntil[head] = now + DOWN_MILLIS;
-      NodeLife life = NodeLife.only("n" + lives);
+      NodeIncarnation life = NodeIncarnation.only("n" + lives);
       for (Running request : List.copyOf(running)) {
         if (request.head == head) {
           quarantine.ended(request.fingerprint, life, now * MILLI);
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.junit.jupiter.api.Test;
 
 /** Which requests are sent to no node any more, and which are not held guilty. */
@@ -18,8 +18,8 @@
 
   private final Quarantine quarantine = new Quarantine();
 
-  private static NodeLife life(int number) {
-    return NodeLife.only("n" + number);
+  private static NodeIncarnation life(int number) {
+    return NodeIncarnation.only("n" + number);
   }
 
   @Test
@@ -43,7 +43,7 @@
   @Test
   void aNodeThatHasStartedAgainUnderItsIdEndsAnew() {
     for (long started = 1; started <= 3; started++) {
-      quarantine.ended(SHEET, new NodeLife("n1", started), 0);
+      quarantine.ended(SHEET, new NodeIncarnation("n1", started), 0);
     }
     assertThat(quarantine.isBarred(SHEET, 0)).isTrue();
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/SpreadInLargeFleetsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/SpreadInLargeFleetsTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.peer.NoteRouting;
 import org.junit.jupiter.api.Test;
 
@@ -93,7 +93,7 @@
       start(count, run);
       for (int end = 0; end < Quarantine.MOST_ENDS; end++) {
         Daemon witness = daemons.get(count - 1 - end);
-        witness.quarantine.ended(SHEET, NodeLife.only("n" + end), now);
+        witness.quarantine.ended(SHEET, NodeIncarnation.only("n" + end), now);
       }
       longest = Math.max(longest, millisUntilAllRefuse(lost));
     }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/LeavingNewsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/LeavingNewsTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.junit.jupiter.api.Test;
 
 /** What other daemons must hear at once. */
@@ -15,7 +15,8 @@
 
   private static Node node(String id) {
     Endpoint endpoint = new Endpoint("127.0.0.1", 1);
-    return new Node(NodeLife.only(id), "stock", endpoint, "a", 6, false, "", null, List.of(), null);
+    return new Node(
+        NodeIncarnation.only(id), "stock", endpoint, "a", 6, false, "", null, List.of(), null);
   }
 
   @Test
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
@@ -9,7 +9,7 @@
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.limit.KnownLimits;
 import org.fawnvale.serving.core.limit.LimitNote;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.StatedLimit;
 import org.jspecify.annotations.Nullable;
 
@@ -51,7 +51,8 @@
    * @param change what was new
    * @param said the limit that the answer names; null when it names none
    */
-  public void answered(NodeLife life, KnownLimits.Change change, @Nullable StatedLimit said) {
+  public void answered(
+      NodeIncarnation life, KnownLimits.Change change, @Nullable StatedLimit said) {
     if (change == KnownLimits.Change.NONE) {
       return;
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
@@ -16,7 +16,7 @@
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeAnswer;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.spi.Call;
 
 /**
@@ -83,7 +83,7 @@
    * @return the exchange, which can be cancelled
    */
   public ClientExchange send(Node node, HttpRequest request, byte[] body, NodeListener listener) {
-    NodeLife life = node.life();
+    NodeIncarnation life = node.life();
     BooleanSupplier mayWrite = () -> gate.letThrough(node, System.nanoTime());
     return client.send(
         node.endpoint(),
@@ -103,7 +103,7 @@
    * @param done told once what came of it, while the guard is held
    */
   public void call(Node node, Call call, long timeoutMillis, Consumer<WholeCall.Reply> done) {
-    NodeLife life = node.life();
+    NodeIncarnation life = node.life();
     Endpoint endpoint = node.endpoint();
     BooleanSupplier mayWrite = () -> !gate.rests(life, System.nanoTime());
     WholeCall.Sender sender =
@@ -136,7 +136,7 @@
     client.distrust(endpoint);
   }
 
-  private void hear(NodeLife life, NodeAnswer said) {
+  private void hear(NodeIncarnation life, NodeAnswer said) {
     switch (gate.hear(life, said, System.nanoTime())) {
       case RESTS -> {
         rests.increment();
@@ -155,14 +155,14 @@
 
   /** Tells the gate what an answer says before its receiver decides anything. */
   private final class Hearing implements ClientListener {
-    private final NodeLife life;
+    private final NodeIncarnation life;
     private final AnswerListener receiver;
     private final BiConsumer<HttpResponse, NodeAnswer> headReceiver;
     private final boolean isCallers;
     private final int limitStamp;
 
     Hearing(
-        NodeLife life,
+        NodeIncarnation life,
         AnswerListener receiver,
         BiConsumer<HttpResponse, NodeAnswer> headReceiver,
         boolean isCallers) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitNoteCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitNoteCodec.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.fawnvale.serving.core.limit.LimitNote;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
 
@@ -43,7 +43,7 @@
     List<LimitNote> notes = new ArrayList<>();
     for (int index = 0; index < count; index++) {
       String id = in.unpackString();
-      NodeLife life = new NodeLife(id, in.unpackLong());
+      NodeIncarnation life = new NodeIncarnation(id, in.unpackLong());
       int stamp = in.unpackInt();
       double perSecond = in.unpackDouble();
       notes.add(new LimitNote(life, stamp, perSecond, in.unpackLong()));
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/RecordCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/RecordCodec.java
@@ -5,7 +5,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.core.quarantine.RequestRecord;
 import org.msgpack.core.MessageBufferPacker;
@@ -25,10 +25,10 @@
     }
   }
 
-  private static void writeLives(MessageBufferPacker packer, Set<NodeLife> lives)
+  private static void writeLives(MessageBufferPacker packer, Set<NodeIncarnation> lives)
       throws IOException {
     packer.packArrayHeader(lives.size());
-    for (NodeLife life : lives) {
+    for (NodeIncarnation life : lives) {
       packer.packString(life.id());
       packer.packLong(life.startedMillis());
     }
@@ -39,18 +39,18 @@
     List<RequestRecord> records = new ArrayList<>();
     for (int index = 0; index < count; index++) {
       Fingerprint fingerprint = new Fingerprint(in.unpackLong());
-      Set<NodeLife> ended = readLives(in);
+      Set<NodeIncarnation> ended = readLives(in);
       records.add(new RequestRecord(fingerprint, ended, readLives(in)));
     }
     return records;
   }
 
-  private static Set<NodeLife> readLives(MessageUnpacker in) throws IOException {
+  private static Set<NodeIncarnation> readLives(MessageUnpacker in) throws IOException {
     int count = in.unpackArrayHeader();
-    Set<NodeLife> lives = new HashSet<>();
+    Set<NodeIncarnation> lives = new HashSet<>();
     for (int index = 0; index < count; index++) {
       String id = in.unpackString();
-      lives.add(new NodeLife(id, in.unpackLong()));
+      lives.add(new NodeIncarnation(id, in.unpackLong()));
     }
     return Set.copyOf(lives);
   }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/FleetTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/FleetTest.java
@@ -11,7 +11,7 @@
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.ModelSpec;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.RequestSize;
 import org.fawnvale.serving.core.model.ServiceSpec;
 import org.fawnvale.serving.core.peer.PeerNote;
@@ -44,7 +44,7 @@
 
   private static Node member(String id, int rank, MemberState state) {
     return new Node(
-        NodeLife.only(id),
+        NodeIncarnation.only(id),
         "engines",
         new Endpoint("10.0.0.1", 1),
         "here",
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RepeatsThatEndNodesTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RepeatsThatEndNodesTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import org.apache.hc.core5.http.message.BasicHttpRequest;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.Workspace;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.core.quarantine.RequestRecord;
@@ -140,8 +140,9 @@
     return Fingerprints.of(head, bytes, new Workspace("garden", 1));
   }
 
-  private static Set<NodeLife> lives() {
-    return Set.of(NodeLife.only("x1"), NodeLife.only("x2"), NodeLife.only("x3"));
+  private static Set<NodeIncarnation> lives() {
+    return Set.of(
+        NodeIncarnation.only("x1"), NodeIncarnation.only("x2"), NodeIncarnation.only("x3"));
   }
 
   private CompletableFuture<Integer> askLater(String path, String body) {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
@@ -13,7 +13,7 @@
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.Settings;
 import org.fawnvale.serving.core.peer.Owners;
 import org.fawnvale.serving.core.route.RouteTable;
@@ -81,7 +81,7 @@
   void serve(List<ScriptedUpstream> upstreams, String model) {
     List<Node> nodes = new ArrayList<>();
     for (ScriptedUpstream upstream : upstreams) {
-      NodeLife life = NodeLife.only("n" + nodes.size());
+      NodeIncarnation life = NodeIncarnation.only("n" + nodes.size());
       Endpoint endpoint = new Endpoint("127.0.0.1", upstream.port());
       String ofGroup = model.isEmpty() ? null : model;
       nodes.add(new Node(life, "s", endpoint, "a", SLOTS, false, "", ofGroup, List.of(), null));
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.fawnvale.serving.core.limit.LimitNote;
 import org.fawnvale.serving.core.limit.SharedLimits;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.peer.Owners;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.http.HttpClient;
@@ -23,7 +23,7 @@
 
   private static final Owners.Daemon SELF = new Owners.Daemon("d1", "127.0.0.1", "a");
   private static final Owners.Daemon OTHER = new Owners.Daemon("d2", "127.0.0.2", "b");
-  private static final LimitNote LIMIT = new LimitNote(new NodeLife("n1", 7), 2, 50, 30);
+  private static final LimitNote LIMIT = new LimitNote(new NodeIncarnation("n1", 7), 2, 50, 30);
   private static final Fingerprint SHEET = new Fingerprint(-17);
 
   private final Timers timers = new Timers(new Object());
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.fawnvale.serving.core.limit.LimitNote;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.peer.DataCentreDigest;
 import org.fawnvale.serving.core.peer.PeerNote;
 import org.fawnvale.serving.core.peer.Standing;
@@ -56,11 +56,11 @@
           List.of(
               new RequestRecord(
                   new Fingerprint(-17),
-                  Set.of(new NodeLife("n5", 1_700_000_000_000L), NodeLife.only("n6")),
-                  Set.of(NodeLife.only("n6")))),
+                  Set.of(new NodeIncarnation("n5", 1_700_000_000_000L), NodeIncarnation.only("n6")),
+                  Set.of(NodeIncarnation.only("n6")))),
           List.of(
-              new LimitNote(new NodeLife("n7", 1_700_000_000_001L), 3, 1.6, 250),
-              new LimitNote(NodeLife.only("n8"), 2, LimitNote.OVER, 0)));
+              new LimitNote(new NodeIncarnation("n7", 1_700_000_000_001L), 3, 1.6, 250),
+              new LimitNote(NodeIncarnation.only("n8"), 2, LimitNote.OVER, 0)));
 
   @Test
   void whatIsWrittenIsRead() throws IOException {
