--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
@@ -13,7 +13,7 @@
 import java.util.function.Predicate;
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.model.Endpoint;
-import org.fawnvale.serving.core.model.Lives;
+import org.fawnvale.serving.core.model.IncarnationTracker;
 import org.fawnvale.serving.core.model.Node;
 
 /** Chooses the upstream of a request among those that serve, and keeps what was seen of each. */
@@ -45,7 +45,7 @@
   private final String dataCentre;
   private final Map<String, UpstreamState> states = new HashMap<>();
   private final Map<Key, List<Node>> serving = new HashMap<>();
-  private final Lives lives = new Lives();
+  private final IncarnationTracker lives = new IncarnationTracker();
   private Map<String, Integer> peersInFlight = Map.of();
   private Predicate<String> inSight = anywhere -> true;
   private Predicate<Endpoint> connected = nowhere -> false;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -12,7 +12,7 @@
 import java.util.function.Predicate;
 import org.fawnvale.serving.core.demand.ModelDemand;
 import org.fawnvale.serving.core.model.EngineSpec;
-import org.fawnvale.serving.core.model.Lives;
+import org.fawnvale.serving.core.model.IncarnationTracker;
 import org.fawnvale.serving.core.model.MemberState;
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.ModelSpec;
@@ -52,7 +52,7 @@
   private final MissingMembers missing = new MissingMembers();
   private final LeavingMembers leaving = new LeavingMembers();
   private final RecentGroups recent = new RecentGroups();
-  private final Lives lives = new Lives();
+  private final IncarnationTracker lives = new IncarnationTracker();
   private Map<GroupKey, GroupSeen> groups = Map.of();
   private final ListSettling settling = new ListSettling();
   private Predicate<String> inSight = anywhere -> true;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LastModels.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LastModels.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.fawnvale.serving.core.model.Lives;
+import org.fawnvale.serving.core.model.IncarnationTracker;
 import org.fawnvale.serving.core.model.Node;
 
 /**
@@ -17,7 +17,7 @@
 public final class LastModels {
 
   private final Map<String, String> models = new HashMap<>();
-  private final Lives lives = new Lives();
+  private final IncarnationTracker lives = new IncarnationTracker();
 
   /**
    * Takes the nodes in, and tells again what their entries have ceased to show.
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Lives.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/IncarnationTracker.java
@@ -10,7 +10,7 @@
  * Which life of each id was seen last. What is remembered of a node belongs to a life; an id that
  * comes with a later start has begun a new one, and what was known of it is not true any more.
  */
-public final class Lives {
+public final class IncarnationTracker {
 
   private final Map<String, NodeIncarnation> last = new HashMap<>();
 
