--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeAnswer;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.model.NodeResponse;
 
 /**
  * Whether this daemon may send anything to a node, by what the node's own answers asked for. A wish
@@ -68,7 +68,7 @@
    * @param nowNanos the steady time
    * @return what was new
    */
-  public News hear(NodeIncarnation life, NodeAnswer said, long nowNanos) {
+  public News hear(NodeIncarnation life, NodeResponse said, long nowNanos) {
     boolean rests = said.restMillis() > 0 && rest(life, said.restMillis(), nowNanos);
     if (said.leaving() && leaving.add(life)) {
       forgetFirst(leaving);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeAnswer;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.core.peer.Owners;
 import org.jspecify.annotations.Nullable;
 
@@ -91,7 +91,7 @@
    * @return what was new
    */
   public KnownLimits.Change hear(
-      NodeIncarnation life, NodeAnswer said, int sentStamp, boolean isCallers, long nowNanos) {
+      NodeIncarnation life, NodeResponse said, int sentStamp, boolean isCallers, long nowNanos) {
     boolean success = said.status() >= SUCCESS && said.status() < REDIRECT;
     return settle(life, known.hear(life, said.limit(), sentStamp, isCallers && success, nowNanos));
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/NodeAnswer.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/NodeResponse.java
@@ -13,7 +13,7 @@
  * @param faultyNode the id of the node that it holds to be at fault; null when it names none
  * @param limit the limit that it names; null when it names none
  */
-public record NodeAnswer(
+public record NodeResponse(
     int status,
     boolean notRun,
     boolean leaving,
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
@@ -13,8 +13,8 @@
 import org.fawnvale.serving.core.model.MemberState;
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeAnswer;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.core.peer.Owners;
 import org.junit.jupiter.api.Test;
 
@@ -157,8 +157,8 @@
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("a");
   }
 
-  private static NodeAnswer restOf(long millis) {
-    return new NodeAnswer(503, true, false, millis, null, null);
+  private static NodeResponse restOf(long millis) {
+    return new NodeResponse(503, true, false, millis, null, null);
   }
 
   @Test
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadPlay.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadPlay.java
@@ -23,8 +23,8 @@
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.ModelSpec;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeAnswer;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.core.model.RequestSize;
 import org.fawnvale.serving.core.peer.Owners;
 
@@ -318,7 +318,7 @@
     if (ways.backsOff()) {
       daemon.dispatcher.state(head.node.id()).turnedAway(nowNanos());
     }
-    NodeAnswer said = new NodeAnswer(503, true, false, turning.restMillis(), null, null);
+    NodeResponse said = new NodeResponse(503, true, false, turning.restMillis(), null, null);
     daemon.gate.hear(head.node.life(), said, nowNanos());
   }
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/UpstreamGateTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/UpstreamGateTest.java
@@ -6,8 +6,8 @@
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeAnswer;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.core.peer.Owners;
 import org.junit.jupiter.api.Test;
 
@@ -20,14 +20,14 @@
   private static final long START = -5 * SECOND;
 
   private static final NodeIncarnation LIFE = new NodeIncarnation("n", 1);
-  private static final NodeAnswer LEAVES = new NodeAnswer(200, false, true, 0, null, null);
-  private static final NodeAnswer PLAIN = new NodeAnswer(200, false, false, 0, null, null);
+  private static final NodeResponse LEAVES = new NodeResponse(200, false, true, 0, null, null);
+  private static final NodeResponse PLAIN = new NodeResponse(200, false, false, 0, null, null);
 
   private final UpstreamGate gate =
       new UpstreamGate(new SharedLimits(new Owners(new Owners.Daemon("d", "127.0.0.1", "a"))));
 
-  private static NodeAnswer restOf(long millis) {
-    return new NodeAnswer(503, true, false, millis, null, null);
+  private static NodeResponse restOf(long millis) {
+    return new NodeResponse(503, true, false, millis, null, null);
   }
 
   private static Node node(NodeIncarnation life) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/LimitPlay.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/LimitPlay.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeAnswer;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.core.model.StatedLimit;
 import org.fawnvale.serving.core.peer.Owners;
 
@@ -278,8 +278,8 @@
     }
     arrivals.add(now);
     int stamp = daemon.limits.known().stamp(node.life());
-    NodeAnswer answer =
-        new NodeAnswer(200, false, false, 0, null, StatedLimit.of(load.limit(), "named"));
+    NodeResponse answer =
+        new NodeResponse(200, false, false, 0, null, StatedLimit.of(load.limit(), "named"));
     at(now + ANSWER_NANOS, () -> daemon.limits.hear(node.life(), answer, stamp, true, now));
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
@@ -15,7 +15,7 @@
 import org.fawnvale.serving.core.dispatch.Demand;
 import org.fawnvale.serving.core.dispatch.UpstreamState;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeAnswer;
+import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.core.model.Route;
 import org.fawnvale.serving.core.model.RouteKind;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
@@ -371,7 +371,7 @@
     private final long sentNanos = System.nanoTime();
     private @Nullable ClientExchange exchange;
     private @Nullable HttpResponse head;
-    private @Nullable NodeAnswer said;
+    private @Nullable NodeResponse said;
     private boolean streaming;
     private boolean answerBegun;
     private boolean done;
@@ -398,7 +398,7 @@
     }
 
     @Override
-    public void head(HttpResponse answer, NodeAnswer told) {
+    public void head(HttpResponse answer, NodeResponse told) {
       head = answer;
       said = told;
       boolean success = answer.getCode() >= SUCCESS && answer.getCode() < REDIRECT;
@@ -456,7 +456,7 @@
     @Override
     public void end() {
       HttpResponse answer = head;
-      NodeAnswer told = said;
+      NodeResponse told = said;
       if (done || answer == null || told == null) {
         return;
       }
@@ -469,7 +469,7 @@
       }
     }
 
-    private void turnedAway(NodeAnswer told) {
+    private void turnedAway(NodeResponse told) {
       settle(false);
       state.turnedAway(System.nanoTime());
       gateway.log().rejected(request, node, told);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestLog.java
@@ -5,7 +5,7 @@
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.dispatch.Dispatcher;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeAnswer;
+import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.http.ClientListener;
 import org.jspecify.annotations.Nullable;
@@ -46,7 +46,7 @@
     }
   }
 
-  void rejected(CallerRequest request, Node node, NodeAnswer said) {
+  void rejected(CallerRequest request, Node node, NodeResponse said) {
     LOG.info(
         "request={} node={} status={} faulty={} rest_ms={} leaving={} outcome=not_run",
         request.id(),
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
@@ -15,8 +15,8 @@
 import org.fawnvale.serving.core.limit.KnownLimits;
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeAnswer;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.spi.Call;
 
 /**
@@ -31,7 +31,7 @@
   private final HttpClient client;
   private final Timers timers;
   private final UpstreamGate gate;
-  private final Function<HttpResponse, NodeAnswer> reader;
+  private final Function<HttpResponse, NodeResponse> reader;
   private final LimitLog limitLog;
   private final Counter rests;
   private final Counter leaves;
@@ -51,7 +51,7 @@
       HttpClient client,
       Timers timers,
       UpstreamGate gate,
-      Function<HttpResponse, NodeAnswer> reader,
+      Function<HttpResponse, NodeResponse> reader,
       MeterRegistry registry) {
     this.client = client;
     this.timers = timers;
@@ -136,7 +136,7 @@
     client.distrust(endpoint);
   }
 
-  private void hear(NodeIncarnation life, NodeAnswer said) {
+  private void hear(NodeIncarnation life, NodeResponse said) {
     switch (gate.hear(life, said, System.nanoTime())) {
       case RESTS -> {
         rests.increment();
@@ -157,14 +157,14 @@
   private final class Hearing implements ClientListener {
     private final NodeIncarnation life;
     private final AnswerListener receiver;
-    private final BiConsumer<HttpResponse, NodeAnswer> headReceiver;
+    private final BiConsumer<HttpResponse, NodeResponse> headReceiver;
     private final boolean isCallers;
     private final int limitStamp;
 
     Hearing(
         NodeIncarnation life,
         AnswerListener receiver,
-        BiConsumer<HttpResponse, NodeAnswer> headReceiver,
+        BiConsumer<HttpResponse, NodeResponse> headReceiver,
         boolean isCallers) {
       this.life = life;
       this.receiver = receiver;
@@ -175,13 +175,13 @@
 
     @Override
     public void head(HttpResponse answer) {
-      NodeAnswer said = reader.apply(answer);
+      NodeResponse said = reader.apply(answer);
       hear(life, said);
       hearLimit(said);
       headReceiver.accept(answer, said);
     }
 
-    private void hearLimit(NodeAnswer said) {
+    private void hearLimit(NodeResponse said) {
       KnownLimits.Change change =
           gate.limits().hear(life, said, limitStamp, isCallers, System.nanoTime());
       limitLog.answered(life, change, said.limit());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeListener.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeListener.java
@@ -1,7 +1,7 @@
 package org.fawnvale.serving.http;
 
 import org.apache.hc.core5.http.HttpResponse;
-import org.fawnvale.serving.core.model.NodeAnswer;
+import org.fawnvale.serving.core.model.NodeResponse;
 
 /** Told of a node's answer to one request; called while holding the guard. */
 public interface NodeListener extends AnswerListener {
@@ -12,5 +12,5 @@
    * @param answer the head
    * @param said what the node says with it
    */
-  void head(HttpResponse answer, NodeAnswer said);
+  void head(HttpResponse answer, NodeResponse said);
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
@@ -7,7 +7,7 @@
 import org.fawnvale.serving.core.formation.NodeReport;
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeAnswer;
+import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.core.model.RequestSize;
 import org.fawnvale.serving.core.quarantine.KeptRecord;
 import org.fawnvale.serving.core.watch.StoreEra;
@@ -163,7 +163,7 @@
    * @param head the head of the answer
    * @return what it says; what can't be read counts as not said
    */
-  NodeAnswer answer(HttpResponse head);
+  NodeResponse answer(HttpResponse head);
 
   /**
    * Names in answers of nodes and the store that this version does not read.
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
@@ -7,7 +7,7 @@
 import org.fawnvale.serving.core.formation.NodeReport;
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeAnswer;
+import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.core.model.RequestSize;
 import org.fawnvale.serving.core.model.StatedLimit;
 import org.fawnvale.serving.core.quarantine.KeptRecord;
@@ -113,10 +113,10 @@
   }
 
   @Override
-  public NodeAnswer answer(HttpResponse head) {
+  public NodeResponse answer(HttpResponse head) {
     Header rest = head.getFirstHeader("T-Rest-Ms");
     Header limit = head.getFirstHeader("T-Limit");
-    return new NodeAnswer(
+    return new NodeResponse(
         head.getCode(),
         head.containsHeader("T-Not-Run"),
         head.containsHeader("T-Leaving"),
