--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/KnownLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/KnownLimits.java
@@ -5,8 +5,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.fawnvale.serving.core.model.AdvertisedLimit;
 import org.fawnvale.serving.core.model.NodeIncarnation;
-import org.fawnvale.serving.core.model.StatedLimit;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -125,7 +125,7 @@
    */
   public Change hear(
       NodeIncarnation life,
-      @Nullable StatedLimit said,
+      @Nullable AdvertisedLimit said,
       int sentStamp,
       boolean mayEnd,
       long nowNanos) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/StatedLimit.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/AdvertisedLimit.java
@@ -8,7 +8,7 @@
  * @param readable whether what was written is such a number; otherwise {@code perSecond} is what is
  *     assumed for it
  */
-public record StatedLimit(double perSecond, String written, boolean readable) {
+public record AdvertisedLimit(double perSecond, String written, boolean readable) {
 
   /**
    * What is assumed of a node that names a limit which can't be read, in requests a second: it is
@@ -25,8 +25,8 @@
    * @param written as the node wrote it
    * @return the limit
    */
-  public static StatedLimit of(double perSecond, String written) {
-    return new StatedLimit(perSecond, cut(written), true);
+  public static AdvertisedLimit of(double perSecond, String written) {
+    return new AdvertisedLimit(perSecond, cut(written), true);
   }
 
   /**
@@ -35,8 +35,8 @@
    * @param written as the node wrote it
    * @return the limit that is assumed
    */
-  public static StatedLimit unreadable(String written) {
-    return new StatedLimit(ASSUMED_PER_SECOND, cut(written), false);
+  public static AdvertisedLimit unreadable(String written) {
+    return new AdvertisedLimit(ASSUMED_PER_SECOND, cut(written), false);
   }
 
   /**
@@ -45,7 +45,7 @@
    * @param other the other limit
    * @return the stricter one
    */
-  public StatedLimit stricter(StatedLimit other) {
+  public AdvertisedLimit stricter(AdvertisedLimit other) {
     return other.perSecond < perSecond ? other : this;
   }
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/NodeResponse.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/NodeResponse.java
@@ -19,4 +19,4 @@
     boolean leaving,
     long restMillis,
     @Nullable String faultyNode,
-    @Nullable StatedLimit limit) {}
+    @Nullable AdvertisedLimit limit) {}
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/KnownLimitsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/KnownLimitsTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Random;
 import org.fawnvale.serving.core.limit.KnownLimits.Change;
+import org.fawnvale.serving.core.model.AdvertisedLimit;
 import org.fawnvale.serving.core.model.NodeIncarnation;
-import org.fawnvale.serving.core.model.StatedLimit;
 import org.junit.jupiter.api.Test;
 
 /** What is known of limits, by answers and by what others tell. */
@@ -20,7 +20,7 @@
   private final KnownLimits known = new KnownLimits();
 
   private Change names(double limit, int sentStamp) {
-    return known.hear(NODE, StatedLimit.of(limit, "told"), sentStamp, true, SECOND);
+    return known.hear(NODE, AdvertisedLimit.of(limit, "told"), sentStamp, true, SECOND);
   }
 
   private Change namesNone(int sentStamp, boolean mayEnd) {
@@ -143,7 +143,7 @@
         KnownLimits other = daemons.get(random.nextInt(3));
         int stamp = random.nextInt(one.stamp(NODE) + 1);
         switch (random.nextInt(4)) {
-          case 0 -> one.hear(NODE, StatedLimit.of(random.nextInt(4), "t"), stamp, true, SECOND);
+          case 0 -> one.hear(NODE, AdvertisedLimit.of(random.nextInt(4), "t"), stamp, true, SECOND);
           case 1 -> one.hear(NODE, null, stamp, true, SECOND);
           default -> exchange(one, other);
         }
@@ -161,7 +161,7 @@
   void limitsWithoutEndFillNeitherMemoryNorNotes() {
     for (int number = 0; number < 20_000; number++) {
       NodeIncarnation life = NodeIncarnation.only("n" + number);
-      known.hear(life, StatedLimit.of(1, "1"), KnownLimits.UNKNOWN, true, SECOND);
+      known.hear(life, AdvertisedLimit.of(1, "1"), KnownLimits.UNKNOWN, true, SECOND);
       if (number % 1_000 == 0) {
         assertThat(known.toTell(true, SECOND)).hasSizeLessThanOrEqualTo(40);
       }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/LimitPlay.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/LimitPlay.java
@@ -7,11 +7,11 @@
 import java.util.Queue;
 import java.util.Random;
 import java.util.Set;
+import org.fawnvale.serving.core.model.AdvertisedLimit;
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.NodeResponse;
-import org.fawnvale.serving.core.model.StatedLimit;
 import org.fawnvale.serving.core.peer.Owners;
 
 /**
@@ -279,7 +279,7 @@
     arrivals.add(now);
     int stamp = daemon.limits.known().stamp(node.life());
     NodeResponse answer =
-        new NodeResponse(200, false, false, 0, null, StatedLimit.of(load.limit(), "named"));
+        new NodeResponse(200, false, false, 0, null, AdvertisedLimit.of(load.limit(), "named"));
     at(now + ANSWER_NANOS, () -> daemon.limits.hear(node.life(), answer, stamp, true, now));
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
@@ -9,8 +9,8 @@
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.limit.KnownLimits;
 import org.fawnvale.serving.core.limit.LimitNote;
+import org.fawnvale.serving.core.model.AdvertisedLimit;
 import org.fawnvale.serving.core.model.NodeIncarnation;
-import org.fawnvale.serving.core.model.StatedLimit;
 import org.jspecify.annotations.Nullable;
 
 /** Tells each change of a limit in the log, and counts them. */
@@ -52,7 +52,7 @@
    * @param said the limit that the answer names; null when it names none
    */
   public void answered(
-      NodeIncarnation life, KnownLimits.Change change, @Nullable StatedLimit said) {
+      NodeIncarnation life, KnownLimits.Change change, @Nullable AdvertisedLimit said) {
     if (change == KnownLimits.Change.NONE) {
       return;
     }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
@@ -5,11 +5,11 @@
 import org.apache.hc.core5.http.HttpResponse;
 import org.fawnvale.serving.core.formation.GroupOrder;
 import org.fawnvale.serving.core.formation.NodeReport;
+import org.fawnvale.serving.core.model.AdvertisedLimit;
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.core.model.RequestSize;
-import org.fawnvale.serving.core.model.StatedLimit;
 import org.fawnvale.serving.core.quarantine.KeptRecord;
 import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePlace;
@@ -122,6 +122,6 @@
         head.containsHeader("T-Leaving"),
         rest == null ? 0 : Long.parseLong(rest.getValue()),
         null,
-        limit == null ? null : StatedLimit.of(Double.parseDouble(limit.getValue()), "told"));
+        limit == null ? null : AdvertisedLimit.of(Double.parseDouble(limit.getValue()), "told"));
   }
 }
