--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Demand.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/DispatchRequest.java
@@ -7,7 +7,7 @@
  * @param model the model that it names; empty for a plain service
  * @param claim how strong its claim to a place is
  */
-public record Demand(String service, String model, Claim claim) {
+public record DispatchRequest(String service, String model, Claim claim) {
 
   /** How strong the claim of a request to a place at an upstream is. */
   public enum Claim {
@@ -58,7 +58,7 @@
    *
    * @return the demand
    */
-  public Demand returning() {
-    return new Demand(service, model, Claim.RETURNING);
+  public DispatchRequest returning() {
+    return new DispatchRequest(service, model, Claim.RETURNING);
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
@@ -234,7 +234,7 @@
    * @param excluded upstreams that the request must not go to again
    * @return the choice
    */
-  public Choice choose(Demand demand, Set<String> excluded) {
+  public Choice choose(DispatchRequest demand, Set<String> excluded) {
     long now = steadyNanos.getAsLong();
     List<Node> candidates = candidates(demand);
     List<Node> usable = new ArrayList<>();
@@ -269,7 +269,7 @@
         rests ? "every upstream rests or was tried" : "every upstream is at its limit", restNanos);
   }
 
-  private Choice choose(Demand demand, List<Node> usable) {
+  private Choice choose(DispatchRequest demand, List<Node> usable) {
     Node best = usable.isEmpty() ? null : cheapest(sample(usable));
     if (best != null && load(best) >= demand.fullAt()) {
       best = cheapest(usable);
@@ -330,7 +330,7 @@
   }
 
   /** Upstreams that can be reached, or all of them when none can. */
-  private List<Node> candidates(Demand demand) {
+  private List<Node> candidates(DispatchRequest demand) {
     List<Node> all = serving.getOrDefault(new Key(demand.service(), demand.model()), List.of());
     List<Node> reached = all.stream().filter(node -> inSight.test(node.dataCentre())).toList();
     return reached.isEmpty() ? all : reached;
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ConnectionReuseTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ConnectionReuseTest.java
@@ -25,7 +25,8 @@
  */
 class ConnectionReuseTest {
 
-  private static final Demand FIRST = new Demand("engines", "large", Demand.Claim.FIRST);
+  private static final DispatchRequest FIRST =
+      new DispatchRequest("engines", "large", DispatchRequest.Claim.FIRST);
   private static final int DAEMONS = 19;
   private static final int HEADS = 14;
   private static final int SLOTS = 15;
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
@@ -21,7 +21,8 @@
 /** Where a request goes, and who is let in when little is left. */
 class DispatcherTest {
 
-  private static final Demand FIRST = new Demand("engines", "large", Demand.Claim.FIRST);
+  private static final DispatchRequest FIRST =
+      new DispatchRequest("engines", "large", DispatchRequest.Claim.FIRST);
   private static final int SLOTS = 10;
 
   private static final long MILLI = 1_000_000L;
@@ -89,7 +90,7 @@
             null,
             List.of(),
             null);
-    Demand asked = new Demand("plain", "", Demand.Claim.FIRST);
+    DispatchRequest asked = new DispatchRequest("plain", "", DispatchRequest.Claim.FIRST);
     dispatcher.serve(List.of(plain));
     dispatcher.peersInFlight(Map.of("p", 3 * SLOTS - 1));
     assertThat(target(dispatcher.choose(asked, Set.of()))).isEqualTo("p");
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadPlay.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadPlay.java
@@ -280,8 +280,9 @@
 
   private void arrive(Caller caller) {
     caller.daemon = daemons.get(random.nextInt(daemons.size()));
-    Demand.Claim claim = caller.returns ? Demand.Claim.RETURNING : Demand.Claim.FIRST;
-    Demand demand = new Demand("engines", load.model().name(), claim);
+    DispatchRequest.Claim claim =
+        caller.returns ? DispatchRequest.Claim.RETURNING : DispatchRequest.Claim.FIRST;
+    DispatchRequest demand = new DispatchRequest("engines", load.model().name(), claim);
     Set<String> tried = new HashSet<>();
     Choice choice = caller.daemon.dispatcher.choose(demand, tried);
     while (choice instanceof Choice.Send send && tried.size() <= MOST_REJECTIONS) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/CallerRequest.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/CallerRequest.java
@@ -1,7 +1,7 @@
 package org.fawnvale.serving.gateway;
 
 import org.apache.hc.core5.http.HttpRequest;
-import org.fawnvale.serving.core.dispatch.Demand;
+import org.fawnvale.serving.core.dispatch.DispatchRequest;
 import org.fawnvale.serving.core.model.RequestSize;
 import org.fawnvale.serving.core.model.Route;
 import org.fawnvale.serving.core.model.Workspace;
@@ -27,7 +27,7 @@
     HttpRequest head,
     byte[] body,
     Route route,
-    Demand demand,
+    DispatchRequest demand,
     RequestSize size,
     @Nullable Workspace workspace,
     long version,
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
@@ -12,7 +12,7 @@
 import org.apache.hc.core5.http.message.BasicHeader;
 import org.apache.hc.core5.http.message.BasicHttpRequest;
 import org.fawnvale.serving.core.dispatch.Choice;
-import org.fawnvale.serving.core.dispatch.Demand;
+import org.fawnvale.serving.core.dispatch.DispatchRequest;
 import org.fawnvale.serving.core.dispatch.UpstreamState;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeResponse;
@@ -205,7 +205,7 @@
     }
   }
 
-  private Demand demand() {
+  private DispatchRequest demand() {
     return runs > 0 ? request.demand().returning() : request.demand();
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -18,7 +18,7 @@
 import org.fawnvale.serving.core.demand.EngineTimes;
 import org.fawnvale.serving.core.demand.OfferedWork;
 import org.fawnvale.serving.core.dispatch.Choice;
-import org.fawnvale.serving.core.dispatch.Demand;
+import org.fawnvale.serving.core.dispatch.DispatchRequest;
 import org.fawnvale.serving.core.dispatch.Dispatcher;
 import org.fawnvale.serving.core.dispatch.RetryBudget;
 import org.fawnvale.serving.core.dispatch.ReturnTimes;
@@ -324,11 +324,11 @@
 
   /** Callers that come back have been counted before. */
   private void noteOffered(CallerRequest request, Configuration configuration) {
-    Demand demand = request.demand();
+    DispatchRequest demand = request.demand();
     ServiceSpec service = configuration.services().get(demand.service());
     EngineSpec engine = service == null ? null : service.engine();
     ModelSpec model = engine == null ? null : engine.model(demand.model());
-    if (engine != null && model != null && demand.claim() == Demand.Claim.FIRST) {
+    if (engine != null && model != null && demand.claim() == DispatchRequest.Claim.FIRST) {
       double work = EngineTimes.workMillis(engine, model, request.size());
       offeredWork.offered(model.name(), work, request.receivedNanos());
     }
@@ -356,11 +356,12 @@
     caller.whole(status, headers, new byte[0]);
   }
 
-  private Demand demand(HttpRequest head, Route route) {
+  private DispatchRequest demand(HttpRequest head, Route route) {
     String model = Headers.value(head, headers().model());
     boolean returning = returningCallers.isReturning(route.name(), patienceMillis(head, route));
-    Demand.Claim claim = returning ? Demand.Claim.RETURNING : Demand.Claim.FIRST;
-    return new Demand(service(route), model == null ? "" : model, claim);
+    DispatchRequest.Claim claim =
+        returning ? DispatchRequest.Claim.RETURNING : DispatchRequest.Claim.FIRST;
+    return new DispatchRequest(service(route), model == null ? "" : model, claim);
   }
 
   /** How long the caller will wait; as long as its route allows when it does not say so. */
