--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/ReturnTimes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/RetryAfterPolicy.java
@@ -6,11 +6,11 @@
  *
  * <p>Answers a load that exceeds what all upstreams carry for some seconds. Callers that came back
  * after 0.4 to 1.4 s came back into the same rush and made it longer. Played in simulated time
- * (ReturnTimesTest: 78 daemons, 12 heads, 150 requests a second and 330 for three seconds): answers
- * in time for 0.705 of the callers then, for 0.716 with the times here; under milder loads the
- * same.
+ * (RetryAfterPolicyTest: 78 daemons, 12 heads, 150 requests a second and 330 for three seconds):
+ * answers in time for 0.705 of the callers then, for 0.716 with the times here; under milder loads
+ * the same.
  */
-public final class ReturnTimes {
+public final class RetryAfterPolicy {
 
   /**
    * A group that lost a member serves again after about this time: 0.2 s until the loss is seen,
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/HeadsThatTurnAwayTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/HeadsThatTurnAwayTest.java
@@ -38,7 +38,7 @@
   private static final LoadPlay.Turning WITH_REST = new LoadPlay.Turning(4, 10, 5, 3_000);
 
   private static LoadPlay.Returns built() {
-    ReturnTimes times = new ReturnTimes();
+    RetryAfterPolicy times = new RetryAfterPolicy();
     return times::next;
   }
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ReturnTimesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/RetryAfterPolicyTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** When refused callers come back, and what they and the others get then. */
-class ReturnTimesTest {
+class RetryAfterPolicyTest {
 
   private static final ModelSpec SMALL = new ModelSpec("small", 4, 0.5, 0.6, 12_000, 1_100);
 
@@ -54,7 +54,7 @@
   }
 
   private static LongUnaryOperator timesHere() {
-    ReturnTimes times = new ReturnTimes();
+    RetryAfterPolicy times = new RetryAfterPolicy();
     return patience -> times.next(patience, 0);
   }
 
@@ -104,7 +104,7 @@
 
   @Test
   void thoseRefusedTogetherComeBackApartAndWithinTheTimeThatTheyHeed() {
-    ReturnTimes times = new ReturnTimes();
+    RetryAfterPolicy times = new RetryAfterPolicy();
     int first = times.next(6_000, 0);
     int second = times.next(6_000, 0);
     assertThat(first).isNotEqualTo(second);
@@ -115,7 +115,7 @@
 
   @Test
   void whereUpstreamsRestCallersComeBackWhenTheFirstRestEnds() {
-    ReturnTimes times = new ReturnTimes();
+    RetryAfterPolicy times = new RetryAfterPolicy();
     assertThat(times.next(6_000, 800)).isBetween(800, 1_275);
     assertThat(times.next(3_000, 940)).isBetween(940, 960);
   }
@@ -123,6 +123,6 @@
   /** Another daemon may still be served: it was not asked for the same rest. */
   @Test
   void aRestThatOutlastsWhatTheyHeedDoesNotCount() {
-    assertThat(new ReturnTimes().next(3_000, 3_000)).isBetween(720, 960);
+    assertThat(new RetryAfterPolicy().next(3_000, 3_000)).isBetween(720, 960);
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ReturningCallersTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ReturningCallersTest.java
@@ -62,7 +62,9 @@
     assertThat(mistaken).isLessThan(TRIES * 3 / 100);
   }
 
-  /** Those that come back after 1.4 to 1.9 s, as ReturnTimes tells callers with six seconds. */
+  /**
+   * Those that come back after 1.4 to 1.9 s, as RetryAfterPolicy tells callers with six seconds.
+   */
   @Test
   void whereDeadlinesDifferThoseWithLessTimeThanNearlyAllOthersHaveComeBack() {
     int recognized = 0;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -20,8 +20,8 @@
 import org.fawnvale.serving.core.dispatch.Choice;
 import org.fawnvale.serving.core.dispatch.DispatchRequest;
 import org.fawnvale.serving.core.dispatch.Dispatcher;
+import org.fawnvale.serving.core.dispatch.RetryAfterPolicy;
 import org.fawnvale.serving.core.dispatch.RetryBudget;
-import org.fawnvale.serving.core.dispatch.ReturnTimes;
 import org.fawnvale.serving.core.dispatch.ReturningCallers;
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.EngineSpec;
@@ -68,7 +68,7 @@
   private final RepeatGuard repeats;
   private final OfferedWork offeredWork = new OfferedWork();
   private final ReturningCallers returningCallers = new ReturningCallers();
-  private final ReturnTimes returnTimes = new ReturnTimes();
+  private final RetryAfterPolicy returnTimes = new RetryAfterPolicy();
   private final EarlyRequests early;
   private @Nullable RouteTable routes;
   private LeaveAsker leaveAsker = (node, told) -> told.accept(false);
