--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/ReturningCallers.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/CallerRetryDetector.java
@@ -15,7 +15,7 @@
  * in 100 first tries were taken for returns where deadlines are 15 in 100 apart: they were let in
  * to full upstreams, and the work that they asked for was not counted as asked for.
  */
-public final class ReturningCallers {
+public final class CallerRetryDetector {
 
   /** Waiting and a new connection cost a caller that comes back 3 in 100 of its time at least. */
   private static final double WHOLE = 0.97;
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ReturningCallersTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/CallerRetryDetectorTest.java
@@ -6,12 +6,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Who has waited before, as far as deadlines tell. */
-class ReturningCallersTest {
+class CallerRetryDetectorTest {
 
   private static final String ROUTE = "route";
   private static final int TRIES = 1_000;
 
-  private final ReturningCallers callers = new ReturningCallers();
+  private final CallerRetryDetector callers = new CallerRetryDetector();
   private final Random random = new Random(11);
 
   @Test
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
@@ -254,7 +254,7 @@
 
   @Test
   void aCallerWithLessPatienceThanOthersOfItsRouteHasComeBack() {
-    ReturningCallers callers = new ReturningCallers();
+    CallerRetryDetector callers = new CallerRetryDetector();
     assertThat(callers.isReturning("chat", 5_000)).isFalse();
     assertThat(callers.isReturning("chat", 4_995)).isFalse();
     assertThat(callers.isReturning("chat", 4_300)).isTrue();
