--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/ModelDemand.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/ModelDemand.java
@@ -80,7 +80,7 @@
       double mixed = (1 - trust) * before + trust * seen;
       groups.put(model.name(), Math.max(mixed, LEAST_OF_DECLARED * before));
     }
-    return new ModelDemand(groups, trust, nodes / OfferedWork.remembered(seconds));
+    return new ModelDemand(groups, trust, nodes / OfferedLoad.remembered(seconds));
   }
 
   /**
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/OfferedWork.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/OfferedLoad.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** The work that callers lately asked of each model, whether or not it was let in. */
-public final class OfferedWork {
+public final class OfferedLoad {
 
   /**
    * How long work is remembered, in nanoseconds. Traffic jumps within a second; six of them hold
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/demand/ModelDemandTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/demand/ModelDemandTest.java
@@ -49,7 +49,7 @@
 
   @Test
   void steadyWorkIsToldAsTheGroupsThatItKeepsBusy() {
-    OfferedWork work = new OfferedWork();
+    OfferedLoad work = new OfferedLoad();
     for (int request = 0; request < 3_000; request++) {
       work.offered("large", 200, request * SECOND / 100);
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -16,7 +16,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.demand.EngineTimes;
-import org.fawnvale.serving.core.demand.OfferedWork;
+import org.fawnvale.serving.core.demand.OfferedLoad;
 import org.fawnvale.serving.core.dispatch.CallerRetryDetector;
 import org.fawnvale.serving.core.dispatch.Choice;
 import org.fawnvale.serving.core.dispatch.DispatchRequest;
@@ -66,7 +66,7 @@
   private final RequestLog log;
   private final StreamWatch streams;
   private final RepeatGuard repeats;
-  private final OfferedWork offeredWork = new OfferedWork();
+  private final OfferedLoad offeredWork = new OfferedLoad();
   private final CallerRetryDetector returningCallers = new CallerRetryDetector();
   private final RetryAfterPolicy returnTimes = new RetryAfterPolicy();
   private final EarlyRequests early;
