--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/ExplainCommand.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/ExplainCommand.java
@@ -13,8 +13,8 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 import net.sourceforge.argparse4j.inf.Subparsers;
 import org.fawnvale.core.result.Result;
-import org.fawnvale.serving.core.explain.DaySummary;
 import org.fawnvale.serving.core.explain.LogLine;
+import org.fawnvale.serving.core.explain.LogSummary;
 import org.fawnvale.serving.core.explain.RequestStory;
 import org.jspecify.annotations.Nullable;
 
@@ -70,7 +70,7 @@
     if (failure != null) {
       return failure;
     }
-    DaySummary summary = DaySummary.of(lines, options.getInt("seconds"));
+    LogSummary summary = LogSummary.of(lines, options.getInt("seconds"));
     if (summary.spans().isEmpty()) {
       console
           .err()
@@ -85,7 +85,7 @@
     return ExitCode.DONE;
   }
 
-  private static String row(DaySummary.Span span) {
+  private static String row(LogSummary.Span span) {
     List<String> cells = new ArrayList<>();
     cells.add(span.from());
     span.models()
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/DaySummary.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/LogSummary.java
@@ -20,7 +20,7 @@
  *
  * @param spans the spans, oldest first
  */
-public record DaySummary(List<Span> spans) {
+public record LogSummary(List<Span> spans) {
 
   /** Plain services, and groups whose beginning no line tells. */
   private static final String OTHER = "other";
@@ -63,7 +63,7 @@
    * @param seconds the length of a span, in seconds
    * @return the summary
    */
-  public static DaySummary of(List<LogLine> lines, int seconds) {
+  public static LogSummary of(List<LogLine> lines, int seconds) {
     List<LogLine> sorted = new ArrayList<>(lines);
     sorted.sort(Comparator.comparing(LogLine::time));
     Reader reader = new Reader();
@@ -84,7 +84,7 @@
     if (begun != Long.MIN_VALUE) {
       spans.add(reader.span(begun));
     }
-    return new DaySummary(List.copyOf(spans));
+    return new LogSummary(List.copyOf(spans));
   }
 
   private static @Nullable Long second(String time) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/explain/DaySummaryTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/explain/LogSummaryTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** From the logs of all daemons to a table of a day; the lines are like those of played days. */
-class DaySummaryTest {
+class LogSummaryTest {
 
   private final List<LogLine> log = new ArrayList<>();
 
@@ -16,9 +16,9 @@
     log.add(new LogLine(time, "edge-1", "gateway", message));
   }
 
-  private List<DaySummary.Span> spans() {
+  private List<LogSummary.Span> spans() {
     Collections.reverse(log);
-    return DaySummary.of(log, 2).spans();
+    return LogSummary.of(log, 2).spans();
   }
 
   @Test
@@ -28,11 +28,11 @@
     line("10:00:00.300", "request=r2 sent_to=i-a route=x why=first claim=FIRST load=0.40");
     line("10:00:00.400", "request=r3 sent_to=i-a route=x why=upstream stands still load=0.60");
     line("10:00:01.900", "request=r1 node=i-a first_piece_ms=700 outcome=late");
-    DaySummary.Span span = spans().get(0);
+    LogSummary.Span span = spans().get(0);
     assertThat(span.from()).isEqualTo("10:00");
     assertThat(span.models())
         .containsOnlyKeys("large")
-        .containsEntry("large", new DaySummary.ModelSpan(1, 3, 0.40, 0.60, 1));
+        .containsEntry("large", new LogSummary.ModelSpan(1, 3, 0.40, 0.60, 1));
     assertThat(span.moved()).isEqualTo(1);
   }
 
@@ -52,7 +52,7 @@
     line("10:00:00.200", "request=r2 status=503 reason=no upstream serves node=null events=0");
     line("10:00:00.300", "request=r3 status=503 reason=every upstream is full node=null events=0");
     line("10:00:00.400", "node=i-a outcome=stands_still silent_ms=300");
-    DaySummary.Span span = spans().get(0);
+    LogSummary.Span span = spans().get(0);
     assertThat(span.refusals())
         .containsEntry("every upstream is full", 2)
         .containsEntry("no upstream serves", 1);
