--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/ExplainCommand.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/ExplainCommand.java
@@ -15,7 +15,7 @@
 import org.fawnvale.core.result.Result;
 import org.fawnvale.serving.core.explain.LogLine;
 import org.fawnvale.serving.core.explain.LogSummary;
-import org.fawnvale.serving.core.explain.RequestStory;
+import org.fawnvale.serving.core.explain.RequestTimeline;
 import org.jspecify.annotations.Nullable;
 
 /** Tells the story of one request from the logs of several daemons. */
@@ -113,7 +113,7 @@
       return unreadable;
     }
     String id = options.getString("request");
-    RequestStory story = RequestStory.of(id, lines);
+    RequestTimeline story = RequestTimeline.of(id, lines);
     if (story == null) {
       console
           .err()
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/RequestStory.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/RequestTimeline.java
@@ -15,7 +15,7 @@
  * @param lines the lines, oldest first
  * @param cause the likely cause of its end
  */
-public record RequestStory(String id, List<LogLine> lines, LikelyCause cause) {
+public record RequestTimeline(String id, List<LogLine> lines, LikelyCause cause) {
 
   private static final String REQUEST = "request";
   private static final String NODE = "node";
@@ -31,7 +31,7 @@
    * @param all the lines of all daemons, in any order
    * @return the story; null when no line names the request
    */
-  public static @Nullable RequestStory of(String id, List<LogLine> all) {
+  public static @Nullable RequestTimeline of(String id, List<LogLine> all) {
     List<LogLine> sorted = new ArrayList<>(all);
     sorted.sort(Comparator.comparing(LogLine::time));
     List<LogLine> own = sorted.stream().filter(line -> line.says(REQUEST, id)).toList();
@@ -52,7 +52,7 @@
       }
     }
     lines.addAll(0, before.subList(Math.max(0, before.size() - LINES_BEFORE), before.size()));
-    return new RequestStory(id, List.copyOf(lines), LikelyCause.of(own, lines));
+    return new RequestTimeline(id, List.copyOf(lines), LikelyCause.of(own, lines));
   }
 
   private static Set<String> nodes(List<LogLine> own) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/explain/RequestStoryTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/explain/RequestTimelineTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** From a request's id to its cause; the lines are like those of played days. */
-class RequestStoryTest {
+class RequestTimelineTest {
 
   private final List<LogLine> log = new ArrayList<>();
 
@@ -16,9 +16,9 @@
     log.add(new LogLine(time, daemon, part, message));
   }
 
-  private RequestStory story(String id) {
+  private RequestTimeline story(String id) {
     Collections.reverse(log);
-    return RequestStory.of(id, log);
+    return RequestTimeline.of(id, log);
   }
 
   @Test
@@ -33,7 +33,7 @@
         "gateway",
         "request=r1 status=502 reason=every upstream is full node=i-a");
     line("11.0", "edge-3", "formation", "node=i-a order=JOIN outcome=BEGUN");
-    RequestStory story = story("r1");
+    RequestTimeline story = story("r1");
     assertThat(story.lines())
         .extracting(LogLine::time)
         .containsExactly("10.0", "10.4", "10.5", "10.6");
