--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
@@ -45,7 +45,7 @@
   private final String dataCentre;
   private final Map<String, UpstreamState> states = new HashMap<>();
   private final Map<Key, List<Node>> serving = new HashMap<>();
-  private final IncarnationTracker lives = new IncarnationTracker();
+  private final IncarnationTracker incarnations = new IncarnationTracker();
   private Map<String, Integer> peersInFlight = Map.of();
   private Predicate<String> inSight = anywhere -> true;
   private Predicate<Endpoint> connected = nowhere -> false;
@@ -92,7 +92,7 @@
    */
   public void serve(Collection<Node> nodes) {
     serving.clear();
-    states.keySet().removeAll(lives.learn(nodes));
+    states.keySet().removeAll(incarnations.update(nodes));
     for (Node node : nodes) {
       String model = node.model() == null ? ANY_MODEL : node.model();
       serving.computeIfAbsent(new Key(node.service(), model), key -> new ArrayList<>()).add(node);
@@ -187,7 +187,7 @@
       for (Node node : nodes) {
         UpstreamState state = states.get(node.id());
         boolean refuses = state != null && state.isRefusing(now);
-        if (refuses || gate.rests(node.life(), now)) {
+        if (refuses || gate.rests(node.incarnation(), now)) {
           refusing.add(node.id());
         }
       }
@@ -223,7 +223,7 @@
     states
         .entrySet()
         .removeIf(entry -> !present.contains(entry.getKey()) && entry.getValue().inFlight() <= 0);
-    lives.retain(present);
+    incarnations.retain(present);
   }
 
   /**
@@ -244,7 +244,7 @@
       boolean mayGo = !excluded.contains(node.id()) && !state.isSuspect();
       SharedLimits.Room room = gate.limits().room(node, now);
       boolean hasRoom = room != SharedLimits.Room.NONE;
-      if (mayGo && hasRoom && gate.takesRequests(node.life(), now)) {
+      if (mayGo && hasRoom && gate.takesRequests(node.incarnation(), now)) {
         usable.add(node);
         boolean accepts = !state.isBackedOff(now) && !refusingPeers.contains(node.id());
         if (accepts && room != SharedLimits.Room.ASK) {
@@ -264,7 +264,7 @@
     if (restNanos == UpstreamGate.NOW) {
       return new Choice.Refuse("no upstream serves", restNanos);
     }
-    boolean rests = candidates.stream().anyMatch(node -> gate.rests(node.life(), now));
+    boolean rests = candidates.stream().anyMatch(node -> gate.rests(node.incarnation(), now));
     return new Choice.Refuse(
         rests ? "every upstream rests or was tried" : "every upstream is at its limit", restNanos);
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
@@ -137,7 +137,7 @@
    * @return false when it may not be written: the node rests, leaves, or has no room in its limit
    */
   public boolean letThrough(Node node, long nowNanos) {
-    return takesRequests(node.life(), nowNanos) && limits.spend(node, nowNanos);
+    return takesRequests(node.incarnation(), nowNanos) && limits.spend(node, nowNanos);
   }
 
   /**
@@ -150,7 +150,7 @@
    */
   public long nanosToFirstEnd(Collection<Node> nodes, long nowNanos) {
     return nodes.stream()
-        .filter(node -> !isLeaving(node.life()))
+        .filter(node -> !isLeaving(node.incarnation()))
         .mapToLong(node -> nanosToEnd(node, nowNanos))
         .filter(nanos -> nanos != NOW)
         .min()
@@ -158,7 +158,8 @@
   }
 
   private long nanosToEnd(Node node, long nowNanos) {
-    long rest = rests(node.life(), nowNanos) ? restEnds.get(node.life()) - nowNanos : NOW;
+    long rest =
+        rests(node.incarnation(), nowNanos) ? restEnds.get(node.incarnation()) - nowNanos : NOW;
     return Math.max(rest, limits.nanosToNext(node, nowNanos));
   }
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -135,8 +135,9 @@
 
   /** What was known of a node ends with its life, and so does its part in a group. */
   private void learnLives(Map<String, Node> nodes, long now) {
-    for (String id : lives.learn(nodes.values())) {
-      remarks.add("node=" + id + " started_ms=" + nodes.get(id).life().startedMillis() + " anew");
+    for (String id : lives.update(nodes.values())) {
+      remarks.add(
+          "node=" + id + " started_ms=" + nodes.get(id).incarnation().startedMillis() + " anew");
       log.begunAnew(id);
       dissolver.begunAnew(id, now);
       assembler.begunAnew(id);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LastModels.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LastModels.java
@@ -26,7 +26,7 @@
    * @return the nodes; those without a model have that of their last group
    */
   public Collection<Node> complete(Collection<Node> nodes) {
-    models.keySet().removeAll(lives.learn(nodes));
+    models.keySet().removeAll(lives.update(nodes));
     List<Node> completed = new ArrayList<>(nodes.size());
     Set<String> listed = new HashSet<>();
     for (Node node : nodes) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/NodeReport.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/NodeReport.java
@@ -13,7 +13,8 @@
  * @param staged the models on its host
  * @param membership its place in a group; null when it has none
  * @param orders the orders that it has taken in this life
- * @param startedMillis when this life began; {@link NodeIncarnation#UNTOLD} when it does not tell
+ * @param startedMillis when this life began; {@link NodeIncarnation#UNKNOWN_START} when it does not
+ *     tell
  */
 public record NodeReport(
     @Nullable String model,
@@ -29,8 +30,9 @@
    * @return false for another life of the same id
    */
   boolean isOf(Node node) {
-    long known = node.life().startedMillis();
-    boolean untold = startedMillis == NodeIncarnation.UNTOLD || known == NodeIncarnation.UNTOLD;
+    long known = node.incarnation().startedMillis();
+    boolean untold =
+        startedMillis == NodeIncarnation.UNKNOWN_START || known == NodeIncarnation.UNKNOWN_START;
     return untold || startedMillis == known;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
@@ -70,12 +70,13 @@
   }
 
   private static boolean isLater(Node known, Node listed) {
-    boolean leaves = known.draining() && !listed.draining() && known.life().equals(listed.life());
+    boolean leaves =
+        known.draining() && !listed.draining() && known.incarnation().equals(listed.incarnation());
     return leaves || hasBegunAnew(known, listed);
   }
 
   private static boolean hasBegunAnew(Node known, Node listed) {
-    return known.life().startedMillis() > listed.life().startedMillis();
+    return known.incarnation().startedMillis() > listed.incarnation().startedMillis();
   }
 
   /**
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
@@ -139,10 +139,10 @@
    * @return whether there is room within its limit
    */
   public Room room(Node node, long nowNanos) {
-    if (known.of(node.life()) == LimitNote.OVER) {
+    if (known.of(node.incarnation()) == LimitNote.OVER) {
       return Room.FREE;
     }
-    if (holdsLeave(node.life(), nowNanos)) {
+    if (holdsLeave(node.incarnation(), nowNanos)) {
       return Room.HERE;
     }
     if (nanosToNext(node, nowNanos) > 0) {
@@ -176,16 +176,17 @@
    * @return whether it may be written; false when there is no room within the node's limit
    */
   public boolean spend(Node node, long nowNanos) {
-    double limit = known.of(node.life());
+    double limit = known.of(node.incarnation());
     if (limit == LimitNote.OVER) {
       return true;
     }
-    if (holdsLeave(node.life(), nowNanos)) {
-      useLeave(node.life());
+    if (holdsLeave(node.incarnation(), nowNanos)) {
+      useLeave(node.incarnation());
       return true;
     }
     return owners.isOwn(node.id(), node.dataCentre())
-        && bucket(node.life(), node.dataCentre(), nowNanos).take(limit, owners.share(), nowNanos);
+        && bucket(node.incarnation(), node.dataCentre(), nowNanos)
+            .take(limit, owners.share(), nowNanos);
   }
 
   private void useLeave(NodeIncarnation life) {
@@ -256,15 +257,15 @@
    * @return nanoseconds from now; 0 when it names none, or when there may be room now
    */
   public long nanosToNext(Node node, long nowNanos) {
-    double limit = known.of(node.life());
+    double limit = known.of(node.incarnation());
     if (limit == LimitNote.OVER) {
       return 0;
     }
     if (owners.isOwn(node.id(), node.dataCentre())) {
-      return bucket(node.life(), node.dataCentre(), nowNanos)
+      return bucket(node.incarnation(), node.dataCentre(), nowNanos)
           .nanosToNext(limit, owners.share(), nowNanos);
     }
-    return waitsToAsk(node.life(), nowNanos);
+    return waitsToAsk(node.incarnation(), nowNanos);
   }
 
   /**
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/IncarnationTracker.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/IncarnationTracker.java
@@ -20,11 +20,11 @@
    * @param nodes the nodes that are seen now
    * @return ids that had another life when they were seen last
    */
-  public Set<String> learn(Collection<Node> nodes) {
+  public Set<String> update(Collection<Node> nodes) {
     Set<String> begunAnew = new HashSet<>();
     for (Node node : nodes) {
-      NodeIncarnation before = last.put(node.id(), node.life());
-      if (before != null && !before.equals(node.life())) {
+      NodeIncarnation before = last.put(node.id(), node.incarnation());
+      if (before != null && !before.equals(node.incarnation())) {
         begunAnew.add(node.id());
       }
     }
@@ -39,7 +39,7 @@
    */
   public boolean isCurrent(Node node) {
     NodeIncarnation seen = last.get(node.id());
-    return seen == null || seen.equals(node.life());
+    return seen == null || seen.equals(node.incarnation());
   }
 
   /**
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Node.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Node.java
@@ -6,7 +6,7 @@
 /**
  * One life of an upstream node, as the platform's list shows it.
  *
- * @param life which life of which id it is
+ * @param incarnation which life of which id it is
  * @param service the service it belongs to
  * @param endpoint where it listens
  * @param dataCentre its data centre
@@ -18,7 +18,7 @@
  * @param membership its place in a group; null when it has none
  */
 public record Node(
-    NodeIncarnation life,
+    NodeIncarnation incarnation,
     String service,
     Endpoint endpoint,
     String dataCentre,
@@ -35,7 +35,7 @@
    * @return the id, which an earlier life may have had
    */
   public String id() {
-    return life.id();
+    return incarnation.id();
   }
 
   /**
@@ -49,7 +49,7 @@
   public Node withGroup(
       @Nullable String newModel, List<String> newStaged, @Nullable Membership newMembership) {
     return new Node(
-        life,
+        incarnation,
         service,
         endpoint,
         dataCentre,
@@ -69,7 +69,7 @@
    */
   public Node withSlots(int groupSlots) {
     return new Node(
-        life,
+        incarnation,
         service,
         endpoint,
         dataCentre,
@@ -88,6 +88,6 @@
    */
   public Node asDraining() {
     return new Node(
-        life, service, endpoint, dataCentre, slots, true, domain, model, staged, membership);
+        incarnation, service, endpoint, dataCentre, slots, true, domain, model, staged, membership);
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/NodeIncarnation.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/NodeIncarnation.java
@@ -6,12 +6,12 @@
  *
  * @param id the id, which may be that of an earlier life
  * @param startedMillis when it started, in milliseconds of Unix time as it tells it; {@link
- *     #UNTOLD} when it does not tell
+ *     #UNKNOWN_START} when it does not tell
  */
 public record NodeIncarnation(String id, long startedMillis) {
 
   /** The start of a node that does not tell when it started: each of its ids has one life. */
-  public static final long UNTOLD = 0;
+  public static final long UNKNOWN_START = 0;
 
   /**
    * The only life of an id.
@@ -20,6 +20,6 @@
    * @return the life
    */
   public static NodeIncarnation only(String id) {
-    return new NodeIncarnation(id, UNTOLD);
+    return new NodeIncarnation(id, UNKNOWN_START);
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadPlay.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadPlay.java
@@ -320,7 +320,7 @@
       daemon.dispatcher.state(head.node.id()).turnedAway(nowNanos());
     }
     NodeResponse said = new NodeResponse(503, true, false, turning.restMillis(), null, null);
-    daemon.gate.hear(head.node.life(), said, nowNanos());
+    daemon.gate.hear(head.node.incarnation(), said, nowNanos());
   }
 
   private void begin(Caller caller, Head head) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
@@ -116,10 +116,10 @@
     know(node("n", 9));
     list(node("n", 7), 20);
     goBack();
-    assertThat(shown("n", SECOND).life().startedMillis()).isEqualTo(9);
-    assertThat(shown("n", LONG_AFTER).life().startedMillis()).isEqualTo(9);
+    assertThat(shown("n", SECOND).incarnation().startedMillis()).isEqualTo(9);
+    assertThat(shown("n", LONG_AFTER).incarnation().startedMillis()).isEqualTo(9);
     list(node("n", 9), 23);
-    assertThat(shown("n", SECOND).life().startedMillis()).isEqualTo(9);
+    assertThat(shown("n", SECOND).incarnation().startedMillis()).isEqualTo(9);
   }
 
   /**
@@ -135,7 +135,7 @@
     list(node("gone", 7), 21);
     goBack("gone");
     long lastAnswer = SECOND;
-    assertThat(shown("n", lastAnswer).life().startedMillis()).isEqualTo(9);
+    assertThat(shown("n", lastAnswer).incarnation().startedMillis()).isEqualTo(9);
     assertThat(shown("gone", lastAnswer)).isNull();
   }
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/LimitPlay.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/LimitPlay.java
@@ -227,7 +227,7 @@
   }
 
   private boolean isUnknown(Daemon daemon) {
-    return daemon.limits.known().of(node.life()) == LimitNote.OVER;
+    return daemon.limits.known().of(node.incarnation()) == LimitNote.OVER;
   }
 
   private void sendWithin(Daemon daemon) {
@@ -247,28 +247,28 @@
   private void askForLeave(Daemon daemon) {
     String name = daemon.limits.ownerOf(node).name();
     Daemon owner = daemons.get(Integer.parseInt(name.substring(1)));
-    LimitNote known = daemon.limits.noteOf(node.life(), now);
+    LimitNote known = daemon.limits.noteOf(node.incarnation(), now);
     long way1 = (1 + random.nextInt(4)) * MILLI;
     if (!owner.alive || owner.side != daemon.side || known == null) {
-      daemon.limits.denied(node.life(), 300 * MILLI, now);
+      daemon.limits.denied(node.incarnation(), 300 * MILLI, now);
       return;
     }
     at(
         now + way1,
         () -> {
           owner.limits.learn(known, now);
-          SharedLimits.Reply reply = owner.limits.ask(node.life(), node.dataCentre(), now);
+          SharedLimits.Reply reply = owner.limits.ask(node.incarnation(), node.dataCentre(), now);
           at(now + way1, () -> take(daemon, reply));
         });
   }
 
   private void take(Daemon daemon, SharedLimits.Reply reply) {
     if (reply instanceof SharedLimits.Granted) {
-      daemon.limits.granted(node.life(), now);
+      daemon.limits.granted(node.incarnation(), now);
       sendIf(daemon, daemon.limits.spend(node, now));
     } else {
       long wait = reply instanceof SharedLimits.Denied denied ? denied.nanos() : 300 * MILLI;
-      daemon.limits.denied(node.life(), wait, now);
+      daemon.limits.denied(node.incarnation(), wait, now);
     }
   }
 
@@ -277,9 +277,9 @@
       return;
     }
     arrivals.add(now);
-    int stamp = daemon.limits.known().stamp(node.life());
+    int stamp = daemon.limits.known().stamp(node.incarnation());
     NodeResponse answer =
         new NodeResponse(200, false, false, 0, null, AdvertisedLimit.of(load.limit(), "named"));
-    at(now + ANSWER_NANOS, () -> daemon.limits.hear(node.life(), answer, stamp, true, now));
+    at(now + ANSWER_NANOS, () -> daemon.limits.hear(node.incarnation(), answer, stamp, true, now));
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -484,7 +484,7 @@
     long now = System.nanoTime();
     Set<String> resting = new HashSet<>();
     for (Node node : engines) {
-      if (gate.rests(node.life(), now)) {
+      if (gate.rests(node.incarnation(), now)) {
         resting.add(node.id());
       }
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreSight.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreSight.java
@@ -70,7 +70,7 @@
       return listed;
     }
     return listed.stream()
-        .map(node -> gate.isLeaving(node.life()) ? node.asDraining() : node)
+        .map(node -> gate.isLeaving(node.incarnation()) ? node.asDraining() : node)
         .toList();
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RepeatGuard.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RepeatGuard.java
@@ -164,7 +164,7 @@
   }
 
   private void ended(Fingerprint fingerprint, Node node) {
-    int ends = quarantine.ended(fingerprint, node.life(), System.nanoTime());
+    int ends = quarantine.ended(fingerprint, node.incarnation(), System.nanoTime());
     boolean barred = ends >= Quarantine.MOST_ENDS;
     figures.ended(barred);
     LOG.info("fingerprint={} node={} ends={} outcome=ended", fingerprint, node.id(), ends);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
@@ -83,7 +83,7 @@
    * @return the exchange, which can be cancelled
    */
   public ClientExchange send(Node node, HttpRequest request, byte[] body, NodeListener listener) {
-    NodeIncarnation life = node.life();
+    NodeIncarnation life = node.incarnation();
     BooleanSupplier mayWrite = () -> gate.letThrough(node, System.nanoTime());
     return client.send(
         node.endpoint(),
@@ -103,7 +103,7 @@
    * @param done told once what came of it, while the guard is held
    */
   public void call(Node node, Call call, long timeoutMillis, Consumer<WholeCall.Reply> done) {
-    NodeIncarnation life = node.life();
+    NodeIncarnation life = node.incarnation();
     Endpoint endpoint = node.endpoint();
     BooleanSupplier mayWrite = () -> !gate.rests(life, System.nanoTime());
     WholeCall.Sender sender =
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitDesk.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitDesk.java
@@ -66,7 +66,7 @@
    * @param told told once, while the guard is held, whether the request may go
    */
   public void ask(Node node, Consumer<Boolean> told) {
-    LimitNote known = limits.noteOf(node.life(), System.nanoTime());
+    LimitNote known = limits.noteOf(node.incarnation(), System.nanoTime());
     if (known == null) {
       told.accept(true);
       return;
@@ -87,7 +87,7 @@
     String outcome = "granted";
     long waitNanos = 0;
     if (said instanceof SharedLimits.Granted) {
-      limits.granted(node.life(), now);
+      limits.granted(node.incarnation(), now);
     } else if (said instanceof SharedLimits.Denied denied) {
       outcome = "denied";
       waitNanos = denied.nanos();
@@ -96,7 +96,7 @@
       waitNanos = SILENT_OWNER_NANOS;
     }
     if (waitNanos > 0) {
-      limits.denied(node.life(), waitNanos, now);
+      limits.denied(node.incarnation(), waitNanos, now);
     }
     registry.counter("fawnvale.limits.asked", "outcome", outcome).increment();
     LOG.info(
