--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Choice.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Choice.java
@@ -10,16 +10,16 @@
    *
    * @param node the upstream
    * @param load its requests in flight relative to its slots, as this daemon estimates them
-   * @param mustAsk whether the owner of the upstream's limit has to give leave first
+   * @param needsPermit whether the owner of the upstream's limit has to give leave first
    */
-  record Send(Node node, double load, boolean mustAsk) implements Choice {}
+  record Send(Node node, double load, boolean needsPermit) implements Choice {}
 
   /**
    * Nowhere now.
    *
    * @param reason why
-   * @param restNanos nanoseconds until the first upstream that rests may be asked again, or has
-   *     room within its limit; {@link UpstreamGate#NOW} when it is for neither
+   * @param retryAfterNanos nanoseconds until the first upstream that rests may be asked again, or
+   *     has room within its limit; {@link UpstreamGate#NOW} when it is for neither
    */
-  record Refuse(String reason, long restNanos) implements Choice {}
+  record Refuse(String reason, long retryAfterNanos) implements Choice {}
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/DispatchRequest.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/DispatchRequest.java
@@ -5,12 +5,12 @@
  *
  * @param service the service of its route
  * @param model the model that it names; empty for a plain service
- * @param claim how strong its claim to a place is
+ * @param admissionClass how strong its claim to a place is
  */
-public record DispatchRequest(String service, String model, Claim claim) {
+public record DispatchRequest(String service, String model, AdmissionClass admissionClass) {
 
   /** How strong the claim of a request to a place at an upstream is. */
-  public enum Claim {
+  public enum AdmissionClass {
     /** The caller asks for the first time: it can still be told to come back. */
     FIRST(1.0),
     /**
@@ -22,10 +22,10 @@
      */
     RETURNING(2.0);
 
-    private final double fullAt;
+    private final double maxLoad;
 
-    Claim(double fullAt) {
-      this.fullAt = fullAt;
+    AdmissionClass(double maxLoad) {
+      this.maxLoad = maxLoad;
     }
 
     /**
@@ -33,8 +33,8 @@
      *
      * @return requests in flight relative to the upstream's slots
      */
-    public double fullAt() {
-      return fullAt;
+    public double maxLoad() {
+      return maxLoad;
     }
   }
 
@@ -49,8 +49,10 @@
    *
    * @return requests in flight relative to the upstream's slots
    */
-  public double fullAt() {
-    return model.isEmpty() ? Math.max(PLAIN_FULL_AT, claim.fullAt()) : claim.fullAt();
+  public double maxLoad() {
+    return model.isEmpty()
+        ? Math.max(PLAIN_FULL_AT, admissionClass.maxLoad())
+        : admissionClass.maxLoad();
   }
 
   /**
@@ -58,7 +60,7 @@
    *
    * @return the demand
    */
-  public DispatchRequest returning() {
-    return new DispatchRequest(service, model, Claim.RETURNING);
+  public DispatchRequest asReturning() {
+    return new DispatchRequest(service, model, AdmissionClass.RETURNING);
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
@@ -47,14 +47,14 @@
   private final Map<Key, List<Node>> serving = new HashMap<>();
   private final IncarnationTracker incarnations = new IncarnationTracker();
   private Map<String, Integer> peersInFlight = Map.of();
-  private Predicate<String> inSight = anywhere -> true;
+  private Predicate<String> reachable = anywhere -> true;
   private Predicate<Endpoint> connected = nowhere -> false;
-  private Set<String> avoided = Set.of();
-  private Set<String> refusingPeers = Set.of();
+  private Set<String> reportedSuspects = Set.of();
+  private Set<String> reportedRejecting = Set.of();
   private final Random random;
   private final UpstreamGate gate;
   private final LongSupplier steadyNanos;
-  private int daemons = 1;
+  private int daemonCount = 1;
 
   private record Key(String service, String model) {}
 
@@ -90,7 +90,7 @@
    *
    * @param nodes the upstreams
    */
-  public void serve(Collection<Node> nodes) {
+  public void setUpstreams(Collection<Node> nodes) {
     serving.clear();
     states.keySet().removeAll(incarnations.update(nodes));
     for (Node node : nodes) {
@@ -104,7 +104,7 @@
    *
    * @param inFlight requests by node id
    */
-  public void peersInFlight(Map<String, Integer> inFlight) {
+  public void setPeersInFlight(Map<String, Integer> inFlight) {
     peersInFlight = inFlight;
   }
 
@@ -113,8 +113,8 @@
    *
    * @param test true for a data centre in sight
    */
-  public void inSight(Predicate<String> test) {
-    inSight = test;
+  public void setReachable(Predicate<String> test) {
+    reachable = test;
   }
 
   /**
@@ -122,7 +122,7 @@
    *
    * @param test true for an upstream's address with such a connection
    */
-  public void connected(Predicate<Endpoint> test) {
+  public void setConnected(Predicate<Endpoint> test) {
     connected = test;
   }
 
@@ -132,8 +132,8 @@
    * @param node the upstream
    * @return true when it is in sight
    */
-  public boolean isInSight(Node node) {
-    return inSight.test(node.dataCentre());
+  public boolean isReachable(Node node) {
+    return reachable.test(node.dataCentre());
   }
 
   /**
@@ -142,7 +142,7 @@
    * @param node the upstream
    * @return true when no cut between data centres parts them
    */
-  public boolean isNear(Node node) {
+  public boolean isLocal(Node node) {
     return node.dataCentre().equals(dataCentre);
   }
 
@@ -151,8 +151,8 @@
    *
    * @param count their number, this one included
    */
-  public void daemons(int count) {
-    daemons = Math.max(1, count);
+  public void setDaemonCount(int count) {
+    daemonCount = Math.max(1, count);
   }
 
   /**
@@ -160,8 +160,8 @@
    *
    * @param nodeIds their ids
    */
-  public void avoid(Set<String> nodeIds) {
-    avoided = nodeIds;
+  public void setReportedSuspects(Set<String> nodeIds) {
+    reportedSuspects = nodeIds;
   }
 
   /**
@@ -171,8 +171,8 @@
    *
    * @param nodeIds their ids
    */
-  public void refusingPeers(Set<String> nodeIds) {
-    refusingPeers = nodeIds;
+  public void setReportedRejecting(Set<String> nodeIds) {
+    reportedRejecting = nodeIds;
   }
 
   /**
@@ -180,14 +180,14 @@
    *
    * @return their ids
    */
-  public List<String> refusing() {
+  public List<String> rejecting() {
     long now = steadyNanos.getAsLong();
     List<String> refusing = new ArrayList<>();
     for (List<Node> nodes : serving.values()) {
       for (Node node : nodes) {
         UpstreamState state = states.get(node.id());
         boolean refuses = state != null && state.isRefusing(now);
-        if (refuses || gate.rests(node.incarnation(), now)) {
+        if (refuses || gate.isPaused(node.incarnation(), now)) {
           refusing.add(node.id());
         }
       }
@@ -244,9 +244,9 @@
       boolean mayGo = !excluded.contains(node.id()) && !state.isSuspect();
       SharedLimits.Room room = gate.limits().room(node, now);
       boolean hasRoom = room != SharedLimits.Room.NONE;
-      if (mayGo && hasRoom && gate.takesRequests(node.incarnation(), now)) {
+      if (mayGo && hasRoom && gate.acceptsRequests(node.incarnation(), now)) {
         usable.add(node);
-        boolean accepts = !state.isBackedOff(now) && !refusingPeers.contains(node.id());
+        boolean accepts = !state.isBackedOff(now) && !reportedRejecting.contains(node.id());
         if (accepts && room != SharedLimits.Room.ASK) {
           accepting.add(node);
         }
@@ -260,25 +260,27 @@
   }
 
   private Choice refusal(List<Node> candidates, long now) {
-    long restNanos = gate.nanosToFirstEnd(candidates, now);
-    if (restNanos == UpstreamGate.NOW) {
-      return new Choice.Refuse("no upstream serves", restNanos);
+    long retryAfterNanos = gate.nanosUntilAvailable(candidates, now);
+    if (retryAfterNanos == UpstreamGate.NOW) {
+      return new Choice.Refuse("no upstream serves", retryAfterNanos);
     }
-    boolean rests = candidates.stream().anyMatch(node -> gate.rests(node.incarnation(), now));
+    boolean rests = candidates.stream().anyMatch(node -> gate.isPaused(node.incarnation(), now));
     return new Choice.Refuse(
-        rests ? "every upstream rests or was tried" : "every upstream is at its limit", restNanos);
+        rests ? "every upstream rests or was tried" : "every upstream is at its limit",
+        retryAfterNanos);
   }
 
   private Choice choose(DispatchRequest demand, List<Node> usable) {
     Node best = usable.isEmpty() ? null : cheapest(sample(usable));
-    if (best != null && load(best) >= demand.fullAt()) {
+    if (best != null && load(best) >= demand.maxLoad()) {
       best = cheapest(usable);
     }
-    if (best == null || load(best) >= demand.fullAt()) {
+    if (best == null || load(best) >= demand.maxLoad()) {
       return new Choice.Refuse("every upstream is full", UpstreamGate.NOW);
     }
-    boolean mustAsk = gate.limits().room(best, steadyNanos.getAsLong()) == SharedLimits.Room.ASK;
-    return new Choice.Send(best, load(best), mustAsk);
+    boolean needsPermit =
+        gate.limits().room(best, steadyNanos.getAsLong()) == SharedLimits.Room.ASK;
+    return new Choice.Send(best, load(best), needsPermit);
   }
 
   /**
@@ -299,7 +301,7 @@
   }
 
   private List<Node> some(List<Node> nodes) {
-    int wanted = Math.max(LEAST_SAMPLE, SAMPLES_IN_ALL * nodes.size() / daemons);
+    int wanted = Math.max(LEAST_SAMPLE, SAMPLES_IN_ALL * nodes.size() / daemonCount);
     if (nodes.size() <= wanted) {
       return nodes;
     }
@@ -332,7 +334,7 @@
   /** Upstreams that can be reached, or all of them when none can. */
   private List<Node> candidates(DispatchRequest demand) {
     List<Node> all = serving.getOrDefault(new Key(demand.service(), demand.model()), List.of());
-    List<Node> reached = all.stream().filter(node -> inSight.test(node.dataCentre())).toList();
+    List<Node> reached = all.stream().filter(node -> reachable.test(node.dataCentre())).toList();
     return reached.isEmpty() ? all : reached;
   }
 
@@ -350,7 +352,7 @@
 
   private double cost(Node node) {
     double foreign = node.dataCentre().equals(dataCentre) ? 0 : FOREIGN_DATA_CENTRE_COST;
-    double suspicion = avoided.contains(node.id()) ? SUSPICION_COST : 0;
+    double suspicion = reportedSuspects.contains(node.id()) ? SUSPICION_COST : 0;
     double connecting = connected.test(node.endpoint()) ? 0 : CONNECT_COST;
     return load(node)
         + foreign
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
@@ -51,13 +51,13 @@
   }
 
   /** What an answer has brought. */
-  public enum News {
+  public enum Change {
     /** Nothing that was not known. */
     NONE,
     /** The node wants rest, from now on or for longer. */
-    RESTS,
+    PAUSED,
     /** The node has said for the first time that it leaves. */
-    LEAVES
+    LEAVING
   }
 
   /**
@@ -68,13 +68,13 @@
    * @param nowNanos the steady time
    * @return what was new
    */
-  public News hear(NodeIncarnation life, NodeResponse said, long nowNanos) {
-    boolean rests = said.restMillis() > 0 && rest(life, said.restMillis(), nowNanos);
+  public Change recordResponse(NodeIncarnation life, NodeResponse said, long nowNanos) {
+    boolean rests = said.retryAfterMillis() > 0 && rest(life, said.retryAfterMillis(), nowNanos);
     if (said.leaving() && leaving.add(life)) {
       forgetFirst(leaving);
-      return News.LEAVES;
+      return Change.LEAVING;
     }
-    return rests ? News.RESTS : News.NONE;
+    return rests ? Change.PAUSED : Change.NONE;
   }
 
   /** Of two wishes for rest the one that ends later holds. */
@@ -103,8 +103,8 @@
    * @param nowNanos the steady time
    * @return false while it rests, and once it has said that it leaves
    */
-  public boolean takesRequests(NodeIncarnation life, long nowNanos) {
-    return !isLeaving(life) && !rests(life, nowNanos);
+  public boolean acceptsRequests(NodeIncarnation life, long nowNanos) {
+    return !isLeaving(life) && !isPaused(life, nowNanos);
   }
 
   /**
@@ -114,7 +114,7 @@
    * @param nowNanos the steady time
    * @return true while it rests
    */
-  public boolean rests(NodeIncarnation life, long nowNanos) {
+  public boolean isPaused(NodeIncarnation life, long nowNanos) {
     Long end = restEnds.get(life);
     return end != null && end - nowNanos > 0;
   }
@@ -136,8 +136,8 @@
    * @param nowNanos the steady time
    * @return false when it may not be written: the node rests, leaves, or has no room in its limit
    */
-  public boolean letThrough(Node node, long nowNanos) {
-    return takesRequests(node.incarnation(), nowNanos) && limits.spend(node, nowNanos);
+  public boolean tryAcquire(Node node, long nowNanos) {
+    return acceptsRequests(node.incarnation(), nowNanos) && limits.spend(node, nowNanos);
   }
 
   /**
@@ -148,7 +148,7 @@
    * @return nanoseconds from now until the first rest ends or there is room within a limit; {@link
    *     #NOW} when none of them rests or names a limit
    */
-  public long nanosToFirstEnd(Collection<Node> nodes, long nowNanos) {
+  public long nanosUntilAvailable(Collection<Node> nodes, long nowNanos) {
     return nodes.stream()
         .filter(node -> !isLeaving(node.incarnation()))
         .mapToLong(node -> nanosToEnd(node, nowNanos))
@@ -159,7 +159,7 @@
 
   private long nanosToEnd(Node node, long nowNanos) {
     long rest =
-        rests(node.incarnation(), nowNanos) ? restEnds.get(node.incarnation()) - nowNanos : NOW;
+        isPaused(node.incarnation(), nowNanos) ? restEnds.get(node.incarnation()) - nowNanos : NOW;
     return Math.max(rest, limits.nanosToNext(node, nowNanos));
   }
 
@@ -169,7 +169,7 @@
    * @param nowNanos the steady time
    * @return their number
    */
-  public long resting(long nowNanos) {
+  public long pausedCount(long nowNanos) {
     return restEnds.values().stream().filter(end -> end - nowNanos > 0).count();
   }
 
@@ -178,7 +178,7 @@
    *
    * @return their number
    */
-  public int leaving() {
+  public int leavingCount() {
     return leaving.size();
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/AdvertisedLimit.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/AdvertisedLimit.java
@@ -4,11 +4,11 @@
  * A limit that a node names in an answer. It binds all daemons together.
  *
  * @param perSecond the requests a second that the node takes from all daemons together; 0 or more
- * @param written the limit as the node wrote it, cut to a length that a log line bears
+ * @param text the limit as the node wrote it, cut to a length that a log line bears
  * @param readable whether what was written is such a number; otherwise {@code perSecond} is what is
  *     assumed for it
  */
-public record AdvertisedLimit(double perSecond, String written, boolean readable) {
+public record AdvertisedLimit(double perSecond, String text, boolean readable) {
 
   /**
    * What is assumed of a node that names a limit which can't be read, in requests a second: it is
@@ -22,21 +22,21 @@
    * A limit that was read.
    *
    * @param perSecond requests a second
-   * @param written as the node wrote it
+   * @param text as the node wrote it
    * @return the limit
    */
-  public static AdvertisedLimit of(double perSecond, String written) {
-    return new AdvertisedLimit(perSecond, cut(written), true);
+  public static AdvertisedLimit of(double perSecond, String text) {
+    return new AdvertisedLimit(perSecond, cut(text), true);
   }
 
   /**
    * A limit that can't be read.
    *
-   * @param written as the node wrote it
+   * @param text as the node wrote it
    * @return the limit that is assumed
    */
-  public static AdvertisedLimit unreadable(String written) {
-    return new AdvertisedLimit(ASSUMED_PER_SECOND, cut(written), false);
+  public static AdvertisedLimit unreadable(String text) {
+    return new AdvertisedLimit(ASSUMED_PER_SECOND, cut(text), false);
   }
 
   /**
@@ -49,9 +49,7 @@
     return other.perSecond < perSecond ? other : this;
   }
 
-  private static String cut(String written) {
-    return written.length() <= LONGEST_WRITTEN
-        ? written
-        : written.substring(0, LONGEST_WRITTEN) + "...";
+  private static String cut(String text) {
+    return text.length() <= LONGEST_WRITTEN ? text : text.substring(0, LONGEST_WRITTEN) + "...";
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ConnectionReuseTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ConnectionReuseTest.java
@@ -26,7 +26,7 @@
 class ConnectionReuseTest {
 
   private static final DispatchRequest FIRST =
-      new DispatchRequest("engines", "large", DispatchRequest.Claim.FIRST);
+      new DispatchRequest("engines", "large", DispatchRequest.AdmissionClass.FIRST);
   private static final int DAEMONS = 19;
   private static final int HEADS = 14;
   private static final int SLOTS = 15;
@@ -84,10 +84,10 @@
     }
     for (int number = 0; number < DAEMONS; number++) {
       Daemon daemon = new Daemon();
-      daemon.dispatcher.serve(heads);
-      daemon.dispatcher.daemons(DAEMONS);
+      daemon.dispatcher.setUpstreams(heads);
+      daemon.dispatcher.setDaemonCount(DAEMONS);
       if (keepsToConnections) {
-        daemon.dispatcher.connected(endpoint -> hasRested(daemon, endpoint));
+        daemon.dispatcher.setConnected(endpoint -> hasRested(daemon, endpoint));
       }
       daemons.add(daemon);
     }
@@ -111,7 +111,7 @@
         .dispatcher
         .states()
         .forEach((id, state) -> others.merge(id, -state.inFlight(), Integer::sum));
-    daemon.dispatcher.peersInFlight(others);
+    daemon.dispatcher.setPeersInFlight(others);
   }
 
   private void send(Daemon daemon) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
@@ -22,7 +22,7 @@
 class DispatcherTest {
 
   private static final DispatchRequest FIRST =
-      new DispatchRequest("engines", "large", DispatchRequest.Claim.FIRST);
+      new DispatchRequest("engines", "large", DispatchRequest.AdmissionClass.FIRST);
   private static final int SLOTS = 10;
 
   private static final long MILLI = 1_000_000L;
@@ -52,28 +52,28 @@
 
   @Test
   void theLeastLoadedHeadTakesTheRequest() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here")));
-    dispatcher.peersInFlight(Map.of("a", 5));
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
+    dispatcher.setPeersInFlight(Map.of("a", 5));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
   }
 
   @Test
   void aHeadOfTheOwnDataCentreIsTakenWhileItIsHardlyFuller() {
-    dispatcher.serve(List.of(head("a", "elsewhere"), head("b", "here")));
-    dispatcher.peersInFlight(Map.of("b", 1));
+    dispatcher.setUpstreams(List.of(head("a", "elsewhere"), head("b", "here")));
+    dispatcher.setPeersInFlight(Map.of("b", 1));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
-    dispatcher.peersInFlight(Map.of("b", 4));
+    dispatcher.setPeersInFlight(Map.of("b", 4));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("a");
   }
 
   @Test
   void aFullHeadRefusesFirstTriesAndStillTakesThoseThatComeBack() {
-    dispatcher.serve(List.of(head("a", "here")));
-    dispatcher.peersInFlight(Map.of("a", SLOTS));
+    dispatcher.setUpstreams(List.of(head("a", "here")));
+    dispatcher.setPeersInFlight(Map.of("a", SLOTS));
     assertThat(dispatcher.choose(FIRST, Set.of())).isInstanceOf(Choice.Refuse.class);
-    assertThat(target(dispatcher.choose(FIRST.returning(), Set.of()))).isEqualTo("a");
-    dispatcher.peersInFlight(Map.of("a", 2 * SLOTS));
-    assertThat(dispatcher.choose(FIRST.returning(), Set.of())).isInstanceOf(Choice.Refuse.class);
+    assertThat(target(dispatcher.choose(FIRST.asReturning(), Set.of()))).isEqualTo("a");
+    dispatcher.setPeersInFlight(Map.of("a", 2 * SLOTS));
+    assertThat(dispatcher.choose(FIRST.asReturning(), Set.of())).isInstanceOf(Choice.Refuse.class);
   }
 
   @Test
@@ -90,26 +90,26 @@
             null,
             List.of(),
             null);
-    DispatchRequest asked = new DispatchRequest("plain", "", DispatchRequest.Claim.FIRST);
-    dispatcher.serve(List.of(plain));
-    dispatcher.peersInFlight(Map.of("p", 3 * SLOTS - 1));
+    DispatchRequest asked = new DispatchRequest("plain", "", DispatchRequest.AdmissionClass.FIRST);
+    dispatcher.setUpstreams(List.of(plain));
+    dispatcher.setPeersInFlight(Map.of("p", 3 * SLOTS - 1));
     assertThat(target(dispatcher.choose(asked, Set.of()))).isEqualTo("p");
-    dispatcher.peersInFlight(Map.of("p", 3 * SLOTS));
+    dispatcher.setPeersInFlight(Map.of("p", 3 * SLOTS));
     assertThat(dispatcher.choose(asked, Set.of())).isInstanceOf(Choice.Refuse.class);
   }
 
   @Test
   void aHeadThatStandsStillOrWasTriedIsLeftOut() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here"), head("c", "here")));
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here"), head("c", "here")));
     dispatcher.state("a").suspect(1);
     assertThat(target(dispatcher.choose(FIRST, Set.of("b")))).isEqualTo("c");
   }
 
   @Test
   void aHeadThatPeersSuspectIsTheLastResort() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here")));
-    dispatcher.peersInFlight(Map.of("b", 7));
-    dispatcher.avoid(Set.of("a"));
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
+    dispatcher.setPeersInFlight(Map.of("b", 7));
+    dispatcher.setReportedSuspects(Set.of("a"));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
     assertThat(target(dispatcher.choose(FIRST, Set.of("b")))).isEqualTo("a");
   }
@@ -122,9 +122,9 @@
       heads.add(head("h" + index, "here"));
       inFlight.put("h" + index, index == 0 ? 0 : 5);
     }
-    dispatcher.serve(heads);
-    dispatcher.peersInFlight(inFlight);
-    dispatcher.daemons(60);
+    dispatcher.setUpstreams(heads);
+    dispatcher.setPeersInFlight(inFlight);
+    dispatcher.setDaemonCount(60);
     int toTheEmptyOne = 0;
     for (int request = 0; request < 1_000; request++) {
       toTheEmptyOne += "h0".equals(target(dispatcher.choose(FIRST, Set.of()))) ? 1 : 0;
@@ -140,9 +140,9 @@
       heads.add(head("h" + index, "here"));
       inFlight.put("h" + index, index == 7 ? 0 : SLOTS);
     }
-    dispatcher.serve(heads);
-    dispatcher.peersInFlight(inFlight);
-    dispatcher.daemons(60);
+    dispatcher.setUpstreams(heads);
+    dispatcher.setPeersInFlight(inFlight);
+    dispatcher.setDaemonCount(60);
     for (int request = 0; request < 100; request++) {
       assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("h7");
     }
@@ -150,11 +150,11 @@
 
   @Test
   void headsOutOfSightAreTakenOnlyWhenNoOtherServes() {
-    dispatcher.serve(List.of(head("a", "elsewhere"), head("b", "here")));
-    dispatcher.inSight("here"::equals);
-    dispatcher.peersInFlight(Map.of("b", SLOTS));
+    dispatcher.setUpstreams(List.of(head("a", "elsewhere"), head("b", "here")));
+    dispatcher.setReachable("here"::equals);
+    dispatcher.setPeersInFlight(Map.of("b", SLOTS));
     assertThat(dispatcher.choose(FIRST, Set.of())).isInstanceOf(Choice.Refuse.class);
-    dispatcher.serve(List.of(head("a", "elsewhere")));
+    dispatcher.setUpstreams(List.of(head("a", "elsewhere")));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("a");
   }
 
@@ -164,11 +164,11 @@
 
   @Test
   void headsThatRestAreLeftOutHoweverEmptyTheyLook() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here")));
-    dispatcher.peersInFlight(Map.of("b", SLOTS - 1));
-    gate.hear(NodeIncarnation.only("a"), restOf(3_000), now.get());
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
+    dispatcher.setPeersInFlight(Map.of("b", SLOTS - 1));
+    gate.recordResponse(NodeIncarnation.only("a"), restOf(3_000), now.get());
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
-    dispatcher.peersInFlight(Map.of("b", SLOTS));
+    dispatcher.setPeersInFlight(Map.of("b", SLOTS));
     assertThat(dispatcher.choose(FIRST, Set.of())).isInstanceOf(Choice.Refuse.class);
     now.set(3_000 * MILLI);
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("a");
@@ -176,9 +176,9 @@
 
   @Test
   void whereAllRestTheRefusalTellsWhenTheFirstMayBeAskedAgain() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here")));
-    gate.hear(NodeIncarnation.only("a"), restOf(3_000), now.get());
-    gate.hear(NodeIncarnation.only("b"), restOf(1_000), now.get());
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
+    gate.recordResponse(NodeIncarnation.only("a"), restOf(3_000), now.get());
+    gate.recordResponse(NodeIncarnation.only("b"), restOf(1_000), now.get());
     now.set(200 * MILLI);
     Choice choice = dispatcher.choose(FIRST, Set.of("b"));
     assertThat(choice)
@@ -187,8 +187,8 @@
 
   @Test
   void aHeadThatTurnsAwayIsAskedLastForAPauseThatDoubles() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here")));
-    dispatcher.peersInFlight(Map.of("b", SLOTS - 1));
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
+    dispatcher.setPeersInFlight(Map.of("b", SLOTS - 1));
     dispatcher.state("a").turnedAway(now.get());
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
     now.set(100 * MILLI);
@@ -202,16 +202,16 @@
 
   @Test
   void itIsAskedAllTheSameWhereNoOtherHasRoom() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here")));
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
     dispatcher.state("a").turnedAway(now.get());
-    dispatcher.peersInFlight(Map.of("b", SLOTS));
+    dispatcher.setPeersInFlight(Map.of("b", SLOTS));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("a");
   }
 
   @Test
   void itCountsAsBeforeOnceItTakesARequest() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here")));
-    dispatcher.peersInFlight(Map.of("b", 1));
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
+    dispatcher.setPeersInFlight(Map.of("b", 1));
     dispatcher.state("a").turnedAway(now.get());
     dispatcher.state("a").tookRequest();
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("a");
@@ -219,28 +219,28 @@
 
   @Test
   void headsThatTurnOthersAwayAreAskedLast() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here")));
-    dispatcher.peersInFlight(Map.of("b", SLOTS - 1));
-    dispatcher.refusingPeers(Set.of("a"));
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
+    dispatcher.setPeersInFlight(Map.of("b", SLOTS - 1));
+    dispatcher.setReportedRejecting(Set.of("a"));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
-    dispatcher.peersInFlight(Map.of("b", SLOTS));
+    dispatcher.setPeersInFlight(Map.of("b", SLOTS));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("a");
   }
 
   @Test
   void othersAreToldOfThoseThatRestAndThoseThatTurnAwayAThirdTime() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here"), head("c", "here")));
-    gate.hear(NodeIncarnation.only("c"), restOf(10_000), now.get());
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here"), head("c", "here")));
+    gate.recordResponse(NodeIncarnation.only("c"), restOf(10_000), now.get());
     UpstreamState turning = dispatcher.state("a");
     turning.turnedAway(now.get());
     now.set(100 * MILLI);
     turning.turnedAway(now.get());
-    assertThat(dispatcher.refusing()).containsExactly("c");
+    assertThat(dispatcher.rejecting()).containsExactly("c");
     now.set(300 * MILLI);
     turning.turnedAway(now.get());
-    assertThat(dispatcher.refusing()).containsExactlyInAnyOrder("a", "c");
+    assertThat(dispatcher.rejecting()).containsExactlyInAnyOrder("a", "c");
     now.set(700 * MILLI);
-    assertThat(dispatcher.refusing()).containsExactly("c");
+    assertThat(dispatcher.rejecting()).containsExactly("c");
   }
 
   @Test
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadPlay.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadPlay.java
@@ -215,8 +215,8 @@
     }
     for (int number = 0; number < load.daemons(); number++) {
       Daemon daemon = new Daemon("dc" + number % DATA_CENTRES, random, this::nowNanos);
-      daemon.dispatcher.serve(nodes);
-      daemon.dispatcher.daemons(load.daemons());
+      daemon.dispatcher.setUpstreams(nodes);
+      daemon.dispatcher.setDaemonCount(load.daemons());
       daemons.add(daemon);
     }
     at(0, this::ask);
@@ -280,8 +280,10 @@
 
   private void arrive(Caller caller) {
     caller.daemon = daemons.get(random.nextInt(daemons.size()));
-    DispatchRequest.Claim claim =
-        caller.returns ? DispatchRequest.Claim.RETURNING : DispatchRequest.Claim.FIRST;
+    DispatchRequest.AdmissionClass claim =
+        caller.returns
+            ? DispatchRequest.AdmissionClass.RETURNING
+            : DispatchRequest.AdmissionClass.FIRST;
     DispatchRequest demand = new DispatchRequest("engines", load.model().name(), claim);
     Set<String> tried = new HashSet<>();
     Choice choice = caller.daemon.dispatcher.choose(demand, tried);
@@ -295,7 +297,7 @@
       hearRefusal(caller.daemon, head);
       choice = caller.daemon.dispatcher.choose(demand, tried);
     }
-    long restNanos = choice instanceof Choice.Refuse refuse ? refuse.restNanos() : 0;
+    long retryAfterNanos = choice instanceof Choice.Refuse refuse ? refuse.retryAfterNanos() : 0;
     refused += counts(caller) ? 1 : 0;
     if (caller.returns) {
       lost += counts(caller) ? 1 : 0;
@@ -303,7 +305,7 @@
     }
     caller.returns = true;
     long left = load.deadlineMillis();
-    at(now + returns.millis(left, restNanos / 1_000_000) / 1e3, () -> arrive(caller));
+    at(now + returns.millis(left, retryAfterNanos / 1_000_000) / 1e3, () -> arrive(caller));
   }
 
   private long nowNanos() {
@@ -320,7 +322,7 @@
       daemon.dispatcher.state(head.node.id()).turnedAway(nowNanos());
     }
     NodeResponse said = new NodeResponse(503, true, false, turning.restMillis(), null, null);
-    daemon.gate.hear(head.node.incarnation(), said, nowNanos());
+    daemon.gate.recordResponse(head.node.incarnation(), said, nowNanos());
   }
 
   private void begin(Caller caller, Head head) {
@@ -398,7 +400,7 @@
     at(now + NOTE_SECONDS, this::tell);
     Set<String> refusing = new HashSet<>();
     if (ways.tells()) {
-      daemons.forEach(daemon -> refusing.addAll(daemon.dispatcher.refusing()));
+      daemons.forEach(daemon -> refusing.addAll(daemon.dispatcher.rejecting()));
     }
     for (Daemon daemon : daemons) {
       Map<String, Integer> others = new HashMap<>();
@@ -408,8 +410,8 @@
       at(
           now + delay,
           () -> {
-            daemon.dispatcher.peersInFlight(others);
-            daemon.dispatcher.refusingPeers(refusing);
+            daemon.dispatcher.setPeersInFlight(others);
+            daemon.dispatcher.setReportedRejecting(refusing);
           });
     }
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/UpstreamGateTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/UpstreamGateTest.java
@@ -37,63 +37,67 @@
 
   @Test
   void aRestHoldsForAllRequestsUntilItsEnd() {
-    assertThat(gate.hear(LIFE, restOf(3_000), START)).isEqualTo(UpstreamGate.News.RESTS);
-    assertThat(gate.takesRequests(LIFE, START)).isFalse();
-    assertThat(gate.takesRequests(LIFE, START + 3 * SECOND - 1)).isFalse();
-    assertThat(gate.rests(LIFE, START + 3 * SECOND - 1)).isTrue();
-    assertThat(gate.takesRequests(LIFE, START + 3 * SECOND)).isTrue();
+    assertThat(gate.recordResponse(LIFE, restOf(3_000), START))
+        .isEqualTo(UpstreamGate.Change.PAUSED);
+    assertThat(gate.acceptsRequests(LIFE, START)).isFalse();
+    assertThat(gate.acceptsRequests(LIFE, START + 3 * SECOND - 1)).isFalse();
+    assertThat(gate.isPaused(LIFE, START + 3 * SECOND - 1)).isTrue();
+    assertThat(gate.acceptsRequests(LIFE, START + 3 * SECOND)).isTrue();
   }
 
   @Test
   void laterAnswersThatAskForNothingDoNotEndIt() {
-    gate.hear(LIFE, restOf(3_000), START);
-    assertThat(gate.hear(LIFE, PLAIN, START + SECOND)).isEqualTo(UpstreamGate.News.NONE);
-    assertThat(gate.takesRequests(LIFE, START + 2 * SECOND)).isFalse();
+    gate.recordResponse(LIFE, restOf(3_000), START);
+    assertThat(gate.recordResponse(LIFE, PLAIN, START + SECOND))
+        .isEqualTo(UpstreamGate.Change.NONE);
+    assertThat(gate.acceptsRequests(LIFE, START + 2 * SECOND)).isFalse();
   }
 
   @Test
   void ofTwoRestsTheOneThatEndsLaterHolds() {
-    gate.hear(LIFE, restOf(3_000), START);
-    assertThat(gate.hear(LIFE, restOf(500), START + SECOND)).isEqualTo(UpstreamGate.News.NONE);
-    assertThat(gate.takesRequests(LIFE, START + 2 * SECOND)).isFalse();
-    assertThat(gate.hear(LIFE, restOf(3_000), START + SECOND)).isEqualTo(UpstreamGate.News.RESTS);
-    assertThat(gate.takesRequests(LIFE, START + 3 * SECOND)).isFalse();
-    assertThat(gate.takesRequests(LIFE, START + 4 * SECOND)).isTrue();
+    gate.recordResponse(LIFE, restOf(3_000), START);
+    assertThat(gate.recordResponse(LIFE, restOf(500), START + SECOND))
+        .isEqualTo(UpstreamGate.Change.NONE);
+    assertThat(gate.acceptsRequests(LIFE, START + 2 * SECOND)).isFalse();
+    assertThat(gate.recordResponse(LIFE, restOf(3_000), START + SECOND))
+        .isEqualTo(UpstreamGate.Change.PAUSED);
+    assertThat(gate.acceptsRequests(LIFE, START + 3 * SECOND)).isFalse();
+    assertThat(gate.acceptsRequests(LIFE, START + 4 * SECOND)).isTrue();
   }
 
   @Test
   void aNewLifeUnderTheSameIdHasAskedForNothing() {
-    gate.hear(LIFE, restOf(3_000), START);
-    gate.hear(LIFE, LEAVES, START);
-    assertThat(gate.takesRequests(new NodeIncarnation("n", 2), START + 1)).isTrue();
+    gate.recordResponse(LIFE, restOf(3_000), START);
+    gate.recordResponse(LIFE, LEAVES, START);
+    assertThat(gate.acceptsRequests(new NodeIncarnation("n", 2), START + 1)).isTrue();
   }
 
   @Test
   void leavingIsForEver() {
-    assertThat(gate.hear(LIFE, LEAVES, START)).isEqualTo(UpstreamGate.News.LEAVES);
-    assertThat(gate.hear(LIFE, LEAVES, START)).isEqualTo(UpstreamGate.News.NONE);
-    assertThat(gate.takesRequests(LIFE, START + 3_600 * SECOND)).isFalse();
-    assertThat(gate.rests(LIFE, START)).isFalse();
+    assertThat(gate.recordResponse(LIFE, LEAVES, START)).isEqualTo(UpstreamGate.Change.LEAVING);
+    assertThat(gate.recordResponse(LIFE, LEAVES, START)).isEqualTo(UpstreamGate.Change.NONE);
+    assertThat(gate.acceptsRequests(LIFE, START + 3_600 * SECOND)).isFalse();
+    assertThat(gate.isPaused(LIFE, START)).isFalse();
   }
 
   @Test
   void theFirstEndOfSomeRestsIsTold() {
     NodeIncarnation other = new NodeIncarnation("m", 1);
-    gate.hear(LIFE, restOf(3_000), START);
-    gate.hear(other, restOf(2_000), START);
+    gate.recordResponse(LIFE, restOf(3_000), START);
+    gate.recordResponse(other, restOf(2_000), START);
     List<Node> nodes = List.of(node(LIFE), node(other), node(new NodeIncarnation("free", 1)));
-    assertThat(gate.nanosToFirstEnd(nodes, START + SECOND)).isEqualTo(SECOND);
-    assertThat(gate.nanosToFirstEnd(nodes, START + 3 * SECOND)).isEqualTo(UpstreamGate.NOW);
+    assertThat(gate.nanosUntilAvailable(nodes, START + SECOND)).isEqualTo(SECOND);
+    assertThat(gate.nanosUntilAvailable(nodes, START + 3 * SECOND)).isEqualTo(UpstreamGate.NOW);
   }
 
   @Test
   void whatIsKeptIsBounded() {
     for (int number = 0; number < 40_000; number++) {
-      gate.hear(new NodeIncarnation("n" + number, 1), restOf(60_000), START);
-      gate.hear(new NodeIncarnation("n" + number, 1), LEAVES, START);
+      gate.recordResponse(new NodeIncarnation("n" + number, 1), restOf(60_000), START);
+      gate.recordResponse(new NodeIncarnation("n" + number, 1), LEAVES, START);
     }
-    assertThat(gate.resting(START)).isEqualTo(16_384);
-    assertThat(gate.leaving()).isEqualTo(16_384);
-    assertThat(gate.takesRequests(new NodeIncarnation("n39999", 1), START)).isFalse();
+    assertThat(gate.pausedCount(START)).isEqualTo(16_384);
+    assertThat(gate.leavingCount()).isEqualTo(16_384);
+    assertThat(gate.acceptsRequests(new NodeIncarnation("n39999", 1), START)).isFalse();
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodesThatStartAgainTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodesThatStartAgainTest.java
@@ -137,12 +137,12 @@
             new UpstreamGate(
                 new SharedLimits(new Owners(new Owners.Daemon("d", "127.0.0.1", "a")))),
             () -> 0);
-    dispatcher.serve(List.of(node(1, "large")));
+    dispatcher.setUpstreams(List.of(node(1, "large")));
     dispatcher.state("n").suspect(now);
     dispatcher.state("n").sent(now);
-    dispatcher.serve(List.of(node(1, "large")));
+    dispatcher.setUpstreams(List.of(node(1, "large")));
     assertThat(dispatcher.state("n").isSuspect()).isTrue();
-    dispatcher.serve(List.of(node(2, "large")));
+    dispatcher.setUpstreams(List.of(node(2, "large")));
     assertThat(dispatcher.state("n").isSuspect()).isFalse();
     assertThat(dispatcher.state("n").inFlight()).isZero();
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -150,7 +150,7 @@
     OwnerCalls ownerCalls = new OwnerCalls(client, timers, settings.peerPort() + COPY_PORT_OFFSET);
     this.limitDesk = new LimitDesk(ownerCalls, limits, registry);
     this.dispatcher = new Dispatcher(settings.dataCentre(), gate, System::nanoTime);
-    dispatcher.connected(client::hasRested);
+    dispatcher.setConnected(client::hasRested);
     NodeClient toNodes = new NodeClient(client, timers, gate, platform::answer, registry);
     toNodes.onLeaving(() -> upstreamsAreOld = true);
     this.cadence = new WatchCadence(settings.bounds().leavingMillis());
@@ -341,7 +341,7 @@
     Announced announced = announced();
     List<Node> serving = fleet.serving(sight.listedNodes(), current, announced);
     suspicions.learn(serving, nodes.objects().keySet());
-    dispatcher.serve(serving);
+    dispatcher.setUpstreams(serving);
     dispatcher.retain(nodes.objects().keySet());
     if (!fleetIsKnown && nodes.place().isKnown()) {
       fleetIsKnown = true;
@@ -396,7 +396,7 @@
       return;
     }
     Set<String> shared = suspicions.ofPeers();
-    dispatcher.avoid(shared);
+    dispatcher.setReportedSuspects(shared);
     int before = suspicions.countOfOwn();
     if (StallDetector.mayJudge(System.nanoTime() - startedNanos)) {
       gateway.watchStreams(shared);
@@ -441,7 +441,7 @@
   private void seeWhoIsInTouch() {
     Map<String, PeerNote> live = peers.live();
     news.see(live.values(), peers.heardLately());
-    dispatcher.daemons(live.size() + 1);
+    dispatcher.setDaemonCount(live.size() + 1);
   }
 
   private void decideWhoLeads() {
@@ -462,7 +462,7 @@
     }
     Set<String> inSight = sight.dataCentres(dispatcher);
     if (settings.policy().cutsAreNoDeaths()) {
-      dispatcher.inSight(inSight::contains);
+      dispatcher.setReachable(inSight::contains);
     }
     if (leads) {
       lead(engine, inSight);
@@ -484,7 +484,7 @@
     long now = System.nanoTime();
     Set<String> resting = new HashSet<>();
     for (Node node : engines) {
-      if (gate.rests(node.incarnation(), now)) {
+      if (gate.isPaused(node.incarnation(), now)) {
         resting.add(node.id());
       }
     }
@@ -500,8 +500,8 @@
     }
     groupsAreNews |= isNews && leads;
     Peers.OfUpstreams told = peers.ofUpstreams();
-    dispatcher.peersInFlight(told.inFlight());
-    dispatcher.refusingPeers(told.refusing());
+    dispatcher.setPeersInFlight(told.inFlight());
+    dispatcher.setReportedRejecting(told.refusing());
     gateway.daemons(peers.daemons());
   }
 
@@ -553,7 +553,7 @@
             inFlight,
             gateway.offeredWork(),
             suspicions.own(),
-            dispatcher.refusing(),
+            dispatcher.rejecting(),
             leads ? formation.opened() : List.of(),
             leads ? formation.closed() : List.of());
     CopyPlaces places = new CopyPlaces(configurations.newest(), versionInForce(), nodes.newest());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreSight.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreSight.java
@@ -66,7 +66,7 @@
 
   /** A node leaves once its entry or an answer of its own says so, whichever comes first. */
   private Collection<Node> withLeaving(Collection<Node> listed) {
-    if (gate.leaving() == 0) {
+    if (gate.leavingCount() == 0) {
       return listed;
     }
     return listed.stream()
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
@@ -132,7 +132,7 @@
     }
     placelessSinceNanos = 0;
     Choice.Send send = (Choice.Send) choice;
-    if (send.mustAsk()) {
+    if (send.needsPermit()) {
       askForLeave(send.node(), why);
     } else {
       send(send.node(), why);
@@ -206,7 +206,7 @@
   }
 
   private DispatchRequest demand() {
-    return runs > 0 ? request.demand().returning() : request.demand();
+    return runs > 0 ? request.demand().asReturning() : request.demand();
   }
 
   private void send(Node node, String why) {
@@ -249,8 +249,8 @@
     if (over || running == null || !route.repeatable() || runs + 1 >= route.maxAttempts()) {
       return false;
     }
-    Choice choice = gateway.dispatcher().choose(request.demand().returning(), tried);
-    boolean surelyGoes = choice instanceof Choice.Send send && !send.mustAsk();
+    Choice choice = gateway.dispatcher().choose(request.demand().asReturning(), tried);
+    boolean surelyGoes = choice instanceof Choice.Send send && !send.needsPermit();
     if (!surelyGoes || !gateway.takeRepeat(request.demand().service())) {
       return false;
     }
@@ -510,7 +510,7 @@
     private boolean mayTryAgain() {
       return request.route().repeatable()
           && runs + 1 < request.route().maxAttempts()
-          && gateway.dispatcher().choose(request.demand().returning(), tried)
+          && gateway.dispatcher().choose(request.demand().asReturning(), tried)
               instanceof Choice.Send;
     }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -243,7 +243,7 @@
   int retryAfterMillis(CallerRequest request, Set<String> tried) {
     long left = (request.untilNanos() - System.nanoTime()) / NANOS_PER_MILLI;
     return dispatcher.choose(request.demand(), tried) instanceof Choice.Refuse refuse
-        ? returnTimes.next(left, refuse.restNanos() / NANOS_PER_MILLI)
+        ? returnTimes.next(left, refuse.retryAfterNanos() / NANOS_PER_MILLI)
         : RETRY_AFTER_MILLIS;
   }
 
@@ -328,7 +328,9 @@
     ServiceSpec service = configuration.services().get(demand.service());
     EngineSpec engine = service == null ? null : service.engine();
     ModelSpec model = engine == null ? null : engine.model(demand.model());
-    if (engine != null && model != null && demand.claim() == DispatchRequest.Claim.FIRST) {
+    if (engine != null
+        && model != null
+        && demand.admissionClass() == DispatchRequest.AdmissionClass.FIRST) {
       double work = EngineTimes.workMillis(engine, model, request.size());
       offeredWork.offered(model.name(), work, request.receivedNanos());
     }
@@ -359,8 +361,8 @@
   private DispatchRequest demand(HttpRequest head, Route route) {
     String model = Headers.value(head, headers().model());
     boolean returning = returningCallers.isReturning(route.name(), patienceMillis(head, route));
-    DispatchRequest.Claim claim =
-        returning ? DispatchRequest.Claim.RETURNING : DispatchRequest.Claim.FIRST;
+    DispatchRequest.AdmissionClass claim =
+        returning ? DispatchRequest.AdmissionClass.RETURNING : DispatchRequest.AdmissionClass.FIRST;
     return new DispatchRequest(service(route), model == null ? "" : model, claim);
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RepeatGuard.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RepeatGuard.java
@@ -154,7 +154,7 @@
     proofs.ask(
         node.endpoint(),
         hasEnded -> {
-          if (hasEnded && dispatcher.isNear(node)) {
+          if (hasEnded && dispatcher.isLocal(node)) {
             ended(fingerprint, node);
           } else if (hasEnded) {
             farEnds.addLast(new FarEnd(fingerprint, node, System.nanoTime() + FAR_NANOS));
@@ -240,7 +240,7 @@
     long now = System.nanoTime();
     while (!farEnds.isEmpty() && farEnds.peekFirst().dueNanos() <= now) {
       FarEnd end = farEnds.removeFirst();
-      if (dispatcher.isInSight(end.node())) {
+      if (dispatcher.isReachable(end.node())) {
         ended(end.fingerprint(), end.node());
       }
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestLog.java
@@ -32,7 +32,7 @@
         request.route().name(),
         request.version(),
         why,
-        request.demand().claim(),
+        request.demand().admissionClass(),
         earlier,
         String.format(Locale.ROOT, "%.2f", dispatcher.load(node)));
   }
@@ -53,7 +53,7 @@
         node.id(),
         said.status(),
         said.faultyNode(),
-        said.restMillis(),
+        said.retryAfterMillis(),
         said.leaving());
     if (isHead(node) && said.faultyNode() != null) {
       dispatcher.state(node.id()).suspect(System.nanoTime());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/StreamWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/StreamWatch.java
@@ -52,7 +52,7 @@
       Forwarder forwarder, Node node, long patience, Set<String> peerSuspects, long now) {
     UpstreamState state = dispatcher.state(node.id());
     boolean shared = peerSuspects.contains(node.id());
-    boolean doubted = shared || !dispatcher.isInSight(node);
+    boolean doubted = shared || !dispatcher.isReachable(node);
     boolean stalled = StallDetector.stalled(state, patience, doubted, now);
     if (stalled && !state.isSuspect()) {
       state.suspect(now);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
@@ -62,7 +62,7 @@
           "node={} written={} taken_for={} by=answer outcome={}. A decimal number of requests a"
               + " second is read, as 4 or 0.25.",
           life.id(),
-          said.written(),
+          said.text(),
           said.perSecond(),
           name(change));
       return;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
@@ -61,7 +61,7 @@
     this.leaves = registry.counter("fawnvale.nodes.asked", "wish", "leaving");
     this.held = registry.counter("fawnvale.nodes.held");
     this.limitLog = new LimitLog(registry);
-    registry.gauge("fawnvale.nodes.resting", gate, known -> known.resting(System.nanoTime()));
+    registry.gauge("fawnvale.nodes.resting", gate, known -> known.pausedCount(System.nanoTime()));
   }
 
   /**
@@ -84,7 +84,7 @@
    */
   public ClientExchange send(Node node, HttpRequest request, byte[] body, NodeListener listener) {
     NodeIncarnation life = node.incarnation();
-    BooleanSupplier mayWrite = () -> gate.letThrough(node, System.nanoTime());
+    BooleanSupplier mayWrite = () -> gate.tryAcquire(node, System.nanoTime());
     return client.send(
         node.endpoint(),
         request,
@@ -105,7 +105,7 @@
   public void call(Node node, Call call, long timeoutMillis, Consumer<WholeCall.Reply> done) {
     NodeIncarnation life = node.incarnation();
     Endpoint endpoint = node.endpoint();
-    BooleanSupplier mayWrite = () -> !gate.rests(life, System.nanoTime());
+    BooleanSupplier mayWrite = () -> !gate.isPaused(life, System.nanoTime());
     WholeCall.Sender sender =
         (request, body, whole) ->
             client.send(
@@ -137,12 +137,12 @@
   }
 
   private void hear(NodeIncarnation life, NodeResponse said) {
-    switch (gate.hear(life, said, System.nanoTime())) {
-      case RESTS -> {
+    switch (gate.recordResponse(life, said, System.nanoTime())) {
+      case PAUSED -> {
         rests.increment();
-        LOG.info("node={} rest_ms={} outcome=rests", life.id(), said.restMillis());
+        LOG.info("node={} rest_ms={} outcome=rests", life.id(), said.retryAfterMillis());
       }
-      case LEAVES -> {
+      case LEAVING -> {
         leaves.increment();
         LOG.info("node={} by=answer outcome=leaves", life.id());
         onLeaving.run();
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
@@ -87,7 +87,7 @@
       nodes.add(new Node(life, "s", endpoint, "a", SLOTS, false, "", ofGroup, List.of(), null));
     }
     synchronized (guard()) {
-      dispatcher.serve(nodes);
+      dispatcher.setUpstreams(nodes);
     }
   }
 
