--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/ExplainCommand.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/ExplainCommand.java
@@ -122,7 +122,8 @@
     }
     for (LogLine line : story.lines()) {
       console.line(
-          String.join(" ", line.time(), line.daemon(), "[" + line.part() + "]", line.message()));
+          String.join(
+              " ", line.time(), line.daemon(), "[" + line.component() + "]", line.message()));
     }
     console.line("Likely cause: " + story.cause().sentence());
     return ExitCode.DONE;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/EngineTimes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/EngineTimes.java
@@ -22,7 +22,7 @@
    */
   public static double passMillis(EngineSpec engine, ModelSpec model, double writers) {
     double step = engine.stepMillis() + engine.perSequenceMillis() * writers;
-    return step * engine.stride() * model.pace();
+    return step * engine.stride() * model.timeFactor();
   }
 
   /**
@@ -32,11 +32,11 @@
    * @param model the group's model
    * @return milliseconds
    */
-  public static double longestReadMillis(EngineSpec engine, ModelSpec model) {
+  public static double maxPrefillMillis(EngineSpec engine, ModelSpec model) {
     double tokens = (double) engine.stride() * engine.chunk();
-    double plain = tokens * MILLIS_PER_SECOND / engine.readTokensPerSecond();
+    double plain = tokens * MILLIS_PER_SECOND / engine.prefillTokensPerSecond();
     double pairs = engine.stride() * pairsMillis(engine, engine.chunk());
-    return (plain + pairs) * model.pace();
+    return (plain + pairs) * model.timeFactor();
   }
 
   private static double pairsMillis(EngineSpec engine, int promptTokens) {
@@ -51,9 +51,9 @@
    * @param promptTokens the length of the prompt
    * @return milliseconds
    */
-  public static double readMillis(EngineSpec engine, ModelSpec model, int promptTokens) {
-    double plain = promptTokens * MILLIS_PER_SECOND / engine.readTokensPerSecond();
-    return (plain + pairsMillis(engine, promptTokens)) * model.pace();
+  public static double prefillMillis(EngineSpec engine, ModelSpec model, int promptTokens) {
+    double plain = promptTokens * MILLIS_PER_SECOND / engine.prefillTokensPerSecond();
+    return (plain + pairsMillis(engine, promptTokens)) * model.timeFactor();
   }
 
   /**
@@ -67,9 +67,9 @@
    */
   public static double workMillis(EngineSpec engine, ModelSpec model, RequestSize size) {
     boolean known = size.promptTokens() > 0;
-    int prompt = known ? size.promptTokens() : engine.usual().promptTokens();
-    int answer = known ? size.answerTokens() : engine.usual().answerTokens();
+    int prompt = known ? size.promptTokens() : engine.typicalRequest().promptTokens();
+    int answer = known ? size.answerTokens() : engine.typicalRequest().answerTokens();
     double token = engine.stepMillis() / engine.slots() + engine.perSequenceMillis();
-    return readMillis(engine, model, prompt) + answer * token * model.pace();
+    return prefillMillis(engine, model, prompt) + answer * token * model.timeFactor();
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/ModelDemand.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/ModelDemand.java
@@ -9,10 +9,10 @@
  * How much of the fleet each model needs, relative to the others. All nodes together count as one.
  *
  * @param groups by model, the groups that it keeps busy, relative to one node
- * @param trust how far it was observed: 0 when it is declared only, towards 1 with the time
+ * @param confidence how far it was observed: 0 when it is declared only, towards 1 with the time
  * @param busyNodes the nodes that all models together keep busy; 0 when that is not known
  */
-public record ModelDemand(Map<String, Double> groups, double trust, double busyNodes) {
+public record ModelDemand(Map<String, Double> groups, double confidence, double busyNodes) {
 
   /** Seconds of traffic after which what was observed outweighs what was declared. */
   private static final double TRUST_SECONDS = 3;
@@ -38,7 +38,7 @@
    * @return false while the demand is mostly the declared one
    */
   public boolean isObserved() {
-    return trust >= LEAST_TRUST;
+    return confidence >= LEAST_TRUST;
   }
 
   /**
@@ -72,15 +72,15 @@
     if (nodes <= 0 || seconds <= 0) {
       return declared;
     }
-    double trust = 1 - Math.exp(-seconds / TRUST_SECONDS);
+    double confidence = 1 - Math.exp(-seconds / TRUST_SECONDS);
     Map<String, Double> groups = new HashMap<>();
     for (ModelSpec model : engine.models()) {
       double before = declared.of(model);
       double seen = busy.getOrDefault(model.name(), 0.0) / nodes;
-      double mixed = (1 - trust) * before + trust * seen;
+      double mixed = (1 - confidence) * before + confidence * seen;
       groups.put(model.name(), Math.max(mixed, LEAST_OF_DECLARED * before));
     }
-    return new ModelDemand(groups, trust, nodes / OfferedLoad.remembered(seconds));
+    return new ModelDemand(groups, confidence, nodes / OfferedLoad.remembered(seconds));
   }
 
   /**
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/OfferedLoad.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/OfferedLoad.java
@@ -45,7 +45,7 @@
    * @param workMillis the time of one group that the request takes up, in milliseconds
    * @param nowNanos the steady time
    */
-  public void offered(String model, double workMillis, long nowNanos) {
+  public void record(String model, double workMillis, long nowNanos) {
     Decaying sum = models.computeIfAbsent(model, name -> new Decaying());
     sum.fade(nowNanos);
     sum.millis += workMillis;
@@ -57,7 +57,7 @@
    * @param nowNanos the steady time
    * @return by model, how many groups it would keep busy
    */
-  public Map<String, Double> groupsKeptBusy(long nowNanos) {
+  public Map<String, Double> busyGroups(long nowNanos) {
     Map<String, Double> rates = new HashMap<>();
     models.forEach(
         (model, sum) -> {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/CallerRetryDetector.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/CallerRetryDetector.java
@@ -100,7 +100,7 @@
    * @param patienceMillis how long its caller will wait from now on, in milliseconds
    * @return true when its caller has most likely waited before
    */
-  public boolean isReturning(String route, long patienceMillis) {
+  public boolean isRetry(String route, long patienceMillis) {
     return routes.computeIfAbsent(route, name -> new Deadlines()).isReturn(patienceMillis);
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
@@ -186,7 +186,7 @@
     for (List<Node> nodes : serving.values()) {
       for (Node node : nodes) {
         UpstreamState state = states.get(node.id());
-        boolean refuses = state != null && state.isRefusing(now);
+        boolean refuses = state != null && state.isRejecting(now);
         if (refuses || gate.isPaused(node.incarnation(), now)) {
           refusing.add(node.id());
         }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/RetryAfterPolicy.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/RetryAfterPolicy.java
@@ -36,7 +36,7 @@
    *     when none rests
    * @return the time from now, in milliseconds
    */
-  public int next(long patienceMillis, long restMillis) {
+  public int nextMillis(long patienceMillis, long restMillis) {
     refusals++;
     double point = refusals * GOLDEN_RATIO - Math.floor(refusals * GOLDEN_RATIO);
     double heeded = HEEDED * Math.max(0, patienceMillis);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/RetryBudget.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/RetryBudget.java
@@ -32,7 +32,7 @@
    *
    * @param nowNanos the steady time
    */
-  public void request(long nowNanos) {
+  public void recordRequest(long nowNanos) {
     requests.addLast(nowNanos);
     forget(requests, nowNanos);
   }
@@ -44,7 +44,7 @@
    * @param nowNanos the steady time
    * @return true when the repeat may be sent
    */
-  public boolean take(int daemons, long nowNanos) {
+  public boolean tryTake(int daemons, long nowNanos) {
     forget(requests, nowNanos);
     forget(repeats, nowNanos);
     double allowed = SAFETY * (ratio * requests.size() + slack / Math.max(1, daemons));
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/StallDetector.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/StallDetector.java
@@ -32,7 +32,7 @@
    * @param ageNanos how long ago it has started
    * @return false shortly after its start
    */
-  public static boolean mayJudge(long ageNanos) {
+  public static boolean isWarmedUp(long ageNanos) {
     return ageNanos >= WARM_UP_NANOS;
   }
 
@@ -44,10 +44,10 @@
    * @param inFlight requests of all daemons at the group
    * @return the pause beyond which the group is suspect
    */
-  public static long patienceNanos(EngineSpec engine, ModelSpec model, int inFlight) {
+  public static long timeoutNanos(EngineSpec engine, ModelSpec model, int inFlight) {
     int writers = Math.min(inFlight, engine.slots());
     double pass = EngineTimes.passMillis(engine, model, writers);
-    double reading = EngineTimes.longestReadMillis(engine, model);
+    double reading = EngineTimes.maxPrefillMillis(engine, model);
     return (long) ((pass + reading + MARGIN_MILLIS) * NANOS_PER_MILLI);
   }
 
@@ -56,15 +56,15 @@
    * many daemons have just sent to, so waiting for one counts only where others tell more.
    *
    * @param state what was seen of it
-   * @param patienceNanos the longest silence of a group that moves
+   * @param timeoutNanos the longest silence of a group that moves
    * @param doubted whether another daemon, with streams there, holds it to stand still, or it is
    *     out of sight
    * @param nowNanos the steady time
    * @return true when requests are there and none has moved for too long
    */
-  public static boolean stalled(
-      UpstreamState state, long patienceNanos, boolean doubted, long nowNanos) {
-    boolean tells = state.writing() > 0 || doubted && state.inFlight() > 0;
-    return tells && nowNanos - state.lastProgressNanos() > patienceNanos;
+  public static boolean isStalled(
+      UpstreamState state, long timeoutNanos, boolean doubted, long nowNanos) {
+    boolean tells = state.streaming() > 0 || doubted && state.inFlight() > 0;
+    return tells && nowNanos - state.lastProgressNanos() > timeoutNanos;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamState.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamState.java
@@ -21,7 +21,7 @@
   private static final long LONGEST_BACKOFF_NANOS = 2_000_000_000L;
 
   private int inFlight;
-  private int writing;
+  private int streaming;
   private long lastProgressNanos;
   private long lastMovedNanos;
   private long suspectSinceNanos;
@@ -36,7 +36,7 @@
    *
    * @param nowNanos the steady time
    */
-  public void sent(long nowNanos) {
+  public void requestSent(long nowNanos) {
     if (inFlight == 0) {
       lastProgressNanos = nowNanos;
     }
@@ -44,8 +44,8 @@
   }
 
   /** Counts a request whose answer has begun. */
-  public void began() {
-    writing++;
+  public void responseStarted() {
+    streaming++;
   }
 
   /**
@@ -54,10 +54,10 @@
    * @param hadBegun whether its answer had begun
    * @param failed whether the upstream failed
    */
-  public void ended(boolean hadBegun, boolean failed) {
+  public void requestEnded(boolean hadBegun, boolean failed) {
     inFlight--;
     if (hadBegun) {
-      writing--;
+      streaming--;
     }
     failureShare += FAILURE_WEIGHT * ((failed ? 1 : 0) - failureShare);
   }
@@ -69,7 +69,7 @@
    *
    * @param nowNanos the steady time
    */
-  public void turnedAway(long nowNanos) {
+  public void requestRejected(long nowNanos) {
     if (isBackedOff(nowNanos)) {
       return;
     }
@@ -79,7 +79,7 @@
   }
 
   /** Counts a request that the upstream has taken. */
-  public void tookRequest() {
+  public void requestAccepted() {
     backoffNanos = 0;
   }
 
@@ -99,7 +99,7 @@
    * @param nowNanos the steady time
    * @return true during a pause that other daemons should know of
    */
-  public boolean isRefusing(long nowNanos) {
+  public boolean isRejecting(long nowNanos) {
     return backoffNanos >= TOLD_BACKOFF_NANOS && isBackedOff(nowNanos);
   }
 
@@ -108,7 +108,7 @@
    *
    * @param nowNanos the steady time
    */
-  public void progressed(long nowNanos) {
+  public void recordProgress(long nowNanos) {
     lastMovedNanos = nowNanos;
     everMoved = true;
     lastProgressNanos = nowNanos;
@@ -120,7 +120,7 @@
    *
    * @param nowNanos the steady time
    */
-  public void suspect(long nowNanos) {
+  public void markSuspect(long nowNanos) {
     if (!suspect) {
       suspect = true;
       suspectSinceNanos = nowNanos;
@@ -128,7 +128,7 @@
   }
 
   /** Trusts the upstream again. */
-  public void clear() {
+  public void clearSuspicion() {
     suspect = false;
   }
 
@@ -146,8 +146,8 @@
    *
    * @return their number
    */
-  public int writing() {
-    return writing;
+  public int streaming() {
+    return streaming;
   }
 
   /**
@@ -157,7 +157,7 @@
    * @param nowNanos the steady time
    * @return true when it surely could be reached then
    */
-  public boolean movedWithin(long withinNanos, long nowNanos) {
+  public boolean progressedWithin(long withinNanos, long nowNanos) {
     return everMoved && nowNanos - lastMovedNanos < withinNanos;
   }
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/LikelyCause.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/LikelyCause.java
@@ -78,7 +78,7 @@
     if ("404".equals(status) || "401".equals(status)) {
       return NOT_ALLOWED;
     }
-    if (story.stream().anyMatch(line -> line.says(OUTCOME, "stands_still"))) {
+    if (story.stream().anyMatch(line -> line.hasValue(OUTCOME, "stands_still"))) {
       return MEMBER_LOST;
     }
     if (own.stream().anyMatch(line -> line.value("failure") != null)) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/LogLine.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/LogLine.java
@@ -9,10 +9,10 @@
  *
  * @param time the time of day that it gives, as text that sorts by time
  * @param daemon where it was read: the file, and what stood before the line in it
- * @param part the part of the daemon that wrote it
+ * @param component the part of the daemon that wrote it
  * @param message its message, {@code key=value} pairs
  */
-public record LogLine(String time, String daemon, String part, String message) {
+public record LogLine(String time, String daemon, String component, String message) {
 
   private static final Pattern PAIR =
       Pattern.compile("(?:^|\\s)([a-z_]+)=(.*?)(?=\\s+[a-z_]+=|$)", Pattern.DOTALL);
@@ -40,7 +40,7 @@
    * @param wanted the value
    * @return true when it is
    */
-  public boolean says(String key, String wanted) {
+  public boolean hasValue(String key, String wanted) {
     return wanted.equals(value(key));
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/LogSummary.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/LogSummary.java
@@ -116,17 +116,17 @@
         groups.values().forEach(standing -> standing.remove(group));
       } else if (line.value("sent_to") != null) {
         sent(line);
-      } else if (line.says("status", "503") && line.value("reason") != null) {
+      } else if (line.hasValue("status", "503") && line.value("reason") != null) {
         refusals.merge(String.valueOf(line.value("reason")), 1, Integer::sum);
-      } else if (line.says("outcome", "late")) {
+      } else if (line.hasValue("outcome", "late")) {
         late.merge(model(line.value("node")), 1, Integer::sum);
-      } else if (line.says("outcome", "stands_still")) {
+      } else if (line.hasValue("outcome", "stands_still")) {
         stalls++;
       }
     }
 
     private void sent(LogLine line) {
-      moved += line.says("why", "first") ? 0 : 1;
+      moved += line.hasValue("why", "first") ? 0 : 1;
       String load = line.value("load");
       if (load != null) {
         loads
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/RequestTimeline.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/RequestTimeline.java
@@ -34,7 +34,7 @@
   public static @Nullable RequestTimeline of(String id, List<LogLine> all) {
     List<LogLine> sorted = new ArrayList<>(all);
     sorted.sort(Comparator.comparing(LogLine::time));
-    List<LogLine> own = sorted.stream().filter(line -> line.says(REQUEST, id)).toList();
+    List<LogLine> own = sorted.stream().filter(line -> line.hasValue(REQUEST, id)).toList();
     if (own.isEmpty()) {
       return null;
     }
@@ -47,7 +47,7 @@
       boolean about = line.value(REQUEST) == null && concerns(line, nodes);
       if (about && line.time().compareTo(first) < 0) {
         before.add(line);
-      } else if (line.says(REQUEST, id) || about && line.time().compareTo(last) <= 0) {
+      } else if (line.hasValue(REQUEST, id) || about && line.time().compareTo(last) <= 0) {
         lines.add(line);
       }
     }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/EngineSpec.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/EngineSpec.java
@@ -14,13 +14,13 @@
  * @param stepMillis time of a step, in milliseconds
  * @param perSequenceMillis time added for each request that writes, in milliseconds
  * @param contextMillis time added for each 1,000 tokens of context, in milliseconds
- * @param readTokensPerSecond prompt tokens that are read in a second
+ * @param prefillTokensPerSecond prompt tokens that are read in a second
  * @param pairsMillis time added for each million pairs of a prompt token and one before it, in
  *     milliseconds
  * @param loadsPerSecond loads from the weight store that may begin in a second
  * @param loadsAtOnce loads that run at their full speed at the same time
  * @param formMillis time from the opening of a head to its first request, in milliseconds
- * @param usual the mean size of a request
+ * @param typicalRequest the mean size of a request
  */
 public record EngineSpec(
     int slots,
@@ -31,12 +31,12 @@
     double stepMillis,
     double perSequenceMillis,
     double contextMillis,
-    double readTokensPerSecond,
+    double prefillTokensPerSecond,
     double pairsMillis,
     double loadsPerSecond,
     int loadsAtOnce,
     int formMillis,
-    RequestSize usual) {
+    RequestSize typicalRequest) {
 
   /**
    * Finds a model.
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/demand/ModelDemandTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/demand/ModelDemandTest.java
@@ -51,10 +51,10 @@
   void steadyWorkIsToldAsTheGroupsThatItKeepsBusy() {
     OfferedLoad work = new OfferedLoad();
     for (int request = 0; request < 3_000; request++) {
-      work.offered("large", 200, request * SECOND / 100);
+      work.record("large", 200, request * SECOND / 100);
     }
-    assertThat(work.groupsKeptBusy(30 * SECOND).get("large")).isCloseTo(20, within(0.5));
-    assertThat(work.groupsKeptBusy(90 * SECOND).get("large")).isLessThan(0.1);
+    assertThat(work.busyGroups(30 * SECOND).get("large")).isCloseTo(20, within(0.5));
+    assertThat(work.busyGroups(90 * SECOND).get("large")).isLessThan(0.1);
   }
 
   @Test
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/CallerRetryDetectorTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/CallerRetryDetectorTest.java
@@ -22,7 +22,7 @@
     for (int each = 0; each < TRIES; each++) {
       boolean returns20Percent = each % 5 == 4;
       long patience = returns20Percent ? 5_000 + random.nextInt(600) : 6_000;
-      boolean told = callers.isReturning(ROUTE, patience);
+      boolean told = callers.isRetry(ROUTE, patience);
       returns += returns20Percent ? 1 : 0;
       recognized += told && returns20Percent ? 1 : 0;
       mistaken += told && !returns20Percent ? 1 : 0;
@@ -35,7 +35,7 @@
   void aFewCallersWithLongDeadlinesDoNotMakeTheOthersSeemToReturn() {
     int mistaken = 0;
     for (int each = 0; each < TRIES; each++) {
-      mistaken += callers.isReturning(ROUTE, each % 25 == 3 ? 9_000 : 6_000) ? 1 : 0;
+      mistaken += callers.isRetry(ROUTE, each % 25 == 3 ? 9_000 : 6_000) ? 1 : 0;
     }
     assertThat(mistaken).isZero();
   }
@@ -46,7 +46,7 @@
     int mistaken = 0;
     for (int each = 0; each < TRIES; each++) {
       long patience = 5_100 + random.nextInt(1_800);
-      mistaken += callers.isReturning("route" + each / 5, patience) ? 1 : 0;
+      mistaken += callers.isRetry("route" + each / 5, patience) ? 1 : 0;
     }
     assertThat(mistaken).isLessThan(TRIES * 3 / 100);
   }
@@ -57,7 +57,7 @@
     int mistaken = 0;
     for (int each = 0; each < TRIES; each++) {
       long patience = 5_100 + random.nextInt(1_800);
-      mistaken += callers.isReturning(ROUTE, patience) ? 1 : 0;
+      mistaken += callers.isRetry(ROUTE, patience) ? 1 : 0;
     }
     assertThat(mistaken).isLessThan(TRIES * 3 / 100);
   }
@@ -71,9 +71,9 @@
     int mistaken = 0;
     for (int each = 0; each < TRIES; each++) {
       long patience = 5_100 + random.nextInt(1_800);
-      mistaken += callers.isReturning(ROUTE, patience) ? 1 : 0;
+      mistaken += callers.isRetry(ROUTE, patience) ? 1 : 0;
       long again = 5_100 + random.nextInt(1_800) - 1_400 - random.nextInt(500);
-      recognized += each > TRIES / 2 && callers.isReturning(ROUTE, again) ? 1 : 0;
+      recognized += each > TRIES / 2 && callers.isRetry(ROUTE, again) ? 1 : 0;
     }
     assertThat(mistaken).isLessThan(TRIES * 3 / 100);
     assertThat(recognized).isGreaterThan(TRIES / 2 * 90 / 100);
@@ -82,8 +82,8 @@
   @Test
   void eachRouteHasItsOwnDeadline() {
     for (int each = 0; each < TRIES; each++) {
-      assertThat(callers.isReturning("short", 600)).isFalse();
-      assertThat(callers.isReturning("long", 8_000)).isFalse();
+      assertThat(callers.isRetry("short", 600)).isFalse();
+      assertThat(callers.isRetry("long", 8_000)).isFalse();
     }
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ConnectionReuseTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ConnectionReuseTest.java
@@ -123,14 +123,14 @@
     }
     sumOfLoads += inFlight.getOrDefault(head.id(), 0) / (double) SLOTS;
     inFlight.merge(head.id(), 1, Integer::sum);
-    daemon.dispatcher.state(head.id()).sent((long) (now * 1e9));
+    daemon.dispatcher.state(head.id()).requestSent((long) (now * 1e9));
     double seconds = ANSWER_SECONDS * (0.5 + random.nextDouble());
     answers.add(new Answer(now + seconds, daemon, head));
   }
 
   private void end(Answer answer) {
     inFlight.merge(answer.head().id(), -1, Integer::sum);
-    answer.from().dispatcher.state(answer.head().id()).ended(false, false);
+    answer.from().dispatcher.state(answer.head().id()).requestEnded(false, false);
     answer
         .from()
         .rested
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
@@ -101,7 +101,7 @@
   @Test
   void aHeadThatStandsStillOrWasTriedIsLeftOut() {
     dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here"), head("c", "here")));
-    dispatcher.state("a").suspect(1);
+    dispatcher.state("a").markSuspect(1);
     assertThat(target(dispatcher.choose(FIRST, Set.of("b")))).isEqualTo("c");
   }
 
@@ -189,11 +189,11 @@
   void aHeadThatTurnsAwayIsAskedLastForAPauseThatDoubles() {
     dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
     dispatcher.setPeersInFlight(Map.of("b", SLOTS - 1));
-    dispatcher.state("a").turnedAway(now.get());
+    dispatcher.state("a").requestRejected(now.get());
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
     now.set(100 * MILLI);
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("a");
-    dispatcher.state("a").turnedAway(now.get());
+    dispatcher.state("a").requestRejected(now.get());
     now.set(299 * MILLI);
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
     now.set(300 * MILLI);
@@ -203,7 +203,7 @@
   @Test
   void itIsAskedAllTheSameWhereNoOtherHasRoom() {
     dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
-    dispatcher.state("a").turnedAway(now.get());
+    dispatcher.state("a").requestRejected(now.get());
     dispatcher.setPeersInFlight(Map.of("b", SLOTS));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("a");
   }
@@ -212,8 +212,8 @@
   void itCountsAsBeforeOnceItTakesARequest() {
     dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
     dispatcher.setPeersInFlight(Map.of("b", 1));
-    dispatcher.state("a").turnedAway(now.get());
-    dispatcher.state("a").tookRequest();
+    dispatcher.state("a").requestRejected(now.get());
+    dispatcher.state("a").requestAccepted();
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("a");
   }
 
@@ -232,12 +232,12 @@
     dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here"), head("c", "here")));
     gate.recordResponse(NodeIncarnation.only("c"), restOf(10_000), now.get());
     UpstreamState turning = dispatcher.state("a");
-    turning.turnedAway(now.get());
+    turning.requestRejected(now.get());
     now.set(100 * MILLI);
-    turning.turnedAway(now.get());
+    turning.requestRejected(now.get());
     assertThat(dispatcher.rejecting()).containsExactly("c");
     now.set(300 * MILLI);
-    turning.turnedAway(now.get());
+    turning.requestRejected(now.get());
     assertThat(dispatcher.rejecting()).containsExactlyInAnyOrder("a", "c");
     now.set(700 * MILLI);
     assertThat(dispatcher.rejecting()).containsExactly("c");
@@ -246,7 +246,7 @@
   @Test
   void manyTurnedAwayAtOnceAreOnePause() {
     for (int request = 0; request < 20; request++) {
-      dispatcher.state("a").turnedAway(now.get());
+      dispatcher.state("a").requestRejected(now.get());
     }
     assertThat(dispatcher.state("a").isBackedOff(99 * MILLI)).isTrue();
     assertThat(dispatcher.state("a").isBackedOff(100 * MILLI)).isFalse();
@@ -255,9 +255,9 @@
   @Test
   void aCallerWithLessPatienceThanOthersOfItsRouteHasComeBack() {
     CallerRetryDetector callers = new CallerRetryDetector();
-    assertThat(callers.isReturning("chat", 5_000)).isFalse();
-    assertThat(callers.isReturning("chat", 4_995)).isFalse();
-    assertThat(callers.isReturning("chat", 4_300)).isTrue();
-    assertThat(callers.isReturning("other", 4_300)).isFalse();
+    assertThat(callers.isRetry("chat", 5_000)).isFalse();
+    assertThat(callers.isRetry("chat", 4_995)).isFalse();
+    assertThat(callers.isRetry("chat", 4_300)).isTrue();
+    assertThat(callers.isRetry("other", 4_300)).isFalse();
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/HeadsThatTurnAwayTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/HeadsThatTurnAwayTest.java
@@ -39,7 +39,7 @@
 
   private static LoadPlay.Returns built() {
     RetryAfterPolicy times = new RetryAfterPolicy();
-    return times::next;
+    return times::nextMillis;
   }
 
   private static LoadPlay.Outcome mean(int daemons, LoadPlay.Turning turning, LoadPlay.Ways ways) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadPlay.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadPlay.java
@@ -319,15 +319,15 @@
 
   private void hearRefusal(Daemon daemon, Head head) {
     if (ways.backsOff()) {
-      daemon.dispatcher.state(head.node.id()).turnedAway(nowNanos());
+      daemon.dispatcher.state(head.node.id()).requestRejected(nowNanos());
     }
     NodeResponse said = new NodeResponse(503, true, false, turning.restMillis(), null, null);
     daemon.gate.recordResponse(head.node.incarnation(), said, nowNanos());
   }
 
   private void begin(Caller caller, Head head) {
-    caller.daemon.dispatcher.state(head.node.id()).sent(nowNanos());
-    caller.daemon.dispatcher.state(head.node.id()).tookRequest();
+    caller.daemon.dispatcher.state(head.node.id()).requestSent(nowNanos());
+    caller.daemon.dispatcher.state(head.node.id()).requestAccepted();
     caller.tokensToRead = caller.size.promptTokens();
     caller.tokensToWrite = caller.size.answerTokens();
     head.waiting.add(caller);
@@ -354,7 +354,7 @@
       read += part;
     }
     List<Caller> writers = List.copyOf(head.writing);
-    double millis = read * 1e3 / engine.readTokensPerSecond() * load.model().pace();
+    double millis = read * 1e3 / engine.prefillTokensPerSecond() * load.model().timeFactor();
     if (!writers.isEmpty()) {
       millis += EngineTimes.passMillis(engine, load.model(), writers.size());
     }
@@ -381,7 +381,7 @@
       return;
     }
     head.writing.remove(caller);
-    caller.daemon.dispatcher.state(head.node.id()).ended(true, false);
+    caller.daemon.dispatcher.state(head.node.id()).requestEnded(true, false);
     if (!counts(caller)) {
       return;
     }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/RetryAfterPolicyTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/RetryAfterPolicyTest.java
@@ -55,7 +55,7 @@
 
   private static LongUnaryOperator timesHere() {
     RetryAfterPolicy times = new RetryAfterPolicy();
-    return patience -> times.next(patience, 0);
+    return patience -> times.nextMillis(patience, 0);
   }
 
   private static LongUnaryOperator soon() {
@@ -105,24 +105,24 @@
   @Test
   void thoseRefusedTogetherComeBackApartAndWithinTheTimeThatTheyHeed() {
     RetryAfterPolicy times = new RetryAfterPolicy();
-    int first = times.next(6_000, 0);
-    int second = times.next(6_000, 0);
+    int first = times.nextMillis(6_000, 0);
+    int second = times.nextMillis(6_000, 0);
     assertThat(first).isNotEqualTo(second);
     assertThat(first).isBetween(1_400, 1_900);
-    assertThat(times.next(600, 0)).isBetween(140, 200);
-    assertThat(times.next(-5, 0)).isZero();
+    assertThat(times.nextMillis(600, 0)).isBetween(140, 200);
+    assertThat(times.nextMillis(-5, 0)).isZero();
   }
 
   @Test
   void whereUpstreamsRestCallersComeBackWhenTheFirstRestEnds() {
     RetryAfterPolicy times = new RetryAfterPolicy();
-    assertThat(times.next(6_000, 800)).isBetween(800, 1_275);
-    assertThat(times.next(3_000, 940)).isBetween(940, 960);
+    assertThat(times.nextMillis(6_000, 800)).isBetween(800, 1_275);
+    assertThat(times.nextMillis(3_000, 940)).isBetween(940, 960);
   }
 
   /** Another daemon may still be served: it was not asked for the same rest. */
   @Test
   void aRestThatOutlastsWhatTheyHeedDoesNotCount() {
-    assertThat(new RetryAfterPolicy().next(3_000, 3_000)).isBetween(720, 960);
+    assertThat(new RetryAfterPolicy().nextMillis(3_000, 3_000)).isBetween(720, 960);
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/StallDetectorTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/StallDetectorTest.java
@@ -33,40 +33,40 @@
   private final UpstreamState state = new UpstreamState();
 
   private boolean stalledAt(long millis, boolean doubted) {
-    long patience = StallDetector.patienceNanos(ENGINE, MODEL, 5);
-    return StallDetector.stalled(state, patience, doubted, millis * MILLI);
+    long patience = StallDetector.timeoutNanos(ENGINE, MODEL, 5);
+    return StallDetector.isStalled(state, patience, doubted, millis * MILLI);
   }
 
   @Test
   void aPassThatReadsAsMuchAsItCanIsNoStall() {
-    assertThat(StallDetector.patienceNanos(ENGINE, MODEL, 5) / MILLI).isEqualTo(40 + 200 + 40);
+    assertThat(StallDetector.timeoutNanos(ENGINE, MODEL, 5) / MILLI).isEqualTo(40 + 200 + 40);
   }
 
   @Test
   void aHeadWhoseStreamsPauseLongerThanAnyPassStandsStill() {
-    state.sent(0);
-    state.began();
-    state.progressed(100 * MILLI);
+    state.requestSent(0);
+    state.responseStarted();
+    state.recordProgress(100 * MILLI);
     assertThat(stalledAt(380, false)).isFalse();
     assertThat(stalledAt(381, false)).isTrue();
   }
 
   @Test
   void waitingForAFirstEventAloneTellsNothing() {
-    state.sent(0);
+    state.requestSent(0);
     assertThat(stalledAt(10_000, false)).isFalse();
   }
 
   @Test
   void whereOthersSeeItStandStillAFirstEventIsNotWaitedFor() {
-    state.sent(0);
+    state.requestSent(0);
     assertThat(stalledAt(281, true)).isTrue();
   }
 
   @Test
   void aDaemonThatHasJustStartedDoesNotJudge() {
-    assertThat(StallDetector.mayJudge(1_000 * MILLI)).isFalse();
-    assertThat(StallDetector.mayJudge(3_000 * MILLI)).isTrue();
+    assertThat(StallDetector.isWarmedUp(1_000 * MILLI)).isFalse();
+    assertThat(StallDetector.isWarmedUp(3_000 * MILLI)).isTrue();
   }
 
   @Test
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodesThatStartAgainTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodesThatStartAgainTest.java
@@ -138,8 +138,8 @@
                 new SharedLimits(new Owners(new Owners.Daemon("d", "127.0.0.1", "a")))),
             () -> 0);
     dispatcher.setUpstreams(List.of(node(1, "large")));
-    dispatcher.state("n").suspect(now);
-    dispatcher.state("n").sent(now);
+    dispatcher.state("n").markSuspect(now);
+    dispatcher.state("n").requestSent(now);
     dispatcher.setUpstreams(List.of(node(1, "large")));
     assertThat(dispatcher.state("n").isSuspect()).isTrue();
     dispatcher.setUpstreams(List.of(node(2, "large")));
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/HeadSuspicions.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/HeadSuspicions.java
@@ -43,7 +43,7 @@
       if (place != null) {
         Head before = heads.put(node.id(), new Head(place.epoch(), node.dataCentre()));
         if (before == null || before.epoch() != place.epoch()) {
-          dispatcher.state(node.id()).clear();
+          dispatcher.state(node.id()).clearSuspicion();
         }
       }
     }
@@ -123,7 +123,7 @@
   void expire(long now) {
     for (UpstreamState state : dispatcher.states().values()) {
       if (state.isSuspect() && now - state.suspectSinceNanos() > SUSPECT_NANOS) {
-        state.clear();
+        state.clearSuspicion();
       }
     }
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -398,7 +398,7 @@
     Set<String> shared = suspicions.ofPeers();
     dispatcher.setReportedSuspects(shared);
     int before = suspicions.countOfOwn();
-    if (StallDetector.mayJudge(System.nanoTime() - startedNanos)) {
+    if (StallDetector.isWarmedUp(System.nanoTime() - startedNanos)) {
       gateway.watchStreams(shared);
     }
     if (suspicions.countOfOwn() > before) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreSight.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreSight.java
@@ -132,7 +132,7 @@
         .forEach(
             (id, state) -> {
               Node node = nodes.objects().get(id);
-              if (node != null && state.movedWithin(REACHED_NANOS, now)) {
+              if (node != null && state.progressedWithin(REACHED_NANOS, now)) {
                 inSight.add(node.dataCentre());
               }
             });
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
@@ -215,7 +215,7 @@
     attempt = sent;
     gateway.log().sent(request, node, why, runs + rejections);
     gateway.repeats().sent(this);
-    sent.state.sent(System.nanoTime());
+    sent.state.requestSent(System.nanoTime());
     sent.exchange = gateway.client().send(node, outgoing(node), request.body(), sent);
   }
 
@@ -394,7 +394,7 @@
 
     private void settle(boolean failed) {
       done = true;
-      state.ended(answerBegun, failed);
+      state.requestEnded(answerBegun, failed);
     }
 
     @Override
@@ -403,7 +403,7 @@
       said = told;
       boolean success = answer.getCode() >= SUCCESS && answer.getCode() < REDIRECT;
       streaming = streams() && success && isMine(answer);
-      state.progressed(System.nanoTime());
+      state.recordProgress(System.nanoTime());
     }
 
     private boolean isMine(HttpResponse answer) {
@@ -432,11 +432,11 @@
       gateway
           .streams()
           .sawEvent(node, state, now, answerBegun ? lastEventNanos : sentNanos, answerBegun);
-      state.progressed(now);
+      state.recordProgress(now);
       if (!answerBegun) {
         answerBegun = true;
-        state.began();
-        state.tookRequest();
+        state.responseStarted();
+        state.requestAccepted();
       }
       lastEventNanos = now;
       eventCount++;
@@ -471,7 +471,7 @@
 
     private void turnedAway(NodeResponse told) {
       settle(false);
-      state.turnedAway(System.nanoTime());
+      state.requestRejected(System.nanoTime());
       gateway.log().rejected(request, node, told);
       retry("rejected with " + told.status(), false);
     }
@@ -491,13 +491,13 @@
       boolean mine = isMine(answer);
       int status = answer.getCode();
       settle(!mine || status >= SERVER_ERROR);
-      state.tookRequest();
+      state.requestAccepted();
       if (!mine) {
         retry("an answer that is not its own", true);
       } else if (begun || status >= SERVER_ERROR && mayTryAgain()) {
         retry("status " + status, true);
       } else {
-        state.progressed(System.nanoTime());
+        state.recordProgress(System.nanoTime());
         if (status < REDIRECT) {
           gateway.repeats().answered(Forwarder.this);
         }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -243,7 +243,7 @@
   int retryAfterMillis(CallerRequest request, Set<String> tried) {
     long left = (request.untilNanos() - System.nanoTime()) / NANOS_PER_MILLI;
     return dispatcher.choose(request.demand(), tried) instanceof Choice.Refuse refuse
-        ? returnTimes.next(left, refuse.retryAfterNanos() / NANOS_PER_MILLI)
+        ? returnTimes.nextMillis(left, refuse.retryAfterNanos() / NANOS_PER_MILLI)
         : RETRY_AFTER_MILLIS;
   }
 
@@ -316,7 +316,7 @@
     Forwarder forwarder = new Forwarder(this, request, caller);
     running.add(forwarder);
     served = true;
-    budget(request.demand().service()).request(receivedNanos);
+    budget(request.demand().service()).recordRequest(receivedNanos);
     figures.received(request.route().name());
     forwarder.start();
     return forwarder;
@@ -332,7 +332,7 @@
         && model != null
         && demand.admissionClass() == DispatchRequest.AdmissionClass.FIRST) {
       double work = EngineTimes.workMillis(engine, model, request.size());
-      offeredWork.offered(model.name(), work, request.receivedNanos());
+      offeredWork.record(model.name(), work, request.receivedNanos());
     }
   }
 
@@ -342,7 +342,7 @@
    * @return by model, how many groups it would keep busy
    */
   public Map<String, Double> offeredWork() {
-    return offeredWork.groupsKeptBusy(System.nanoTime());
+    return offeredWork.busyGroups(System.nanoTime());
   }
 
   private void answer(CallerResponse caller, @Nullable String id, int status, String reason) {
@@ -360,7 +360,7 @@
 
   private DispatchRequest demand(HttpRequest head, Route route) {
     String model = Headers.value(head, headers().model());
-    boolean returning = returningCallers.isReturning(route.name(), patienceMillis(head, route));
+    boolean returning = returningCallers.isRetry(route.name(), patienceMillis(head, route));
     DispatchRequest.AdmissionClass claim =
         returning ? DispatchRequest.AdmissionClass.RETURNING : DispatchRequest.AdmissionClass.FIRST;
     return new DispatchRequest(service(route), model == null ? "" : model, claim);
@@ -412,7 +412,7 @@
   }
 
   boolean takeRepeat(String service) {
-    boolean taken = budget(service).take(daemons, System.nanoTime());
+    boolean taken = budget(service).tryTake(daemons, System.nanoTime());
     figures.repeat(taken);
     return taken;
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestLog.java
@@ -56,7 +56,7 @@
         said.retryAfterMillis(),
         said.leaving());
     if (isHead(node) && said.faultyNode() != null) {
-      dispatcher.state(node.id()).suspect(System.nanoTime());
+      dispatcher.state(node.id()).markSuspect(System.nanoTime());
     }
   }
 
@@ -73,7 +73,7 @@
         failure,
         cause.toString());
     if (isHead(node)) {
-      dispatcher.state(node.id()).suspect(System.nanoTime());
+      dispatcher.state(node.id()).markSuspect(System.nanoTime());
     }
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/StreamWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/StreamWatch.java
@@ -53,16 +53,16 @@
     UpstreamState state = dispatcher.state(node.id());
     boolean shared = peerSuspects.contains(node.id());
     boolean doubted = shared || !dispatcher.isReachable(node);
-    boolean stalled = StallDetector.stalled(state, patience, doubted, now);
+    boolean stalled = StallDetector.isStalled(state, patience, doubted, now);
     if (stalled && !state.isSuspect()) {
-      state.suspect(now);
+      state.markSuspect(now);
       long silent = (now - state.lastProgressNanos()) / NANOS_PER_MILLI;
       LOG.info(
           "node={} outcome=stands_still silent_ms={} patience_ms={} streams={} shared={}",
           node.id(),
           silent,
           patience / NANOS_PER_MILLI,
-          state.writing(),
+          state.streaming(),
           shared);
     }
     if (state.isSuspect()) {
@@ -79,7 +79,7 @@
       return 0;
     }
     int load = (int) Math.ceil(dispatcher.load(node) * node.slots());
-    return StallDetector.patienceNanos(engine, model, load);
+    return StallDetector.timeoutNanos(engine, model, load);
   }
 
   void sawEvent(Node node, UpstreamState state, long now, long before, boolean between) {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/GatewayTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/GatewayTest.java
@@ -232,10 +232,10 @@
     model = "m";
     upstream(STREAM_HEAD + chunk("id: 1\ndata: 1\n\n"));
     CompletableFuture<HttpResponse<String>> answer = sendLater("/stream/");
-    awaitState("n0", state -> state.writing() > 0);
+    awaitState("n0", state -> state.streaming() > 0);
     upstream(NOT_RUN);
     synchronized (running.guard()) {
-      dispatcher.state("n0").suspect(System.nanoTime());
+      dispatcher.state("n0").markSuspect(System.nanoTime());
       gateway.watchStreams(Set.of());
     }
     awaitState("n1", state -> state.inFlight() == 0);
