--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/HeadsThatTurnAwayTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/RejectingHeadsTest.java
@@ -12,7 +12,7 @@
  * What callers get while five of twelve heads turn every request away for six seconds, in simulated
  * time. Such a head answers at once, so by its load it is the emptiest.
  */
-class HeadsThatTurnAwayTest {
+class RejectingHeadsTest {
 
   private static final ModelSpec MODEL = new ModelSpec("small", 4, 0.5, 0.6, 12_000, 1_100);
   private static final EngineSpec ENGINE =
