--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadPlay.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadSimulation.java
@@ -33,7 +33,7 @@
  * its own, before the heads of one model that work by the engines' published arithmetic. Daemons
  * hear of each other's requests by notes only. Tells what callers get.
  */
-final class LoadPlay {
+final class LoadSimulation {
 
   private static final int DATA_CENTRES = 3;
   private static final double NOTE_SECONDS = 0.3;
@@ -171,7 +171,7 @@
     }
   }
 
-  private LoadPlay(Load load, Turning turning, Ways ways, Returns returns, long seed) {
+  private LoadSimulation(Load load, Turning turning, Ways ways, Returns returns, long seed) {
     this.load = load;
     this.turning = turning;
     this.ways = ways;
@@ -203,7 +203,7 @@
    * @return what callers got
    */
   static Outcome play(Load load, Turning turning, Ways ways, Returns returns, long seed) {
-    return new LoadPlay(load, turning, ways, returns, seed).run();
+    return new LoadSimulation(load, turning, ways, returns, seed).run();
   }
 
   private Outcome run() {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/RejectingHeadsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/RejectingHeadsTest.java
@@ -34,33 +34,36 @@
 
   private static final int HEADS = 12;
   private static final int SEEDS = 6;
-  private static final LoadPlay.Turning WITHOUT_REST = new LoadPlay.Turning(4, 10, 5, 0);
-  private static final LoadPlay.Turning WITH_REST = new LoadPlay.Turning(4, 10, 5, 3_000);
+  private static final LoadSimulation.Turning WITHOUT_REST =
+      new LoadSimulation.Turning(4, 10, 5, 0);
+  private static final LoadSimulation.Turning WITH_REST =
+      new LoadSimulation.Turning(4, 10, 5, 3_000);
 
-  private static LoadPlay.Returns built() {
+  private static LoadSimulation.Returns built() {
     RetryAfterPolicy times = new RetryAfterPolicy();
     return times::nextMillis;
   }
 
-  private static LoadPlay.Outcome mean(int daemons, LoadPlay.Turning turning, LoadPlay.Ways ways) {
-    LoadPlay.Load load =
-        new LoadPlay.Load(ENGINE, MODEL, daemons, HEADS, second -> 120, 12, 120, 300, 6_000);
+  private static LoadSimulation.Outcome mean(
+      int daemons, LoadSimulation.Turning turning, LoadSimulation.Ways ways) {
+    LoadSimulation.Load load =
+        new LoadSimulation.Load(ENGINE, MODEL, daemons, HEADS, second -> 120, 12, 120, 300, 6_000);
     double inTime = 0;
     double late = 0;
     double lost = 0;
     double refused = 0;
     for (int seed = 1; seed <= SEEDS; seed++) {
-      LoadPlay.Outcome one = LoadPlay.play(load, turning, ways, built(), seed);
+      LoadSimulation.Outcome one = LoadSimulation.play(load, turning, ways, built(), seed);
       inTime += one.inTime() / SEEDS;
       late += one.late() / SEEDS;
       lost += one.lost() / SEEDS;
       refused += one.refused() / SEEDS;
     }
-    return new LoadPlay.Outcome(inTime, late, lost, refused);
+    return new LoadSimulation.Outcome(inTime, late, lost, refused);
   }
 
-  private static final LoadPlay.Ways NOTHING = new LoadPlay.Ways(false, false);
-  private static final LoadPlay.Ways BACK_OFF = new LoadPlay.Ways(true, false);
+  private static final LoadSimulation.Ways NOTHING = new LoadSimulation.Ways(false, false);
+  private static final LoadSimulation.Ways BACK_OFF = new LoadSimulation.Ways(true, false);
 
   /**
    * The seven heads that serve carry all with ease, so nearly all should be in time. With 9
@@ -71,7 +74,7 @@
   void inASmallFleetBackOffAloneFindsTheHeadsThatServe() {
     assertThat(mean(9, WITHOUT_REST, NOTHING).inTime()).isLessThan(0.9);
     assertThat(mean(9, WITHOUT_REST, BACK_OFF).inTime()).isGreaterThan(0.95);
-    assertThat(mean(9, WITHOUT_REST, LoadPlay.Ways.AS_BUILT).inTime()).isGreaterThan(0.95);
+    assertThat(mean(9, WITHOUT_REST, LoadSimulation.Ways.AS_BUILT).inTime()).isGreaterThan(0.95);
   }
 
   /**
@@ -82,15 +85,15 @@
   void inALargeFleetDaemonsHaveToTellEachOther() {
     assertThat(mean(78, WITHOUT_REST, NOTHING).inTime()).isLessThan(0.9);
     double alone = mean(78, WITHOUT_REST, BACK_OFF).inTime();
-    double told = mean(78, WITHOUT_REST, LoadPlay.Ways.AS_BUILT).inTime();
+    double told = mean(78, WITHOUT_REST, LoadSimulation.Ways.AS_BUILT).inTime();
     assertThat(told).isGreaterThan(0.95).isGreaterThan(alone + 0.02);
   }
 
   /** Where they ask each daemon for 3 s of rest: 0.956 alone, 0.970 told, with 78 daemons. */
   @Test
   void headsThatAskForRestCostCallersLittle() {
-    assertThat(mean(9, WITH_REST, LoadPlay.Ways.AS_BUILT).inTime()).isGreaterThan(0.95);
-    assertThat(mean(78, WITH_REST, LoadPlay.Ways.AS_BUILT).inTime()).isGreaterThan(0.95);
-    assertThat(mean(78, WITH_REST, LoadPlay.Ways.AS_BUILT).lost()).isLessThan(0.001);
+    assertThat(mean(9, WITH_REST, LoadSimulation.Ways.AS_BUILT).inTime()).isGreaterThan(0.95);
+    assertThat(mean(78, WITH_REST, LoadSimulation.Ways.AS_BUILT).inTime()).isGreaterThan(0.95);
+    assertThat(mean(78, WITH_REST, LoadSimulation.Ways.AS_BUILT).lost()).isLessThan(0.001);
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/RetryAfterPolicyTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/RetryAfterPolicyTest.java
@@ -45,8 +45,8 @@
         new RequestSize(841, 111));
   }
 
-  private static LoadPlay.Load load(EngineSpec engine, DoubleUnaryOperator rate) {
-    return new LoadPlay.Load(engine, SMALL, DAEMONS, HEADS, rate, 12, 120, 300, 6_000);
+  private static LoadSimulation.Load load(EngineSpec engine, DoubleUnaryOperator rate) {
+    return new LoadSimulation.Load(engine, SMALL, DAEMONS, HEADS, rate, 12, 120, 300, 6_000);
   }
 
   private static DoubleUnaryOperator burst(double usual, double times) {
@@ -63,27 +63,27 @@
     return left -> 400 + random.nextInt(1_000);
   }
 
-  private static LoadPlay.Outcome mean(LoadPlay.Load load, LongUnaryOperator returns) {
+  private static LoadSimulation.Outcome mean(LoadSimulation.Load load, LongUnaryOperator returns) {
     double inTime = 0;
     double late = 0;
     double lost = 0;
     double refused = 0;
     for (int seed = 1; seed <= SEEDS; seed++) {
-      LoadPlay.Outcome one = LoadPlay.play(load, returns, seed);
+      LoadSimulation.Outcome one = LoadSimulation.play(load, returns, seed);
       inTime += one.inTime() / SEEDS;
       late += one.late() / SEEDS;
       lost += one.lost() / SEEDS;
       refused += one.refused() / SEEDS;
     }
-    return new LoadPlay.Outcome(inTime, late, lost, refused);
+    return new LoadSimulation.Outcome(inTime, late, lost, refused);
   }
 
   /** Answered in time: 0.705 of the callers when they came back soon, 0.716 now; none lost. */
   @Test
   void afterAHeavyBurstMoreCallersAreAnsweredInTimeThanIfTheyCameBackSoon() {
-    LoadPlay.Load heavy = load(STEEP, burst(150, 2.2));
-    LoadPlay.Outcome before = mean(heavy, soon());
-    LoadPlay.Outcome here = mean(heavy, timesHere());
+    LoadSimulation.Load heavy = load(STEEP, burst(150, 2.2));
+    LoadSimulation.Outcome before = mean(heavy, soon());
+    LoadSimulation.Outcome here = mean(heavy, timesHere());
     assertThat(before.inTime()).isBetween(0.695, 0.715);
     assertThat(here.inTime()).isBetween(0.71, 0.73);
     assertThat(here.lost()).isZero();
@@ -97,7 +97,7 @@
     assertNoLoss(load(FLAT, burst(190, 2.2)));
   }
 
-  private static void assertNoLoss(LoadPlay.Load load) {
+  private static void assertNoLoss(LoadSimulation.Load load) {
     double before = mean(load, soon()).inTime();
     assertThat(mean(load, timesHere()).inTime()).isGreaterThan(before - 0.01);
   }
