--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/ExplainCommand.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/ExplainCommand.java
@@ -13,9 +13,9 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 import net.sourceforge.argparse4j.inf.Subparsers;
 import org.fawnvale.core.result.Result;
-import org.fawnvale.serving.core.explain.DaySummary;
 import org.fawnvale.serving.core.explain.LogLine;
-import org.fawnvale.serving.core.explain.RequestStory;
+import org.fawnvale.serving.core.explain.LogSummary;
+import org.fawnvale.serving.core.explain.RequestTimeline;
 import org.jspecify.annotations.Nullable;
 
 /** Tells the story of one request from the logs of several daemons. */
@@ -70,7 +70,7 @@
     if (failure != null) {
       return failure;
     }
-    DaySummary summary = DaySummary.of(lines, options.getInt("seconds"));
+    LogSummary summary = LogSummary.of(lines, options.getInt("seconds"));
     if (summary.spans().isEmpty()) {
       console
           .err()
@@ -85,7 +85,7 @@
     return ExitCode.DONE;
   }
 
-  private static String row(DaySummary.Span span) {
+  private static String row(LogSummary.Span span) {
     List<String> cells = new ArrayList<>();
     cells.add(span.from());
     span.models()
@@ -113,7 +113,7 @@
       return unreadable;
     }
     String id = options.getString("request");
-    RequestStory story = RequestStory.of(id, lines);
+    RequestTimeline story = RequestTimeline.of(id, lines);
     if (story == null) {
       console
           .err()
@@ -122,7 +122,8 @@
     }
     for (LogLine line : story.lines()) {
       console.line(
-          String.join(" ", line.time(), line.daemon(), "[" + line.part() + "]", line.message()));
+          String.join(
+              " ", line.time(), line.daemon(), "[" + line.component() + "]", line.message()));
     }
     console.line("Likely cause: " + story.cause().sentence());
     return ExitCode.DONE;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeAnswer;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.model.NodeResponse;
 
 /**
  * Whether this daemon may send anything to a node, by what the node's own answers asked for. A wish
@@ -29,8 +29,8 @@
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
   private final SharedLimits limits;
-  private final Map<NodeLife, Long> restEnds = new HashMap<>();
-  private final Set<NodeLife> leaving = new LinkedHashSet<>();
+  private final Map<NodeIncarnation, Long> restEnds = new HashMap<>();
+  private final Set<NodeIncarnation> leaving = new LinkedHashSet<>();
 
   /**
    * Creates a gate.
@@ -51,13 +51,13 @@
   }
 
   /** What an answer has brought. */
-  public enum News {
+  public enum Change {
     /** Nothing that was not known. */
     NONE,
     /** The node wants rest, from now on or for longer. */
-    RESTS,
+    PAUSED,
     /** The node has said for the first time that it leaves. */
-    LEAVES
+    LEAVING
   }
 
   /**
@@ -68,17 +68,17 @@
    * @param nowNanos the steady time
    * @return what was new
    */
-  public News hear(NodeLife life, NodeAnswer said, long nowNanos) {
-    boolean rests = said.restMillis() > 0 && rest(life, said.restMillis(), nowNanos);
+  public Change recordResponse(NodeIncarnation life, NodeResponse said, long nowNanos) {
+    boolean rests = said.retryAfterMillis() > 0 && rest(life, said.retryAfterMillis(), nowNanos);
     if (said.leaving() && leaving.add(life)) {
       forgetFirst(leaving);
-      return News.LEAVES;
+      return Change.LEAVING;
     }
-    return rests ? News.RESTS : News.NONE;
+    return rests ? Change.PAUSED : Change.NONE;
   }
 
   /** Of two wishes for rest the one that ends later holds. */
-  private boolean rest(NodeLife life, long millis, long nowNanos) {
+  private boolean rest(NodeIncarnation life, long millis, long nowNanos) {
     restEnds.values().removeIf(end -> end - nowNanos <= 0);
     long end = nowNanos + millis * NANOS_PER_MILLI;
     Long before = restEnds.get(life);
@@ -90,7 +90,7 @@
     return true;
   }
 
-  private static void forgetFirst(Set<NodeLife> lives) {
+  private static void forgetFirst(Set<NodeIncarnation> lives) {
     if (lives.size() > MOST_LIVES) {
       lives.remove(lives.iterator().next());
     }
@@ -103,8 +103,8 @@
    * @param nowNanos the steady time
    * @return false while it rests, and once it has said that it leaves
    */
-  public boolean takesRequests(NodeLife life, long nowNanos) {
-    return !isLeaving(life) && !rests(life, nowNanos);
+  public boolean acceptsRequests(NodeIncarnation life, long nowNanos) {
+    return !isLeaving(life) && !isPaused(life, nowNanos);
   }
 
   /**
@@ -114,7 +114,7 @@
    * @param nowNanos the steady time
    * @return true while it rests
    */
-  public boolean rests(NodeLife life, long nowNanos) {
+  public boolean isPaused(NodeIncarnation life, long nowNanos) {
     Long end = restEnds.get(life);
     return end != null && end - nowNanos > 0;
   }
@@ -125,7 +125,7 @@
    * @param life the node's life
    * @return true once it has
    */
-  public boolean isLeaving(NodeLife life) {
+  public boolean isLeaving(NodeIncarnation life) {
     return leaving.contains(life);
   }
 
@@ -136,8 +136,8 @@
    * @param nowNanos the steady time
    * @return false when it may not be written: the node rests, leaves, or has no room in its limit
    */
-  public boolean letThrough(Node node, long nowNanos) {
-    return takesRequests(node.life(), nowNanos) && limits.spend(node, nowNanos);
+  public boolean tryAcquire(Node node, long nowNanos) {
+    return acceptsRequests(node.incarnation(), nowNanos) && limits.spend(node, nowNanos);
   }
 
   /**
@@ -148,9 +148,9 @@
    * @return nanoseconds from now until the first rest ends or there is room within a limit; {@link
    *     #NOW} when none of them rests or names a limit
    */
-  public long nanosToFirstEnd(Collection<Node> nodes, long nowNanos) {
+  public long nanosUntilAvailable(Collection<Node> nodes, long nowNanos) {
     return nodes.stream()
-        .filter(node -> !isLeaving(node.life()))
+        .filter(node -> !isLeaving(node.incarnation()))
         .mapToLong(node -> nanosToEnd(node, nowNanos))
         .filter(nanos -> nanos != NOW)
         .min()
@@ -158,7 +158,8 @@
   }
 
   private long nanosToEnd(Node node, long nowNanos) {
-    long rest = rests(node.life(), nowNanos) ? restEnds.get(node.life()) - nowNanos : NOW;
+    long rest =
+        isPaused(node.incarnation(), nowNanos) ? restEnds.get(node.incarnation()) - nowNanos : NOW;
     return Math.max(rest, limits.nanosToNext(node, nowNanos));
   }
 
@@ -168,7 +169,7 @@
    * @param nowNanos the steady time
    * @return their number
    */
-  public long resting(long nowNanos) {
+  public long pausedCount(long nowNanos) {
     return restEnds.values().stream().filter(end -> end - nowNanos > 0).count();
   }
 
@@ -177,7 +178,7 @@
    *
    * @return their number
    */
-  public int leaving() {
+  public int leavingCount() {
     return leaving.size();
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/DaySummary.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/LogSummary.java
@@ -20,7 +20,7 @@
  *
  * @param spans the spans, oldest first
  */
-public record DaySummary(List<Span> spans) {
+public record LogSummary(List<Span> spans) {
 
   /** Plain services, and groups whose beginning no line tells. */
   private static final String OTHER = "other";
@@ -63,7 +63,7 @@
    * @param seconds the length of a span, in seconds
    * @return the summary
    */
-  public static DaySummary of(List<LogLine> lines, int seconds) {
+  public static LogSummary of(List<LogLine> lines, int seconds) {
     List<LogLine> sorted = new ArrayList<>(lines);
     sorted.sort(Comparator.comparing(LogLine::time));
     Reader reader = new Reader();
@@ -84,7 +84,7 @@
     if (begun != Long.MIN_VALUE) {
       spans.add(reader.span(begun));
     }
-    return new DaySummary(List.copyOf(spans));
+    return new LogSummary(List.copyOf(spans));
   }
 
   private static @Nullable Long second(String time) {
@@ -116,17 +116,17 @@
         groups.values().forEach(standing -> standing.remove(group));
       } else if (line.value("sent_to") != null) {
         sent(line);
-      } else if (line.says("status", "503") && line.value("reason") != null) {
+      } else if (line.hasValue("status", "503") && line.value("reason") != null) {
         refusals.merge(String.valueOf(line.value("reason")), 1, Integer::sum);
-      } else if (line.says("outcome", "late")) {
+      } else if (line.hasValue("outcome", "late")) {
         late.merge(model(line.value("node")), 1, Integer::sum);
-      } else if (line.says("outcome", "stands_still")) {
+      } else if (line.hasValue("outcome", "stands_still")) {
         stalls++;
       }
     }
 
     private void sent(LogLine line) {
-      moved += line.says("why", "first") ? 0 : 1;
+      moved += line.hasValue("why", "first") ? 0 : 1;
       String load = line.value("load");
       if (load != null) {
         loads
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/RequestStory.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/RequestTimeline.java
@@ -15,7 +15,7 @@
  * @param lines the lines, oldest first
  * @param cause the likely cause of its end
  */
-public record RequestStory(String id, List<LogLine> lines, LikelyCause cause) {
+public record RequestTimeline(String id, List<LogLine> lines, LikelyCause cause) {
 
   private static final String REQUEST = "request";
   private static final String NODE = "node";
@@ -31,10 +31,10 @@
    * @param all the lines of all daemons, in any order
    * @return the story; null when no line names the request
    */
-  public static @Nullable RequestStory of(String id, List<LogLine> all) {
+  public static @Nullable RequestTimeline of(String id, List<LogLine> all) {
     List<LogLine> sorted = new ArrayList<>(all);
     sorted.sort(Comparator.comparing(LogLine::time));
-    List<LogLine> own = sorted.stream().filter(line -> line.says(REQUEST, id)).toList();
+    List<LogLine> own = sorted.stream().filter(line -> line.hasValue(REQUEST, id)).toList();
     if (own.isEmpty()) {
       return null;
     }
@@ -47,12 +47,12 @@
       boolean about = line.value(REQUEST) == null && concerns(line, nodes);
       if (about && line.time().compareTo(first) < 0) {
         before.add(line);
-      } else if (line.says(REQUEST, id) || about && line.time().compareTo(last) <= 0) {
+      } else if (line.hasValue(REQUEST, id) || about && line.time().compareTo(last) <= 0) {
         lines.add(line);
       }
     }
     lines.addAll(0, before.subList(Math.max(0, before.size() - LINES_BEFORE), before.size()));
-    return new RequestStory(id, List.copyOf(lines), LikelyCause.of(own, lines));
+    return new RequestTimeline(id, List.copyOf(lines), LikelyCause.of(own, lines));
   }
 
   private static Set<String> nodes(List<LogLine> own) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -12,13 +12,14 @@
 import java.util.function.Predicate;
 import org.fawnvale.serving.core.demand.ModelDemand;
 import org.fawnvale.serving.core.model.EngineSpec;
-import org.fawnvale.serving.core.model.Lives;
+
 import org.fawnvale.serving.core.model.MemberState;
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.ModelSpec;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.Policy;
 import org.jspecify.annotations.Nullable;
+import org.fawnvale.serving.core.model.IncarnationTracker;
 
 /**
  * The leader's decisions on groups, as a state machine: the caller feeds it the nodes' entries, the
@@ -52,7 +53,7 @@
   private final MissingMembers missing = new MissingMembers();
   private final DrainingMembers leaving = new DrainingMembers();
   private final RecentGroups recent = new RecentGroups();
-  private final Lives lives = new Lives();
+  private final IncarnationTracker lives = new IncarnationTracker();
   private Map<GroupKey, ObservedGroup> groups = Map.of();
   private final ListSettling settling = new ListSettling();
   private Predicate<String> inSight = anywhere -> true;
@@ -135,8 +136,8 @@
 
   /** What was known of a node ends with its life, and so does its part in a group. */
   private void learnLives(Map<String, Node> nodes, long now) {
-    for (String id : lives.learn(nodes.values())) {
-      remarks.add("node=" + id + " started_ms=" + nodes.get(id).life().startedMillis() + " anew");
+    for (String id : lives.update(nodes.values())) {
+      remarks.add("node=" + id + " started_ms=" + nodes.get(id).incarnation().startedMillis() + " anew");
       log.begunAnew(id);
       dissolver.begunAnew(id, now);
       assembler.begunAnew(id);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Lives.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/IncarnationTracker.java
@@ -10,9 +10,9 @@
  * Which life of each id was seen last. What is remembered of a node belongs to a life; an id that
  * comes with a later start has begun a new one, and what was known of it is not true any more.
  */
-public final class Lives {
+public final class IncarnationTracker {
 
-  private final Map<String, NodeLife> last = new HashMap<>();
+  private final Map<String, NodeIncarnation> last = new HashMap<>();
 
   /**
    * Takes nodes in.
@@ -20,11 +20,11 @@
    * @param nodes the nodes that are seen now
    * @return ids that had another life when they were seen last
    */
-  public Set<String> learn(Collection<Node> nodes) {
+  public Set<String> update(Collection<Node> nodes) {
     Set<String> begunAnew = new HashSet<>();
     for (Node node : nodes) {
-      NodeLife before = last.put(node.id(), node.life());
-      if (before != null && !before.equals(node.life())) {
+      NodeIncarnation before = last.put(node.id(), node.incarnation());
+      if (before != null && !before.equals(node.incarnation())) {
         begunAnew.add(node.id());
       }
     }
@@ -38,8 +38,8 @@
    * @return false once a later life of its id was seen
    */
   public boolean isCurrent(Node node) {
-    NodeLife seen = last.get(node.id());
-    return seen == null || seen.equals(node.life());
+    NodeIncarnation seen = last.get(node.id());
+    return seen == null || seen.equals(node.incarnation());
   }
 
   /**
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ReturningCallersTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/CallerRetryDetectorTest.java
@@ -6,12 +6,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Who has waited before, as far as deadlines tell. */
-class ReturningCallersTest {
+class CallerRetryDetectorTest {
 
   private static final String ROUTE = "route";
   private static final int TRIES = 1_000;
 
-  private final ReturningCallers callers = new ReturningCallers();
+  private final CallerRetryDetector callers = new CallerRetryDetector();
   private final Random random = new Random(11);
 
   @Test
@@ -22,7 +22,7 @@
     for (int each = 0; each < TRIES; each++) {
       boolean returns20Percent = each % 5 == 4;
       long patience = returns20Percent ? 5_000 + random.nextInt(600) : 6_000;
-      boolean told = callers.isReturning(ROUTE, patience);
+      boolean told = callers.isRetry(ROUTE, patience);
       returns += returns20Percent ? 1 : 0;
       recognized += told && returns20Percent ? 1 : 0;
       mistaken += told && !returns20Percent ? 1 : 0;
@@ -35,7 +35,7 @@
   void aFewCallersWithLongDeadlinesDoNotMakeTheOthersSeemToReturn() {
     int mistaken = 0;
     for (int each = 0; each < TRIES; each++) {
-      mistaken += callers.isReturning(ROUTE, each % 25 == 3 ? 9_000 : 6_000) ? 1 : 0;
+      mistaken += callers.isRetry(ROUTE, each % 25 == 3 ? 9_000 : 6_000) ? 1 : 0;
     }
     assertThat(mistaken).isZero();
   }
@@ -46,7 +46,7 @@
     int mistaken = 0;
     for (int each = 0; each < TRIES; each++) {
       long patience = 5_100 + random.nextInt(1_800);
-      mistaken += callers.isReturning("route" + each / 5, patience) ? 1 : 0;
+      mistaken += callers.isRetry("route" + each / 5, patience) ? 1 : 0;
     }
     assertThat(mistaken).isLessThan(TRIES * 3 / 100);
   }
@@ -57,21 +57,23 @@
     int mistaken = 0;
     for (int each = 0; each < TRIES; each++) {
       long patience = 5_100 + random.nextInt(1_800);
-      mistaken += callers.isReturning(ROUTE, patience) ? 1 : 0;
+      mistaken += callers.isRetry(ROUTE, patience) ? 1 : 0;
     }
     assertThat(mistaken).isLessThan(TRIES * 3 / 100);
   }
 
-  /** Those that come back after 1.4 to 1.9 s, as ReturnTimes tells callers with six seconds. */
+  /**
+   * Those that come back after 1.4 to 1.9 s, as RetryAfterPolicy tells callers with six seconds.
+   */
   @Test
   void whereDeadlinesDifferThoseWithLessTimeThanNearlyAllOthersHaveComeBack() {
     int recognized = 0;
     int mistaken = 0;
     for (int each = 0; each < TRIES; each++) {
       long patience = 5_100 + random.nextInt(1_800);
-      mistaken += callers.isReturning(ROUTE, patience) ? 1 : 0;
+      mistaken += callers.isRetry(ROUTE, patience) ? 1 : 0;
       long again = 5_100 + random.nextInt(1_800) - 1_400 - random.nextInt(500);
-      recognized += each > TRIES / 2 && callers.isReturning(ROUTE, again) ? 1 : 0;
+      recognized += each > TRIES / 2 && callers.isRetry(ROUTE, again) ? 1 : 0;
     }
     assertThat(mistaken).isLessThan(TRIES * 3 / 100);
     assertThat(recognized).isGreaterThan(TRIES / 2 * 90 / 100);
@@ -80,8 +82,8 @@
   @Test
   void eachRouteHasItsOwnDeadline() {
     for (int each = 0; each < TRIES; each++) {
-      assertThat(callers.isReturning("short", 600)).isFalse();
-      assertThat(callers.isReturning("long", 8_000)).isFalse();
+      assertThat(callers.isRetry("short", 600)).isFalse();
+      assertThat(callers.isRetry("long", 8_000)).isFalse();
     }
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ConnectionReuseTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ConnectionReuseTest.java
@@ -15,7 +15,7 @@
 import org.fawnvale.serving.core.model.MemberState;
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.peer.Owners;
 import org.junit.jupiter.api.Test;
 
@@ -25,7 +25,8 @@
  */
 class ConnectionReuseTest {
 
-  private static final Demand FIRST = new Demand("engines", "large", Demand.Claim.FIRST);
+  private static final DispatchRequest FIRST =
+      new DispatchRequest("engines", "large", DispatchRequest.AdmissionClass.FIRST);
   private static final int DAEMONS = 19;
   private static final int HEADS = 14;
   private static final int SLOTS = 15;
@@ -58,7 +59,7 @@
 
   private static Node head(int number) {
     return new Node(
-        NodeLife.only("h" + number),
+        NodeIncarnation.only("h" + number),
         "engines",
         new Endpoint("10.0.0.1", 1 + number),
         "here",
@@ -83,10 +84,10 @@
     }
     for (int number = 0; number < DAEMONS; number++) {
       Daemon daemon = new Daemon();
-      daemon.dispatcher.serve(heads);
-      daemon.dispatcher.daemons(DAEMONS);
+      daemon.dispatcher.setUpstreams(heads);
+      daemon.dispatcher.setDaemonCount(DAEMONS);
       if (keepsToConnections) {
-        daemon.dispatcher.connected(endpoint -> hasRested(daemon, endpoint));
+        daemon.dispatcher.setConnected(endpoint -> hasRested(daemon, endpoint));
       }
       daemons.add(daemon);
     }
@@ -110,7 +111,7 @@
         .dispatcher
         .states()
         .forEach((id, state) -> others.merge(id, -state.inFlight(), Integer::sum));
-    daemon.dispatcher.peersInFlight(others);
+    daemon.dispatcher.setPeersInFlight(others);
   }
 
   private void send(Daemon daemon) {
@@ -122,14 +123,14 @@
     }
     sumOfLoads += inFlight.getOrDefault(head.id(), 0) / (double) SLOTS;
     inFlight.merge(head.id(), 1, Integer::sum);
-    daemon.dispatcher.state(head.id()).sent((long) (now * 1e9));
+    daemon.dispatcher.state(head.id()).requestSent((long) (now * 1e9));
     double seconds = ANSWER_SECONDS * (0.5 + random.nextDouble());
     answers.add(new Answer(now + seconds, daemon, head));
   }
 
   private void end(Answer answer) {
     inFlight.merge(answer.head().id(), -1, Integer::sum);
-    answer.from().dispatcher.state(answer.head().id()).ended(false, false);
+    answer.from().dispatcher.state(answer.head().id()).requestEnded(false, false);
     answer
         .from()
         .rested
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
@@ -13,15 +13,16 @@
 import org.fawnvale.serving.core.model.MemberState;
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeAnswer;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.core.peer.Owners;
 import org.junit.jupiter.api.Test;
 
 /** Where a request goes, and who is let in when little is left. */
 class DispatcherTest {
 
-  private static final Demand FIRST = new Demand("engines", "large", Demand.Claim.FIRST);
+  private static final DispatchRequest FIRST =
+      new DispatchRequest("engines", "large", DispatchRequest.AdmissionClass.FIRST);
   private static final int SLOTS = 10;
 
   private static final long MILLI = 1_000_000L;
@@ -33,7 +34,7 @@
 
   private static Node head(String id, String dataCentre) {
     return new Node(
-        NodeLife.only(id),
+        NodeIncarnation.only(id),
         "engines",
         new Endpoint("10.0.0.1", 1),
         dataCentre,
@@ -51,35 +52,35 @@
 
   @Test
   void theLeastLoadedHeadTakesTheRequest() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here")));
-    dispatcher.peersInFlight(Map.of("a", 5));
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
+    dispatcher.setPeersInFlight(Map.of("a", 5));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
   }
 
   @Test
   void aHeadOfTheOwnDataCentreIsTakenWhileItIsHardlyFuller() {
-    dispatcher.serve(List.of(head("a", "elsewhere"), head("b", "here")));
-    dispatcher.peersInFlight(Map.of("b", 1));
+    dispatcher.setUpstreams(List.of(head("a", "elsewhere"), head("b", "here")));
+    dispatcher.setPeersInFlight(Map.of("b", 1));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
-    dispatcher.peersInFlight(Map.of("b", 4));
+    dispatcher.setPeersInFlight(Map.of("b", 4));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("a");
   }
 
   @Test
   void aFullHeadRefusesFirstTriesAndStillTakesThoseThatComeBack() {
-    dispatcher.serve(List.of(head("a", "here")));
-    dispatcher.peersInFlight(Map.of("a", SLOTS));
+    dispatcher.setUpstreams(List.of(head("a", "here")));
+    dispatcher.setPeersInFlight(Map.of("a", SLOTS));
     assertThat(dispatcher.choose(FIRST, Set.of())).isInstanceOf(Choice.Refuse.class);
-    assertThat(target(dispatcher.choose(FIRST.returning(), Set.of()))).isEqualTo("a");
-    dispatcher.peersInFlight(Map.of("a", 2 * SLOTS));
-    assertThat(dispatcher.choose(FIRST.returning(), Set.of())).isInstanceOf(Choice.Refuse.class);
+    assertThat(target(dispatcher.choose(FIRST.asReturning(), Set.of()))).isEqualTo("a");
+    dispatcher.setPeersInFlight(Map.of("a", 2 * SLOTS));
+    assertThat(dispatcher.choose(FIRST.asReturning(), Set.of())).isInstanceOf(Choice.Refuse.class);
   }
 
   @Test
   void aPlainUpstreamIsFullOnlyWithTwoWaitingForEachSlot() {
     Node plain =
         new Node(
-            NodeLife.only("p"),
+            NodeIncarnation.only("p"),
             "plain",
             new Endpoint("10.0.0.1", 1),
             "here",
@@ -89,26 +90,26 @@
             null,
             List.of(),
             null);
-    Demand asked = new Demand("plain", "", Demand.Claim.FIRST);
-    dispatcher.serve(List.of(plain));
-    dispatcher.peersInFlight(Map.of("p", 3 * SLOTS - 1));
+    DispatchRequest asked = new DispatchRequest("plain", "", DispatchRequest.AdmissionClass.FIRST);
+    dispatcher.setUpstreams(List.of(plain));
+    dispatcher.setPeersInFlight(Map.of("p", 3 * SLOTS - 1));
     assertThat(target(dispatcher.choose(asked, Set.of()))).isEqualTo("p");
-    dispatcher.peersInFlight(Map.of("p", 3 * SLOTS));
+    dispatcher.setPeersInFlight(Map.of("p", 3 * SLOTS));
     assertThat(dispatcher.choose(asked, Set.of())).isInstanceOf(Choice.Refuse.class);
   }
 
   @Test
   void aHeadThatStandsStillOrWasTriedIsLeftOut() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here"), head("c", "here")));
-    dispatcher.state("a").suspect(1);
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here"), head("c", "here")));
+    dispatcher.state("a").markSuspect(1);
     assertThat(target(dispatcher.choose(FIRST, Set.of("b")))).isEqualTo("c");
   }
 
   @Test
   void aHeadThatPeersSuspectIsTheLastResort() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here")));
-    dispatcher.peersInFlight(Map.of("b", 7));
-    dispatcher.avoid(Set.of("a"));
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
+    dispatcher.setPeersInFlight(Map.of("b", 7));
+    dispatcher.setReportedSuspects(Set.of("a"));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
     assertThat(target(dispatcher.choose(FIRST, Set.of("b")))).isEqualTo("a");
   }
@@ -121,9 +122,9 @@
       heads.add(head("h" + index, "here"));
       inFlight.put("h" + index, index == 0 ? 0 : 5);
     }
-    dispatcher.serve(heads);
-    dispatcher.peersInFlight(inFlight);
-    dispatcher.daemons(60);
+    dispatcher.setUpstreams(heads);
+    dispatcher.setPeersInFlight(inFlight);
+    dispatcher.setDaemonCount(60);
     int toTheEmptyOne = 0;
     for (int request = 0; request < 1_000; request++) {
       toTheEmptyOne += "h0".equals(target(dispatcher.choose(FIRST, Set.of()))) ? 1 : 0;
@@ -139,9 +140,9 @@
       heads.add(head("h" + index, "here"));
       inFlight.put("h" + index, index == 7 ? 0 : SLOTS);
     }
-    dispatcher.serve(heads);
-    dispatcher.peersInFlight(inFlight);
-    dispatcher.daemons(60);
+    dispatcher.setUpstreams(heads);
+    dispatcher.setPeersInFlight(inFlight);
+    dispatcher.setDaemonCount(60);
     for (int request = 0; request < 100; request++) {
       assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("h7");
     }
@@ -149,25 +150,25 @@
 
   @Test
   void headsOutOfSightAreTakenOnlyWhenNoOtherServes() {
-    dispatcher.serve(List.of(head("a", "elsewhere"), head("b", "here")));
-    dispatcher.inSight("here"::equals);
-    dispatcher.peersInFlight(Map.of("b", SLOTS));
+    dispatcher.setUpstreams(List.of(head("a", "elsewhere"), head("b", "here")));
+    dispatcher.setReachable("here"::equals);
+    dispatcher.setPeersInFlight(Map.of("b", SLOTS));
     assertThat(dispatcher.choose(FIRST, Set.of())).isInstanceOf(Choice.Refuse.class);
-    dispatcher.serve(List.of(head("a", "elsewhere")));
+    dispatcher.setUpstreams(List.of(head("a", "elsewhere")));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("a");
   }
 
-  private static NodeAnswer restOf(long millis) {
-    return new NodeAnswer(503, true, false, millis, null, null);
+  private static NodeResponse restOf(long millis) {
+    return new NodeResponse(503, true, false, millis, null, null);
   }
 
   @Test
   void headsThatRestAreLeftOutHoweverEmptyTheyLook() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here")));
-    dispatcher.peersInFlight(Map.of("b", SLOTS - 1));
-    gate.hear(NodeLife.only("a"), restOf(3_000), now.get());
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
+    dispatcher.setPeersInFlight(Map.of("b", SLOTS - 1));
+    gate.recordResponse(NodeIncarnation.only("a"), restOf(3_000), now.get());
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
-    dispatcher.peersInFlight(Map.of("b", SLOTS));
+    dispatcher.setPeersInFlight(Map.of("b", SLOTS));
     assertThat(dispatcher.choose(FIRST, Set.of())).isInstanceOf(Choice.Refuse.class);
     now.set(3_000 * MILLI);
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("a");
@@ -175,9 +176,9 @@
 
   @Test
   void whereAllRestTheRefusalTellsWhenTheFirstMayBeAskedAgain() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here")));
-    gate.hear(NodeLife.only("a"), restOf(3_000), now.get());
-    gate.hear(NodeLife.only("b"), restOf(1_000), now.get());
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
+    gate.recordResponse(NodeIncarnation.only("a"), restOf(3_000), now.get());
+    gate.recordResponse(NodeIncarnation.only("b"), restOf(1_000), now.get());
     now.set(200 * MILLI);
     Choice choice = dispatcher.choose(FIRST, Set.of("b"));
     assertThat(choice)
@@ -186,13 +187,13 @@
 
   @Test
   void aHeadThatTurnsAwayIsAskedLastForAPauseThatDoubles() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here")));
-    dispatcher.peersInFlight(Map.of("b", SLOTS - 1));
-    dispatcher.state("a").turnedAway(now.get());
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
+    dispatcher.setPeersInFlight(Map.of("b", SLOTS - 1));
+    dispatcher.state("a").requestRejected(now.get());
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
     now.set(100 * MILLI);
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("a");
-    dispatcher.state("a").turnedAway(now.get());
+    dispatcher.state("a").requestRejected(now.get());
     now.set(299 * MILLI);
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
     now.set(300 * MILLI);
@@ -201,51 +202,51 @@
 
   @Test
   void itIsAskedAllTheSameWhereNoOtherHasRoom() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here")));
-    dispatcher.state("a").turnedAway(now.get());
-    dispatcher.peersInFlight(Map.of("b", SLOTS));
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
+    dispatcher.state("a").requestRejected(now.get());
+    dispatcher.setPeersInFlight(Map.of("b", SLOTS));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("a");
   }
 
   @Test
   void itCountsAsBeforeOnceItTakesARequest() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here")));
-    dispatcher.peersInFlight(Map.of("b", 1));
-    dispatcher.state("a").turnedAway(now.get());
-    dispatcher.state("a").tookRequest();
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
+    dispatcher.setPeersInFlight(Map.of("b", 1));
+    dispatcher.state("a").requestRejected(now.get());
+    dispatcher.state("a").requestAccepted();
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("a");
   }
 
   @Test
   void headsThatTurnOthersAwayAreAskedLast() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here")));
-    dispatcher.peersInFlight(Map.of("b", SLOTS - 1));
-    dispatcher.refusingPeers(Set.of("a"));
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
+    dispatcher.setPeersInFlight(Map.of("b", SLOTS - 1));
+    dispatcher.setReportedRejecting(Set.of("a"));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
-    dispatcher.peersInFlight(Map.of("b", SLOTS));
+    dispatcher.setPeersInFlight(Map.of("b", SLOTS));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("a");
   }
 
   @Test
   void othersAreToldOfThoseThatRestAndThoseThatTurnAwayAThirdTime() {
-    dispatcher.serve(List.of(head("a", "here"), head("b", "here"), head("c", "here")));
-    gate.hear(NodeLife.only("c"), restOf(10_000), now.get());
+    dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here"), head("c", "here")));
+    gate.recordResponse(NodeIncarnation.only("c"), restOf(10_000), now.get());
     UpstreamState turning = dispatcher.state("a");
-    turning.turnedAway(now.get());
+    turning.requestRejected(now.get());
     now.set(100 * MILLI);
-    turning.turnedAway(now.get());
-    assertThat(dispatcher.refusing()).containsExactly("c");
+    turning.requestRejected(now.get());
+    assertThat(dispatcher.rejecting()).containsExactly("c");
     now.set(300 * MILLI);
-    turning.turnedAway(now.get());
-    assertThat(dispatcher.refusing()).containsExactlyInAnyOrder("a", "c");
+    turning.requestRejected(now.get());
+    assertThat(dispatcher.rejecting()).containsExactlyInAnyOrder("a", "c");
     now.set(700 * MILLI);
-    assertThat(dispatcher.refusing()).containsExactly("c");
+    assertThat(dispatcher.rejecting()).containsExactly("c");
   }
 
   @Test
   void manyTurnedAwayAtOnceAreOnePause() {
     for (int request = 0; request < 20; request++) {
-      dispatcher.state("a").turnedAway(now.get());
+      dispatcher.state("a").requestRejected(now.get());
     }
     assertThat(dispatcher.state("a").isBackedOff(99 * MILLI)).isTrue();
     assertThat(dispatcher.state("a").isBackedOff(100 * MILLI)).isFalse();
@@ -253,10 +254,10 @@
 
   @Test
   void aCallerWithLessPatienceThanOthersOfItsRouteHasComeBack() {
-    ReturningCallers callers = new ReturningCallers();
-    assertThat(callers.isReturning("chat", 5_000)).isFalse();
-    assertThat(callers.isReturning("chat", 4_995)).isFalse();
-    assertThat(callers.isReturning("chat", 4_300)).isTrue();
-    assertThat(callers.isReturning("other", 4_300)).isFalse();
+    CallerRetryDetector callers = new CallerRetryDetector();
+    assertThat(callers.isRetry("chat", 5_000)).isFalse();
+    assertThat(callers.isRetry("chat", 4_995)).isFalse();
+    assertThat(callers.isRetry("chat", 4_300)).isTrue();
+    assertThat(callers.isRetry("other", 4_300)).isFalse();
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadPlay.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadSimulation.java
@@ -23,8 +23,8 @@
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.ModelSpec;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeAnswer;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.core.model.RequestSize;
 import org.fawnvale.serving.core.peer.Owners;
 
@@ -33,7 +33,7 @@
  * its own, before the heads of one model that work by the engines' published arithmetic. Daemons
  * hear of each other's requests by notes only. Tells what callers get.
  */
-final class LoadPlay {
+final class LoadSimulation {
 
   private static final int DATA_CENTRES = 3;
   private static final double NOTE_SECONDS = 0.3;
@@ -171,7 +171,7 @@
     }
   }
 
-  private LoadPlay(Load load, Turning turning, Ways ways, Returns returns, long seed) {
+  private LoadSimulation(Load load, Turning turning, Ways ways, Returns returns, long seed) {
     this.load = load;
     this.turning = turning;
     this.ways = ways;
@@ -203,7 +203,7 @@
    * @return what callers got
    */
   static Outcome play(Load load, Turning turning, Ways ways, Returns returns, long seed) {
-    return new LoadPlay(load, turning, ways, returns, seed).run();
+    return new LoadSimulation(load, turning, ways, returns, seed).run();
   }
 
   private Outcome run() {
@@ -215,8 +215,8 @@
     }
     for (int number = 0; number < load.daemons(); number++) {
       Daemon daemon = new Daemon("dc" + number % DATA_CENTRES, random, this::nowNanos);
-      daemon.dispatcher.serve(nodes);
-      daemon.dispatcher.daemons(load.daemons());
+      daemon.dispatcher.setUpstreams(nodes);
+      daemon.dispatcher.setDaemonCount(load.daemons());
       daemons.add(daemon);
     }
     at(0, this::ask);
@@ -232,7 +232,7 @@
 
   private Node head(int number) {
     return new Node(
-        NodeLife.only("h" + number),
+        NodeIncarnation.only("h" + number),
         "engines",
         new Endpoint("10.0.0.1", 1 + number),
         "dc" + number % DATA_CENTRES,
@@ -280,8 +280,11 @@
 
   private void arrive(Caller caller) {
     caller.daemon = daemons.get(random.nextInt(daemons.size()));
-    Demand.Claim claim = caller.returns ? Demand.Claim.RETURNING : Demand.Claim.FIRST;
-    Demand demand = new Demand("engines", load.model().name(), claim);
+    DispatchRequest.AdmissionClass claim =
+        caller.returns
+            ? DispatchRequest.AdmissionClass.RETURNING
+            : DispatchRequest.AdmissionClass.FIRST;
+    DispatchRequest demand = new DispatchRequest("engines", load.model().name(), claim);
     Set<String> tried = new HashSet<>();
     Choice choice = caller.daemon.dispatcher.choose(demand, tried);
     while (choice instanceof Choice.Send send && tried.size() <= MOST_REJECTIONS) {
@@ -294,7 +297,7 @@
       hearRefusal(caller.daemon, head);
       choice = caller.daemon.dispatcher.choose(demand, tried);
     }
-    long restNanos = choice instanceof Choice.Refuse refuse ? refuse.restNanos() : 0;
+    long retryAfterNanos = choice instanceof Choice.Refuse refuse ? refuse.retryAfterNanos() : 0;
     refused += counts(caller) ? 1 : 0;
     if (caller.returns) {
       lost += counts(caller) ? 1 : 0;
@@ -302,7 +305,7 @@
     }
     caller.returns = true;
     long left = load.deadlineMillis();
-    at(now + returns.millis(left, restNanos / 1_000_000) / 1e3, () -> arrive(caller));
+    at(now + returns.millis(left, retryAfterNanos / 1_000_000) / 1e3, () -> arrive(caller));
   }
 
   private long nowNanos() {
@@ -316,15 +319,15 @@
 
   private void hearRefusal(Daemon daemon, Head head) {
     if (ways.backsOff()) {
-      daemon.dispatcher.state(head.node.id()).turnedAway(nowNanos());
+      daemon.dispatcher.state(head.node.id()).requestRejected(nowNanos());
     }
-    NodeAnswer said = new NodeAnswer(503, true, false, turning.restMillis(), null, null);
-    daemon.gate.hear(head.node.life(), said, nowNanos());
+    NodeResponse said = new NodeResponse(503, true, false, turning.restMillis(), null, null);
+    daemon.gate.recordResponse(head.node.incarnation(), said, nowNanos());
   }
 
   private void begin(Caller caller, Head head) {
-    caller.daemon.dispatcher.state(head.node.id()).sent(nowNanos());
-    caller.daemon.dispatcher.state(head.node.id()).tookRequest();
+    caller.daemon.dispatcher.state(head.node.id()).requestSent(nowNanos());
+    caller.daemon.dispatcher.state(head.node.id()).requestAccepted();
     caller.tokensToRead = caller.size.promptTokens();
     caller.tokensToWrite = caller.size.answerTokens();
     head.waiting.add(caller);
@@ -351,7 +354,7 @@
       read += part;
     }
     List<Caller> writers = List.copyOf(head.writing);
-    double millis = read * 1e3 / engine.readTokensPerSecond() * load.model().pace();
+    double millis = read * 1e3 / engine.prefillTokensPerSecond() * load.model().timeFactor();
     if (!writers.isEmpty()) {
       millis += EngineTimes.passMillis(engine, load.model(), writers.size());
     }
@@ -378,7 +381,7 @@
       return;
     }
     head.writing.remove(caller);
-    caller.daemon.dispatcher.state(head.node.id()).ended(true, false);
+    caller.daemon.dispatcher.state(head.node.id()).requestEnded(true, false);
     if (!counts(caller)) {
       return;
     }
@@ -397,7 +400,7 @@
     at(now + NOTE_SECONDS, this::tell);
     Set<String> refusing = new HashSet<>();
     if (ways.tells()) {
-      daemons.forEach(daemon -> refusing.addAll(daemon.dispatcher.refusing()));
+      daemons.forEach(daemon -> refusing.addAll(daemon.dispatcher.rejecting()));
     }
     for (Daemon daemon : daemons) {
       Map<String, Integer> others = new HashMap<>();
@@ -407,8 +410,8 @@
       at(
           now + delay,
           () -> {
-            daemon.dispatcher.peersInFlight(others);
-            daemon.dispatcher.refusingPeers(refusing);
+            daemon.dispatcher.setPeersInFlight(others);
+            daemon.dispatcher.setReportedRejecting(refusing);
           });
     }
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ReturnTimesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/RetryAfterPolicyTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** When refused callers come back, and what they and the others get then. */
-class ReturnTimesTest {
+class RetryAfterPolicyTest {
 
   private static final ModelSpec SMALL = new ModelSpec("small", 4, 0.5, 0.6, 12_000, 1_100);
 
@@ -45,8 +45,8 @@
         new RequestSize(841, 111));
   }
 
-  private static LoadPlay.Load load(EngineSpec engine, DoubleUnaryOperator rate) {
-    return new LoadPlay.Load(engine, SMALL, DAEMONS, HEADS, rate, 12, 120, 300, 6_000);
+  private static LoadSimulation.Load load(EngineSpec engine, DoubleUnaryOperator rate) {
+    return new LoadSimulation.Load(engine, SMALL, DAEMONS, HEADS, rate, 12, 120, 300, 6_000);
   }
 
   private static DoubleUnaryOperator burst(double usual, double times) {
@@ -54,8 +54,8 @@
   }
 
   private static LongUnaryOperator timesHere() {
-    ReturnTimes times = new ReturnTimes();
-    return patience -> times.next(patience, 0);
+    RetryAfterPolicy times = new RetryAfterPolicy();
+    return patience -> times.nextMillis(patience, 0);
   }
 
   private static LongUnaryOperator soon() {
@@ -63,27 +63,27 @@
     return left -> 400 + random.nextInt(1_000);
   }
 
-  private static LoadPlay.Outcome mean(LoadPlay.Load load, LongUnaryOperator returns) {
+  private static LoadSimulation.Outcome mean(LoadSimulation.Load load, LongUnaryOperator returns) {
     double inTime = 0;
     double late = 0;
     double lost = 0;
     double refused = 0;
     for (int seed = 1; seed <= SEEDS; seed++) {
-      LoadPlay.Outcome one = LoadPlay.play(load, returns, seed);
+      LoadSimulation.Outcome one = LoadSimulation.play(load, returns, seed);
       inTime += one.inTime() / SEEDS;
       late += one.late() / SEEDS;
       lost += one.lost() / SEEDS;
       refused += one.refused() / SEEDS;
     }
-    return new LoadPlay.Outcome(inTime, late, lost, refused);
+    return new LoadSimulation.Outcome(inTime, late, lost, refused);
   }
 
   /** Answered in time: 0.705 of the callers when they came back soon, 0.716 now; none lost. */
   @Test
   void afterAHeavyBurstMoreCallersAreAnsweredInTimeThanIfTheyCameBackSoon() {
-    LoadPlay.Load heavy = load(STEEP, burst(150, 2.2));
-    LoadPlay.Outcome before = mean(heavy, soon());
-    LoadPlay.Outcome here = mean(heavy, timesHere());
+    LoadSimulation.Load heavy = load(STEEP, burst(150, 2.2));
+    LoadSimulation.Outcome before = mean(heavy, soon());
+    LoadSimulation.Outcome here = mean(heavy, timesHere());
     assertThat(before.inTime()).isBetween(0.695, 0.715);
     assertThat(here.inTime()).isBetween(0.71, 0.73);
     assertThat(here.lost()).isZero();
@@ -97,32 +97,32 @@
     assertNoLoss(load(FLAT, burst(190, 2.2)));
   }
 
-  private static void assertNoLoss(LoadPlay.Load load) {
+  private static void assertNoLoss(LoadSimulation.Load load) {
     double before = mean(load, soon()).inTime();
     assertThat(mean(load, timesHere()).inTime()).isGreaterThan(before - 0.01);
   }
 
   @Test
   void thoseRefusedTogetherComeBackApartAndWithinTheTimeThatTheyHeed() {
-    ReturnTimes times = new ReturnTimes();
-    int first = times.next(6_000, 0);
-    int second = times.next(6_000, 0);
+    RetryAfterPolicy times = new RetryAfterPolicy();
+    int first = times.nextMillis(6_000, 0);
+    int second = times.nextMillis(6_000, 0);
     assertThat(first).isNotEqualTo(second);
     assertThat(first).isBetween(1_400, 1_900);
-    assertThat(times.next(600, 0)).isBetween(140, 200);
-    assertThat(times.next(-5, 0)).isZero();
+    assertThat(times.nextMillis(600, 0)).isBetween(140, 200);
+    assertThat(times.nextMillis(-5, 0)).isZero();
   }
 
   @Test
   void whereUpstreamsRestCallersComeBackWhenTheFirstRestEnds() {
-    ReturnTimes times = new ReturnTimes();
-    assertThat(times.next(6_000, 800)).isBetween(800, 1_275);
-    assertThat(times.next(3_000, 940)).isBetween(940, 960);
+    RetryAfterPolicy times = new RetryAfterPolicy();
+    assertThat(times.nextMillis(6_000, 800)).isBetween(800, 1_275);
+    assertThat(times.nextMillis(3_000, 940)).isBetween(940, 960);
   }
 
   /** Another daemon may still be served: it was not asked for the same rest. */
   @Test
   void aRestThatOutlastsWhatTheyHeedDoesNotCount() {
-    assertThat(new ReturnTimes().next(3_000, 3_000)).isBetween(720, 960);
+    assertThat(new RetryAfterPolicy().nextMillis(3_000, 3_000)).isBetween(720, 960);
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodeRestartTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodeRestartTest.java
@@ -10,11 +10,12 @@
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeLife;
+
 import org.fawnvale.serving.core.model.Policy;
 import org.fawnvale.serving.core.peer.Owners;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 
 /**
  * Nodes end and start again under their ids before their entries have lapsed. Nothing that was
@@ -137,19 +138,19 @@
             new UpstreamGate(
                 new SharedLimits(new Owners(new Owners.Daemon("d", "127.0.0.1", "a")))),
             () -> 0);
-    dispatcher.serve(List.of(node(1, "large")));
-    dispatcher.state("n").suspect(now);
-    dispatcher.state("n").sent(now);
-    dispatcher.serve(List.of(node(1, "large")));
+    dispatcher.setUpstreams(List.of(node(1, "large")));
+    dispatcher.state("n").markSuspect(now);
+    dispatcher.state("n").requestSent(now);
+    dispatcher.setUpstreams(List.of(node(1, "large")));
     assertThat(dispatcher.state("n").isSuspect()).isTrue();
-    dispatcher.serve(List.of(node(2, "large")));
+    dispatcher.setUpstreams(List.of(node(2, "large")));
     assertThat(dispatcher.state("n").isSuspect()).isFalse();
     assertThat(dispatcher.state("n").inFlight()).isZero();
   }
 
   private static Node node(long started, String model) {
     Endpoint endpoint = new Endpoint("127.0.0.1", 1);
-    NodeLife life = new NodeLife("n", started);
+    NodeIncarnation life = new NodeIncarnation("n", started);
     return new Node(life, "s", endpoint, "a", 1, false, "d", model, List.of(), null);
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
@@ -10,10 +10,11 @@
 import org.fawnvale.serving.core.model.MemberState;
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeLife;
+
 import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePlace;
 import org.junit.jupiter.api.Test;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 
 /** What was known of nodes before the store went back, until they write again. */
 class RestoredNodesTest {
@@ -28,7 +29,7 @@
 
   private static Node node(String id, long started) {
     return new Node(
-        new NodeLife(id, started),
+        new NodeIncarnation(id, started),
         "stock",
         new Endpoint("127.0.0.1", 1),
         "a",
@@ -116,10 +117,10 @@
     know(node("n", 9));
     list(node("n", 7), 20);
     goBack();
-    assertThat(shown("n", SECOND).life().startedMillis()).isEqualTo(9);
-    assertThat(shown("n", LONG_AFTER).life().startedMillis()).isEqualTo(9);
+    assertThat(shown("n", SECOND).incarnation().startedMillis()).isEqualTo(9);
+    assertThat(shown("n", LONG_AFTER).incarnation().startedMillis()).isEqualTo(9);
     list(node("n", 9), 23);
-    assertThat(shown("n", SECOND).life().startedMillis()).isEqualTo(9);
+    assertThat(shown("n", SECOND).incarnation().startedMillis()).isEqualTo(9);
   }
 
   /**
@@ -135,7 +136,7 @@
     list(node("gone", 7), 21);
     goBack("gone");
     long lastAnswer = SECOND;
-    assertThat(shown("n", lastAnswer).life().startedMillis()).isEqualTo(9);
+    assertThat(shown("n", lastAnswer).incarnation().startedMillis()).isEqualTo(9);
     assertThat(shown("gone", lastAnswer)).isNull();
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
@@ -66,11 +66,11 @@
 
   /** A node leaves once its entry or an answer of its own says so, whichever comes first. */
   private Collection<Node> withLeaving(Collection<Node> listed) {
-    if (gate.leaving() == 0) {
+    if (gate.leavingCount() == 0) {
       return listed;
     }
     return listed.stream()
-        .map(node -> gate.isLeaving(node.life()) ? node.asDraining() : node)
+        .map(node -> gate.isLeaving(node.incarnation()) ? node.asDraining() : node)
         .toList();
   }
 
@@ -132,7 +132,7 @@
         .forEach(
             (id, state) -> {
               Node node = nodes.objects().get(id);
-              if (node != null && state.movedWithin(REACHED_NANOS, now)) {
+              if (node != null && state.progressedWithin(REACHED_NANOS, now)) {
                 inSight.add(node.dataCentre());
               }
             });
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -151,7 +151,7 @@
         new OwnerClient(client, timers, settings.peerPort() + COPY_PORT_OFFSET);
     this.limitDesk = new LimitPermitService(ownerCalls, limits, registry);
     this.dispatcher = new Dispatcher(settings.dataCentre(), gate, System::nanoTime);
-    dispatcher.connected(client::hasRested);
+    dispatcher.setConnected(client::hasRested);
     NodeClient toNodes = new NodeClient(client, timers, gate, platform::answer, registry);
     toNodes.onLeaving(() -> upstreamsAreOld = true);
     this.cadence = new WatchCadence(settings.bounds().leavingMillis());
@@ -344,7 +344,7 @@
     GroupAnnouncements announced = announced();
     List<Node> serving = fleet.serving(sight.listedNodes(), current, announced);
     suspicions.learn(serving, nodes.objects().keySet());
-    dispatcher.serve(serving);
+    dispatcher.setUpstreams(serving);
     dispatcher.retain(nodes.objects().keySet());
     if (!fleetIsKnown && nodes.place().isKnown()) {
       fleetIsKnown = true;
@@ -401,9 +401,9 @@
       return;
     }
     Set<String> shared = suspicions.ofPeers();
-    dispatcher.avoid(shared);
+    dispatcher.setReportedSuspects(shared);
     int before = suspicions.countOfOwn();
-    if (StallDetector.mayJudge(System.nanoTime() - startedNanos)) {
+    if (StallDetector.isWarmedUp(System.nanoTime() - startedNanos)) {
       gateway.checkStreams(shared);
     }
     if (suspicions.countOfOwn() > before) {
@@ -446,7 +446,7 @@
   private void seeWhoIsInTouch() {
     Map<String, PeerNote> live = peers.live();
     news.see(live.values(), peers.heardLately());
-    dispatcher.daemons(live.size() + 1);
+    dispatcher.setDaemonCount(live.size() + 1);
   }
 
   private void decideWhoLeads() {
@@ -467,7 +467,7 @@
     }
     Set<String> inSight = sight.dataCentres(dispatcher);
     if (settings.policy().cutsAreNoDeaths()) {
-      dispatcher.inSight(inSight::contains);
+      dispatcher.setReachable(inSight::contains);
     }
     if (leads) {
       lead(engine, inSight);
@@ -489,7 +489,7 @@
     long now = System.nanoTime();
     Set<String> resting = new HashSet<>();
     for (Node node : engines) {
-      if (gate.rests(node.life(), now)) {
+      if (gate.isPaused(node.incarnation(), now)) {
         resting.add(node.id());
       }
     }
@@ -505,8 +505,8 @@
     }
     groupsAreNews |= isNews && leads;
     Peers.OfUpstreams told = peers.ofUpstreams();
-    dispatcher.peersInFlight(told.inFlight());
-    dispatcher.refusingPeers(told.refusing());
+    dispatcher.setPeersInFlight(told.inFlight());
+    dispatcher.setReportedRejecting(told.refusing());
     gateway.setDaemonCount(peers.daemons());
   }
 
@@ -558,7 +558,7 @@
             inFlight,
             gateway.offeredWork(),
             suspicions.own(),
-            dispatcher.refusing(),
+            dispatcher.rejecting(),
             leads ? formation.recentlyOpened() : List.of(),
             leads ? formation.recentlyClosed() : List.of());
     CopyPlaces places = new CopyPlaces(configurations.newest(), versionInForce(), nodes.newest());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
@@ -12,10 +12,10 @@
 import org.apache.hc.core5.http.message.BasicHeader;
 import org.apache.hc.core5.http.message.BasicHttpRequest;
 import org.fawnvale.serving.core.dispatch.Choice;
-import org.fawnvale.serving.core.dispatch.Demand;
+
 import org.fawnvale.serving.core.dispatch.UpstreamState;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeAnswer;
+
 import org.fawnvale.serving.core.model.Route;
 import org.fawnvale.serving.core.model.RouteKind;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
@@ -24,6 +24,8 @@
 import org.fawnvale.serving.http.NodeListener;
 import org.fawnvale.serving.spi.HeaderNames;
 import org.jspecify.annotations.Nullable;
+import org.fawnvale.serving.core.dispatch.DispatchRequest;
+import org.fawnvale.serving.core.model.NodeResponse;
 
 /**
  * One caller's request on its way: chooses upstreams, sends, repeats what may be repeated, takes a
@@ -132,7 +134,7 @@
     }
     placelessSinceNanos = 0;
     Choice.Send send = (Choice.Send) choice;
-    if (send.mustAsk()) {
+    if (send.needsPermit()) {
       askForLeave(send.node(), why);
     } else {
       send(send.node(), why);
@@ -205,8 +207,8 @@
     }
   }
 
-  private Demand demand() {
-    return runs > 0 ? request.demand().returning() : request.demand();
+  private DispatchRequest demand() {
+    return runs > 0 ? request.demand().asReturning() : request.demand();
   }
 
   private void send(Node node, String why) {
@@ -215,7 +217,7 @@
     attempt = sent;
     gateway.log().sent(request, node, why, runs + rejections);
     gateway.quarantine().sent(this);
-    sent.state.sent(System.nanoTime());
+    sent.state.requestSent(System.nanoTime());
     sent.exchange = gateway.client().send(node, outgoing(node), request.body(), sent);
   }
 
@@ -249,8 +251,8 @@
     if (over || running == null || !route.repeatable() || runs + 1 >= route.maxAttempts()) {
       return false;
     }
-    Choice choice = gateway.dispatcher().choose(request.demand().returning(), tried);
-    boolean surelyGoes = choice instanceof Choice.Send send && !send.mustAsk();
+    Choice choice = gateway.dispatcher().choose(request.demand().asReturning(), tried);
+    boolean surelyGoes = choice instanceof Choice.Send send && !send.needsPermit();
     if (!surelyGoes || !gateway.takeRepeat(request.demand().service())) {
       return false;
     }
@@ -371,7 +373,7 @@
     private final long sentNanos = System.nanoTime();
     private @Nullable ClientExchange exchange;
     private @Nullable HttpResponse head;
-    private @Nullable NodeAnswer said;
+    private @Nullable NodeResponse said;
     private boolean streaming;
     private boolean answerBegun;
     private boolean done;
@@ -394,16 +396,16 @@
 
     private void settle(boolean failed) {
       done = true;
-      state.ended(answerBegun, failed);
+      state.requestEnded(answerBegun, failed);
     }
 
     @Override
-    public void head(HttpResponse answer, NodeAnswer told) {
+    public void head(HttpResponse answer, NodeResponse told) {
       head = answer;
       said = told;
       boolean success = answer.getCode() >= SUCCESS && answer.getCode() < REDIRECT;
       streaming = streams() && success && isMine(answer);
-      state.progressed(System.nanoTime());
+      state.recordProgress(System.nanoTime());
     }
 
     private boolean isMine(HttpResponse answer) {
@@ -432,11 +434,11 @@
       gateway
           .streams()
           .sawEvent(node, state, now, answerBegun ? lastEventNanos : sentNanos, answerBegun);
-      state.progressed(now);
+      state.recordProgress(now);
       if (!answerBegun) {
         answerBegun = true;
-        state.began();
-        state.tookRequest();
+        state.responseStarted();
+        state.requestAccepted();
       }
       lastEventNanos = now;
       eventCount++;
@@ -456,7 +458,7 @@
     @Override
     public void end() {
       HttpResponse answer = head;
-      NodeAnswer told = said;
+      NodeResponse told = said;
       if (done || answer == null || told == null) {
         return;
       }
@@ -469,9 +471,9 @@
       }
     }
 
-    private void turnedAway(NodeAnswer told) {
+    private void turnedAway(NodeResponse told) {
       settle(false);
-      state.turnedAway(System.nanoTime());
+      state.requestRejected(System.nanoTime());
       gateway.log().rejected(request, node, told);
       retry("rejected with " + told.status(), false);
     }
@@ -491,13 +493,13 @@
       boolean mine = isMine(answer);
       int status = answer.getCode();
       settle(!mine || status >= SERVER_ERROR);
-      state.tookRequest();
+      state.requestAccepted();
       if (!mine) {
         retry("an answer that is not its own", true);
       } else if (begun || status >= SERVER_ERROR && mayTryAgain()) {
         retry("status " + status, true);
       } else {
-        state.progressed(System.nanoTime());
+        state.recordProgress(System.nanoTime());
         if (status < REDIRECT) {
           gateway.quarantine().answered(Forwarder.this);
         }
@@ -510,7 +512,7 @@
     private boolean mayTryAgain() {
       return request.route().repeatable()
           && runs + 1 < request.route().maxAttempts()
-          && gateway.dispatcher().choose(request.demand().returning(), tried)
+          && gateway.dispatcher().choose(request.demand().asReturning(), tried)
               instanceof Choice.Send;
     }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -16,13 +16,13 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.demand.EngineTimes;
-import org.fawnvale.serving.core.demand.OfferedWork;
+
 import org.fawnvale.serving.core.dispatch.Choice;
-import org.fawnvale.serving.core.dispatch.Demand;
+
 import org.fawnvale.serving.core.dispatch.Dispatcher;
 import org.fawnvale.serving.core.dispatch.RetryBudget;
-import org.fawnvale.serving.core.dispatch.ReturnTimes;
-import org.fawnvale.serving.core.dispatch.ReturningCallers;
+
+
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.EngineSpec;
 import org.fawnvale.serving.core.model.ModelSpec;
@@ -38,6 +38,10 @@
 import org.fawnvale.serving.spi.HeaderNames;
 import org.fawnvale.serving.spi.Platform;
 import org.jspecify.annotations.Nullable;
+import org.fawnvale.serving.core.demand.OfferedLoad;
+import org.fawnvale.serving.core.dispatch.CallerRetryDetector;
+import org.fawnvale.serving.core.dispatch.DispatchRequest;
+import org.fawnvale.serving.core.dispatch.RetryAfterPolicy;
 
 /** What all requests share: routes, upstreams, budget, and the requests under way. */
 public final class Gateway {
@@ -66,9 +70,9 @@
   private final RequestLog log;
   private final StreamMonitor streams;
   private final RequestQuarantine repeats;
-  private final OfferedWork offeredWork = new OfferedWork();
-  private final ReturningCallers returningCallers = new ReturningCallers();
-  private final ReturnTimes returnTimes = new ReturnTimes();
+  private final OfferedLoad offeredWork = new OfferedLoad();
+  private final CallerRetryDetector returningCallers = new CallerRetryDetector();
+  private final RetryAfterPolicy returnTimes = new RetryAfterPolicy();
   private final StartupRequestQueue early;
   private @Nullable RouteTable routes;
   private PermitRequester permitRequester = (node, told) -> told.accept(false);
@@ -243,7 +247,7 @@
   int retryAfterMillis(CallerRequest request, Set<String> tried) {
     long left = (request.untilNanos() - System.nanoTime()) / NANOS_PER_MILLI;
     return dispatcher.choose(request.demand(), tried) instanceof Choice.Refuse refuse
-        ? returnTimes.next(left, refuse.restNanos() / NANOS_PER_MILLI)
+        ? returnTimes.nextMillis(left, refuse.retryAfterNanos() / NANOS_PER_MILLI)
         : RETRY_AFTER_MILLIS;
   }
 
@@ -316,7 +320,7 @@
     Forwarder forwarder = new Forwarder(this, request, caller);
     running.add(forwarder);
     served = true;
-    budget(request.demand().service()).request(receivedNanos);
+    budget(request.demand().service()).recordRequest(receivedNanos);
     figures.received(request.route().name());
     forwarder.start();
     return forwarder;
@@ -324,13 +328,13 @@
 
   /** Callers that come back have been counted before. */
   private void noteOffered(CallerRequest request, Configuration configuration) {
-    Demand demand = request.demand();
+    DispatchRequest demand = request.demand();
     ServiceSpec service = configuration.services().get(demand.service());
     EngineSpec engine = service == null ? null : service.engine();
     ModelSpec model = engine == null ? null : engine.model(demand.model());
-    if (engine != null && model != null && demand.claim() == Demand.Claim.FIRST) {
+    if (engine != null && model != null && demand.admissionClass() == DispatchRequest.AdmissionClass.FIRST) {
       double work = EngineTimes.workMillis(engine, model, request.size());
-      offeredWork.offered(model.name(), work, request.receivedNanos());
+      offeredWork.record(model.name(), work, request.receivedNanos());
     }
   }
 
@@ -340,7 +344,7 @@
    * @return by model, how many groups it would keep busy
    */
   public Map<String, Double> offeredWork() {
-    return offeredWork.groupsKeptBusy(System.nanoTime());
+    return offeredWork.busyGroups(System.nanoTime());
   }
 
   private void answer(CallerResponse caller, @Nullable String id, int status, String reason) {
@@ -356,11 +360,11 @@
     caller.whole(status, headers, new byte[0]);
   }
 
-  private Demand demand(HttpRequest head, Route route) {
+  private DispatchRequest demand(HttpRequest head, Route route) {
     String model = Headers.value(head, headers().model());
-    boolean returning = returningCallers.isReturning(route.name(), patienceMillis(head, route));
-    Demand.Claim claim = returning ? Demand.Claim.RETURNING : Demand.Claim.FIRST;
-    return new Demand(service(route), model == null ? "" : model, claim);
+    boolean returning = returningCallers.isRetry(route.name(), patienceMillis(head, route));
+    DispatchRequest.AdmissionClass claim = returning ? DispatchRequest.AdmissionClass.RETURNING : DispatchRequest.AdmissionClass.FIRST;
+    return new DispatchRequest(service(route), model == null ? "" : model, claim);
   }
 
   /** How long the caller will wait; as long as its route allows when it does not say so. */
@@ -409,7 +413,7 @@
   }
 
   boolean takeRepeat(String service) {
-    boolean taken = budget(service).take(daemons, System.nanoTime());
+    boolean taken = budget(service).tryTake(daemons, System.nanoTime());
     figures.repeat(taken);
     return taken;
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestLog.java
@@ -5,10 +5,11 @@
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.dispatch.Dispatcher;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeAnswer;
+
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.http.ClientListener;
 import org.jspecify.annotations.Nullable;
+import org.fawnvale.serving.core.model.NodeResponse;
 
 /** Tells what happened to each request: one line and one figure for each decision. */
 final class RequestLog {
@@ -32,7 +33,7 @@
         request.route().name(),
         request.version(),
         why,
-        request.demand().claim(),
+        request.demand().admissionClass(),
         earlier,
         String.format(Locale.ROOT, "%.2f", dispatcher.load(node)));
   }
@@ -46,17 +47,17 @@
     }
   }
 
-  void rejected(CallerRequest request, Node node, NodeAnswer said) {
+  void rejected(CallerRequest request, Node node, NodeResponse said) {
     LOG.info(
         "request={} node={} status={} faulty={} rest_ms={} leaving={} outcome=not_run",
         request.id(),
         node.id(),
         said.status(),
         said.faultyNode(),
-        said.restMillis(),
+        said.retryAfterMillis(),
         said.leaving());
     if (isHead(node) && said.faultyNode() != null) {
-      dispatcher.state(node.id()).suspect(System.nanoTime());
+      dispatcher.state(node.id()).markSuspect(System.nanoTime());
     }
   }
 
@@ -73,7 +74,7 @@
         failure,
         cause.toString());
     if (isHead(node)) {
-      dispatcher.state(node.id()).suspect(System.nanoTime());
+      dispatcher.state(node.id()).markSuspect(System.nanoTime());
     }
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
@@ -154,7 +154,7 @@
     proofs.ask(
         node.endpoint(),
         hasEnded -> {
-          if (hasEnded && dispatcher.isNear(node)) {
+          if (hasEnded && dispatcher.isLocal(node)) {
             ended(fingerprint, node);
           } else if (hasEnded) {
             farEnds.addLast(new FarEnd(fingerprint, node, System.nanoTime() + FAR_NANOS));
@@ -164,7 +164,7 @@
   }
 
   private void ended(Fingerprint fingerprint, Node node) {
-    int ends = quarantine.ended(fingerprint, node.life(), System.nanoTime());
+    int ends = quarantine.ended(fingerprint, node.incarnation(), System.nanoTime());
     boolean barred = ends >= Quarantine.MOST_ENDS;
     figures.ended(barred);
     LOG.info("fingerprint={} node={} ends={} outcome=ended", fingerprint, node.id(), ends);
@@ -240,7 +240,7 @@
     long now = System.nanoTime();
     while (!farEnds.isEmpty() && farEnds.peekFirst().dueNanos() <= now) {
       FarEnd end = farEnds.removeFirst();
-      if (dispatcher.isInSight(end.node())) {
+      if (dispatcher.isReachable(end.node())) {
         ended(end.fingerprint(), end.node());
       }
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
@@ -9,8 +9,8 @@
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.limit.KnownLimits;
 import org.fawnvale.serving.core.limit.LimitNote;
-import org.fawnvale.serving.core.model.NodeLife;
-import org.fawnvale.serving.core.model.StatedLimit;
+import org.fawnvale.serving.core.model.AdvertisedLimit;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.jspecify.annotations.Nullable;
 
 /** Tells each change of a limit in the log, and counts them. */
@@ -51,7 +51,8 @@
    * @param change what was new
    * @param said the limit that the answer names; null when it names none
    */
-  public void answered(NodeLife life, KnownLimits.Change change, @Nullable StatedLimit said) {
+  public void answered(
+      NodeIncarnation life, KnownLimits.Change change, @Nullable AdvertisedLimit said) {
     if (change == KnownLimits.Change.NONE) {
       return;
     }
@@ -61,7 +62,7 @@
           "node={} written={} taken_for={} by=answer outcome={}. A decimal number of requests a"
               + " second is read, as 4 or 0.25.",
           life.id(),
-          said.written(),
+          said.text(),
           said.perSecond(),
           name(change));
       return;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
@@ -15,8 +15,8 @@
 import org.fawnvale.serving.core.limit.KnownLimits;
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeAnswer;
-import org.fawnvale.serving.core.model.NodeLife;
+import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.spi.Call;
 
 /**
@@ -31,7 +31,7 @@
   private final HttpClient client;
   private final Timers timers;
   private final UpstreamGate gate;
-  private final Function<HttpResponse, NodeAnswer> reader;
+  private final Function<HttpResponse, NodeResponse> reader;
   private final LimitLog limitLog;
   private final Counter rests;
   private final Counter leaves;
@@ -51,7 +51,7 @@
       HttpClient client,
       Timers timers,
       UpstreamGate gate,
-      Function<HttpResponse, NodeAnswer> reader,
+      Function<HttpResponse, NodeResponse> reader,
       MeterRegistry registry) {
     this.client = client;
     this.timers = timers;
@@ -61,7 +61,7 @@
     this.leaves = registry.counter("fawnvale.nodes.asked", "wish", "leaving");
     this.held = registry.counter("fawnvale.nodes.held");
     this.limitLog = new LimitLog(registry);
-    registry.gauge("fawnvale.nodes.resting", gate, known -> known.resting(System.nanoTime()));
+    registry.gauge("fawnvale.nodes.resting", gate, known -> known.pausedCount(System.nanoTime()));
   }
 
   /**
@@ -83,8 +83,8 @@
    * @return the exchange, which can be cancelled
    */
   public ClientExchange send(Node node, HttpRequest request, byte[] body, NodeListener listener) {
-    NodeLife life = node.life();
-    BooleanSupplier mayWrite = () -> gate.letThrough(node, System.nanoTime());
+    NodeIncarnation life = node.incarnation();
+    BooleanSupplier mayWrite = () -> gate.tryAcquire(node, System.nanoTime());
     return client.send(
         node.endpoint(),
         request,
@@ -103,9 +103,9 @@
    * @param done told once what came of it, while the guard is held
    */
   public void call(Node node, Call call, long timeoutMillis, Consumer<WholeCall.Reply> done) {
-    NodeLife life = node.life();
+    NodeIncarnation life = node.incarnation();
     Endpoint endpoint = node.endpoint();
-    BooleanSupplier mayWrite = () -> !gate.rests(life, System.nanoTime());
+    BooleanSupplier mayWrite = () -> !gate.isPaused(life, System.nanoTime());
     WholeCall.Sender sender =
         (request, body, whole) ->
             client.send(
@@ -136,13 +136,13 @@
     client.distrust(endpoint);
   }
 
-  private void hear(NodeLife life, NodeAnswer said) {
-    switch (gate.hear(life, said, System.nanoTime())) {
-      case RESTS -> {
+  private void hear(NodeIncarnation life, NodeResponse said) {
+    switch (gate.recordResponse(life, said, System.nanoTime())) {
+      case PAUSED -> {
         rests.increment();
-        LOG.info("node={} rest_ms={} outcome=rests", life.id(), said.restMillis());
+        LOG.info("node={} rest_ms={} outcome=rests", life.id(), said.retryAfterMillis());
       }
-      case LEAVES -> {
+      case LEAVING -> {
         leaves.increment();
         LOG.info("node={} by=answer outcome=leaves", life.id());
         onLeaving.run();
@@ -155,16 +155,16 @@
 
   /** Tells the gate what an answer says before its receiver decides anything. */
   private final class Hearing implements ClientListener {
-    private final NodeLife life;
+    private final NodeIncarnation life;
     private final AnswerListener receiver;
-    private final BiConsumer<HttpResponse, NodeAnswer> headReceiver;
+    private final BiConsumer<HttpResponse, NodeResponse> headReceiver;
     private final boolean isCallers;
     private final int limitStamp;
 
     Hearing(
-        NodeLife life,
+        NodeIncarnation life,
         AnswerListener receiver,
-        BiConsumer<HttpResponse, NodeAnswer> headReceiver,
+        BiConsumer<HttpResponse, NodeResponse> headReceiver,
         boolean isCallers) {
       this.life = life;
       this.receiver = receiver;
@@ -175,13 +175,13 @@
 
     @Override
     public void head(HttpResponse answer) {
-      NodeAnswer said = reader.apply(answer);
+      NodeResponse said = reader.apply(answer);
       hear(life, said);
       hearLimit(said);
       headReceiver.accept(answer, said);
     }
 
-    private void hearLimit(NodeAnswer said) {
+    private void hearLimit(NodeResponse said) {
       KnownLimits.Change change =
           gate.limits().hear(life, said, limitStamp, isCallers, System.nanoTime());
       limitLog.answered(life, change, said.limit());
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/UpstreamSelectorTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/UpstreamSelectorTest.java
@@ -11,11 +11,12 @@
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.ModelSpec;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeLife;
+
 import org.fawnvale.serving.core.model.RequestSize;
 import org.fawnvale.serving.core.model.ServiceSpec;
 import org.fawnvale.serving.core.peer.PeerNote;
 import org.junit.jupiter.api.Test;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 
 /** Which heads are sent requests, by the list and by the leader's word. */
 class UpstreamSelectorTest {
@@ -44,7 +45,7 @@
 
   private static Node member(String id, int rank, MemberState state) {
     return new Node(
-        NodeLife.only(id),
+        NodeIncarnation.only(id),
         "engines",
         new Endpoint("10.0.0.1", 1),
         "here",
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
@@ -7,9 +7,9 @@
 import org.fawnvale.serving.core.formation.NodeReport;
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeAnswer;
+
 import org.fawnvale.serving.core.model.RequestSize;
-import org.fawnvale.serving.core.model.StatedLimit;
+
 import org.fawnvale.serving.core.quarantine.KeptRecord;
 import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePlace;
@@ -17,6 +17,8 @@
 import org.fawnvale.serving.spi.HeaderNames;
 import org.fawnvale.serving.spi.Page;
 import org.fawnvale.serving.spi.Platform;
+import org.fawnvale.serving.core.model.AdvertisedLimit;
+import org.fawnvale.serving.core.model.NodeResponse;
 
 /** A platform with names of its own: the gateway knows none but those it is given. */
 final class TestPlatform implements Platform {
@@ -113,15 +115,15 @@
   }
 
   @Override
-  public NodeAnswer answer(HttpResponse head) {
+  public NodeResponse answer(HttpResponse head) {
     Header rest = head.getFirstHeader("T-Rest-Ms");
     Header limit = head.getFirstHeader("T-Limit");
-    return new NodeAnswer(
+    return new NodeResponse(
         head.getCode(),
         head.containsHeader("T-Not-Run"),
         head.containsHeader("T-Leaving"),
         rest == null ? 0 : Long.parseLong(rest.getValue()),
         null,
-        limit == null ? null : StatedLimit.of(Double.parseDouble(limit.getValue()), "told"));
+        limit == null ? null : AdvertisedLimit.of(Double.parseDouble(limit.getValue()), "told"));
   }
 }
