--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/PlanPacing.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/PlanPacing.java
@@ -1,6 +1,6 @@
 package org.fawnvale.serving.core.formation;
 
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 
 /**
  * When the leader plans. A plan looks at every node, 4 ms at 1,000 of them; made every 50 ms it
@@ -12,7 +12,7 @@
   private static final long LONGEST_REST_NANOS = 200_000_000L;
 
   private boolean answersCame;
-  private StorePlace planned = StorePlace.NONE;
+  private StorePosition planned = StorePosition.NONE;
   private long plannedNanos = Long.MIN_VALUE / 2;
 
   /** Notes that a node has answered an order or a question. */
@@ -28,7 +28,7 @@
    * @param now the steady time, in nanoseconds
    * @return true when a plan may differ from the last one
    */
-  public boolean isDue(StorePlace nodes, boolean busy, long now) {
+  public boolean isDue(StorePosition nodes, boolean busy, long now) {
     boolean changed = answersCame || !nodes.equals(planned);
     boolean due = busy || changed || now - plannedNanos >= LONGEST_REST_NANOS;
     if (due) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -33,7 +33,7 @@
    * @param listedAt the place of its entry in the copy that the store came back from
    * @param sinceNanos when this daemon saw that the store had gone back
    */
-  private record Held(@Nullable Node known, StorePlace listedAt, long sinceNanos) {}
+  private record Held(@Nullable Node known, StorePosition listedAt, long sinceNanos) {}
 
   /**
    * Takes note that the store has gone back.
@@ -48,7 +48,7 @@
       Map<String, Node> known,
       Set<String> gone,
       Map<String, Node> listed,
-      Map<String, StorePlace> places,
+      Map<String, StorePosition> places,
       long nowNanos) {
     Map<String, Held> before = new HashMap<>(held);
     held.clear();
@@ -87,7 +87,7 @@
    * @return the nodes as they are to be taken
    */
   public Collection<Node> complete(
-      Map<String, Node> listed, Map<String, StorePlace> places, long answeredNanos) {
+      Map<String, Node> listed, Map<String, StorePosition> places, long answeredNanos) {
     if (held.isEmpty()) {
       return listed.values();
     }
@@ -104,7 +104,7 @@
     return completed;
   }
 
-  private static boolean isWritten(Held entry, @Nullable StorePlace place) {
+  private static boolean isWritten(Held entry, @Nullable StorePosition place) {
     return place == null || !place.equals(entry.listedAt());
   }
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/EraRule.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/EraRule.java
@@ -35,12 +35,12 @@
    * @param told the era in which it was given
    * @param shown the place that the copy shows
    * @param asked the place since which changes were asked for, which the copy may have left since:
-   *     another daemon's may have taken its place; {@link StorePlace#NONE} for a list, which is
+   *     another daemon's may have taken its place; {@link StorePosition#NONE} for a list, which is
    *     whole by itself
    * @param nowNanos the steady time
    * @return what is to be done with it
    */
-  public Verdict judge(StoreEra told, StorePlace shown, StorePlace asked, long nowNanos) {
+  public Verdict judge(StoreEra told, StorePosition shown, StorePosition asked, long nowNanos) {
     boolean isList = !asked.isKnown();
     if (!shown.isKnown() || shown.era().equals(told)) {
       earlierSinceNanos = NOT_SINCE;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StorePlace.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StorePosition.java
@@ -8,10 +8,10 @@
  * @param era the history
  * @param revision how far in that history; for the platform's calls only, never to be compared
  */
-public record StorePlace(StoreEra era, long revision) {
+public record StorePosition(StoreEra era, long revision) {
 
   /** Before anything is known. */
-  public static final StorePlace NONE = new StorePlace(StoreEra.UNTOLD, -1);
+  public static final StorePosition NONE = new StorePosition(StoreEra.UNTOLD, -1);
 
   /**
    * Tells whether this is a place at all.
@@ -28,7 +28,7 @@
    * @param other the other one
    * @return true when what is known here is newer
    */
-  public boolean isAfter(StorePlace other) {
+  public boolean isAfter(StorePosition other) {
     if (!isKnown() || !other.isKnown()) {
       return isKnown();
     }
@@ -41,7 +41,7 @@
    * @param other the other one
    * @return false when one of them is of another history, or no place at all
    */
-  public boolean sharesEraOf(StorePlace other) {
+  public boolean sharesEraOf(StorePosition other) {
     return isKnown() && other.isKnown() && era.equals(other.era);
   }
 
@@ -51,7 +51,7 @@
    * @param other the other one
    * @return this place, unless the other one is after it
    */
-  public StorePlace orLater(StorePlace other) {
+  public StorePosition orLater(StorePosition other) {
     return other.isAfter(this) ? other : this;
   }
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/PlanPacingTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/PlanPacingTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.junit.jupiter.api.Test;
 
 /** The leader plans when something has changed, and now and then. */
@@ -14,8 +14,8 @@
 
   private final PlanPacing pacing = new PlanPacing();
 
-  private static StorePlace at(long revision) {
-    return new StorePlace(StoreEra.UNTOLD, revision);
+  private static StorePosition at(long revision) {
+    return new StorePosition(StoreEra.UNTOLD, revision);
   }
 
   private int plans(int ticks, boolean busy) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
@@ -12,7 +12,7 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeLife;
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.junit.jupiter.api.Test;
 
 /** What was known of nodes before the store went back, until they write again. */
@@ -24,7 +24,7 @@
   private final RestoredNodes restored = new RestoredNodes();
   private final Map<String, Node> known = new LinkedHashMap<>();
   private final Map<String, Node> listed = new LinkedHashMap<>();
-  private final Map<String, StorePlace> places = new LinkedHashMap<>();
+  private final Map<String, StorePosition> places = new LinkedHashMap<>();
 
   private static Node node(String id, long started) {
     return new Node(
@@ -46,7 +46,7 @@
 
   private void list(Node node, long revision) {
     listed.put(node.id(), node);
-    places.put(node.id(), new StorePlace(new StoreEra(2), revision));
+    places.put(node.id(), new StorePosition(new StoreEra(2), revision));
   }
 
   private void know(Node node) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/ReturningStore.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/ReturningStore.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 
 /**
  * What the store lists while it goes back, again and again, to a copy of up to eight seconds ago:
@@ -29,7 +29,7 @@
 
   private final Random random;
   private final Deque<Map<String, Node>> past = new ArrayDeque<>();
-  private final Map<String, StorePlace> places = new HashMap<>();
+  private final Map<String, StorePosition> places = new HashMap<>();
   private final Map<String, Long> writesAgainAt = new HashMap<>();
   private Map<String, Node> copy = Map.of();
   private Map<String, Node> shown = Map.of();
@@ -68,9 +68,9 @@
     copy.keySet().forEach(id -> places.put(id, nextPlace()));
   }
 
-  private StorePlace nextPlace() {
+  private StorePosition nextPlace() {
     revision++;
-    return new StorePlace(new StoreEra(era), revision);
+    return new StorePosition(new StoreEra(era), revision);
   }
 
   private void show(Map<String, Node> present, long now) {
@@ -103,7 +103,7 @@
   }
 
   /** The place of each listed entry, by id. */
-  Map<String, StorePlace> places() {
+  Map<String, StorePosition> places() {
     return places;
   }
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/EraRuleTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/EraRuleTest.java
@@ -8,7 +8,7 @@
 class EraRuleTest {
 
   private static final long SECOND = 1_000_000_000L;
-  private static final StorePlace SHOWN = new StorePlace(new StoreEra(4), 120);
+  private static final StorePosition SHOWN = new StorePosition(new StoreEra(4), 120);
 
   private final EraRule rule = new EraRule();
 
@@ -17,7 +17,7 @@
   }
 
   private EraRule.Verdict list(long era, long atNanos) {
-    return rule.judge(new StoreEra(era), SHOWN, StorePlace.NONE, atNanos);
+    return rule.judge(new StoreEra(era), SHOWN, StorePosition.NONE, atNanos);
   }
 
   @Test
@@ -28,7 +28,7 @@
 
   @Test
   void theFirstAnswerIsTakenWhateverItsHistory() {
-    assertThat(rule.judge(new StoreEra(9), StorePlace.NONE, StorePlace.NONE, 0))
+    assertThat(rule.judge(new StoreEra(9), StorePosition.NONE, StorePosition.NONE, 0))
         .isEqualTo(EraRule.Verdict.TAKE);
   }
 
@@ -42,7 +42,7 @@
   /** The copy of another daemon came in the meantime, and the call was made before. */
   @Test
   void changesSinceAPlaceOfAnEarlierHistoryLeadToAListThoughTheCopyShowsTheLaterOne() {
-    StorePlace asked = new StorePlace(new StoreEra(3), 130);
+    StorePosition asked = new StorePosition(new StoreEra(3), 130);
     assertThat(rule.judge(new StoreEra(4), SHOWN, asked, 0)).isEqualTo(EraRule.Verdict.LIST_ANEW);
   }
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/StorePlaceTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/StorePositionTest.java
@@ -5,10 +5,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Which of two places in the store's history is the later one. */
-class StorePlaceTest {
+class StorePositionTest {
 
-  private static StorePlace place(long era, long revision) {
-    return new StorePlace(new StoreEra(era), revision);
+  private static StorePosition place(long era, long revision) {
+    return new StorePosition(new StoreEra(era), revision);
   }
 
   @Test
@@ -27,10 +27,10 @@
 
   @Test
   void anyPlaceIsAfterNone() {
-    assertThat(place(0, 0).isAfter(StorePlace.NONE)).isTrue();
-    assertThat(StorePlace.NONE.isAfter(place(0, 0))).isFalse();
-    assertThat(StorePlace.NONE.isAfter(StorePlace.NONE)).isFalse();
-    assertThat(StorePlace.NONE.sharesEraOf(StorePlace.NONE)).isFalse();
-    assertThat(StorePlace.NONE.orLater(place(3, 4))).isEqualTo(place(3, 4));
+    assertThat(place(0, 0).isAfter(StorePosition.NONE)).isTrue();
+    assertThat(StorePosition.NONE.isAfter(place(0, 0))).isFalse();
+    assertThat(StorePosition.NONE.isAfter(StorePosition.NONE)).isFalse();
+    assertThat(StorePosition.NONE.sharesEraOf(StorePosition.NONE)).isFalse();
+    assertThat(StorePosition.NONE.orLater(place(3, 4))).isEqualTo(place(3, 4));
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
@@ -20,7 +20,7 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.Settings;
 import org.fawnvale.serving.core.peer.PeerNote;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.http.NodeClient;
 import org.fawnvale.serving.peer.Peers;
 import org.fawnvale.serving.spi.Platform;
@@ -88,7 +88,7 @@
    * @param suspected whether any daemon holds a head to be standing still
    * @return true when a plan may differ from the last one
    */
-  public boolean isDue(StorePlace shown, boolean suspected) {
+  public boolean isDue(StorePosition shown, boolean suspected) {
     GroupPlanner current = planner;
     boolean busy = suspected || current == null || current.isBusy();
     return pacing.isDue(shown, busy, System.nanoTime());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PlaceCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PlaceCodec.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import org.fawnvale.serving.core.watch.CopyPlaces;
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
 
@@ -18,19 +18,19 @@
     write(packer, places.nodes());
   }
 
-  private static void write(MessageBufferPacker packer, StorePlace place) throws IOException {
+  private static void write(MessageBufferPacker packer, StorePosition place) throws IOException {
     packer.packLong(place.era().number());
     packer.packLong(place.revision());
   }
 
   static CopyPlaces read(MessageUnpacker in) throws IOException {
-    StorePlace configuration = readPlace(in);
+    StorePosition configuration = readPlace(in);
     long version = in.unpackLong();
     return new CopyPlaces(configuration, version, readPlace(in));
   }
 
-  private static StorePlace readPlace(MessageUnpacker in) throws IOException {
+  private static StorePosition readPlace(MessageUnpacker in) throws IOException {
     StoreEra era = new StoreEra(in.unpackLong());
-    return new StorePlace(era, in.unpackLong());
+    return new StorePosition(era, in.unpackLong());
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Page.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Page.java
@@ -1,7 +1,7 @@
 package org.fawnvale.serving.spi;
 
 import java.util.List;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 
 /**
  * A page of a list, or the events of a watch.
@@ -12,7 +12,7 @@
  * @param place the store's place in its history
  * @param <T> the type of the items
  */
-public record Page<T>(List<Item<T>> items, boolean more, String lastName, StorePlace place) {
+public record Page<T>(List<Item<T>> items, boolean more, String lastName, StorePosition place) {
 
   /**
    * One object.
@@ -24,5 +24,5 @@
    * @param <T> the type of the content
    */
   public record Item<T>(
-      String name, StorePlace place, boolean deleted, @org.jspecify.annotations.Nullable T value) {}
+      String name, StorePosition place, boolean deleted, @org.jspecify.annotations.Nullable T value) {}
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
@@ -11,7 +11,7 @@
 import org.fawnvale.serving.core.model.RequestSize;
 import org.fawnvale.serving.core.quarantine.KeptRecord;
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 
 /** Names, formats and calls of a platform. An adapter decides nothing. */
 public interface Platform {
@@ -67,7 +67,7 @@
    * @param waitMillis how long the store may wait for one
    * @return the call
    */
-  Call watch(Kind kind, StorePlace place, int waitMillis);
+  Call watch(Kind kind, StorePosition place, int waitMillis);
 
   /**
    * Reads from an answer of the store which of its histories it was given in.
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/Copy.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/Copy.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 
 /**
  * Objects of one kind, as one daemon gives them to another: all of them, or what has changed since
@@ -17,9 +17,9 @@
  * @param <T> the type of the objects
  */
 record Copy<T>(
-    StorePlace place,
-    StorePlace newest,
+    StorePosition place,
+    StorePosition newest,
     boolean whole,
     Map<String, T> objects,
-    Map<String, StorePlace> places,
+    Map<String, StorePosition> places,
     List<String> removed) {}
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/EraChange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/EraChange.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import java.util.Set;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 
 /**
  * The store has begun another history, and a copy shows it now.
@@ -14,4 +14,4 @@
  * @param <T> the type of the objects
  */
 public record EraChange<T>(
-    StorePlace before, StorePlace now, Map<String, T> known, Set<String> removed) {}
+    StorePosition before, StorePosition now, Map<String, T> known, Set<String> removed) {}
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/ObjectTable.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/ObjectTable.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.spi.Page;
 
 /**
@@ -36,15 +36,15 @@
   private final Unreadable unreadable;
   private final Succession<T> succession;
   private final Map<String, T> objects = new LinkedHashMap<>();
-  private final Map<String, StorePlace> places = new LinkedHashMap<>();
-  private final Map<String, StorePlace> removals = new LinkedHashMap<>();
+  private final Map<String, StorePosition> places = new LinkedHashMap<>();
+  private final Map<String, StorePosition> removals = new LinkedHashMap<>();
   private Consumer<EraChange<T>> eraListener = change -> {};
 
   /** Removals after this place are known; no list has come before it does. */
-  private StorePlace removalsKnownSince = StorePlace.NONE;
+  private StorePosition removalsKnownSince = StorePosition.NONE;
 
-  private StorePlace place = StorePlace.NONE;
-  private StorePlace newest = StorePlace.NONE;
+  private StorePosition place = StorePosition.NONE;
+  private StorePosition newest = StorePosition.NONE;
   private long changes;
 
   ObjectTable(String kind, Unreadable unreadable, Succession<T> succession) {
@@ -63,12 +63,12 @@
   }
 
   /** The place of the last change of each object, by name. */
-  Map<String, StorePlace> places() {
+  Map<String, StorePosition> places() {
     return places;
   }
 
   /** The place in the store's history that the table shows. */
-  StorePlace place() {
+  StorePosition place() {
     return place;
   }
 
@@ -78,7 +78,7 @@
   }
 
   /** The place of the newest change in the table. */
-  StorePlace newest() {
+  StorePosition newest() {
     return newest;
   }
 
@@ -89,7 +89,7 @@
    * @param listed the store's place when the list began
    * @return false when the table already shows a later place of the same history
    */
-  boolean replace(Map<String, Page.Item<T>> items, StorePlace listed) {
+  boolean replace(Map<String, Page.Item<T>> items, StorePosition listed) {
     changes++;
     if (place.sharesEraOf(listed) && place.isAfter(listed)) {
       return false;
@@ -105,7 +105,7 @@
   }
 
   /** Makes a change that may begin another history for this table. */
-  private void inEraOf(StorePlace told, Runnable change) {
+  private void inEraOf(StorePosition told, Runnable change) {
     boolean begins = place.isKnown() && !place.sharesEraOf(told);
     if (!begins) {
       change.run();
@@ -114,8 +114,8 @@
     EraChange<T> era =
         new EraChange<>(place, told, Map.copyOf(objects), Set.copyOf(removals.keySet()));
     removals.clear();
-    removalsKnownSince = StorePlace.NONE;
-    newest = StorePlace.NONE;
+    removalsKnownSince = StorePosition.NONE;
+    newest = StorePosition.NONE;
     change.run();
     eraListener.accept(era);
   }
@@ -184,7 +184,7 @@
    * @param since the place that the other one's copy shows
    * @return what has changed since, or all when that is not known
    */
-  Copy<T> copySince(StorePlace since) {
+  Copy<T> copySince(StorePosition since) {
     boolean removalsKnown =
         since.sharesEraOf(removalsKnownSince) && !removalsKnownSince.isAfter(since);
     if (!removalsKnown) {
@@ -192,7 +192,7 @@
           place, newest, true, new LinkedHashMap<>(objects), Map.copyOf(places), List.of());
     }
     Map<String, T> changed = new LinkedHashMap<>();
-    Map<String, StorePlace> changedAt = new LinkedHashMap<>();
+    Map<String, StorePosition> changedAt = new LinkedHashMap<>();
     places.forEach(
         (name, at) -> {
           if (at.isAfter(since)) {
@@ -210,7 +210,7 @@
     return new Copy<>(place, newest, false, changed, changedAt, removed);
   }
 
-  private void retain(Set<String> names, StorePlace at) {
+  private void retain(Set<String> names, StorePosition at) {
     for (Map.Entry<String, T> known : List.copyOf(objects.entrySet())) {
       if (!names.contains(known.getKey()) && !succession.keeps(known.getValue(), null)) {
         remove(known.getKey(), at);
@@ -221,7 +221,7 @@
     }
   }
 
-  private void remove(String name, StorePlace at) {
+  private void remove(String name, StorePosition at) {
     newest = newest.orLater(at);
     objects.remove(name);
     places.remove(name);
@@ -251,8 +251,8 @@
     }
   }
 
-  private void put(String name, StorePlace at, T value) {
-    StorePlace known = places.getOrDefault(name, StorePlace.NONE);
+  private void put(String name, StorePosition at, T value) {
+    StorePosition known = places.getOrDefault(name, StorePosition.NONE);
     if (known.sharesEraOf(at) && known.isAfter(at)) {
       return;
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopies.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopies.java
@@ -11,7 +11,7 @@
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.watch.CopyTimes;
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
 import org.fawnvale.serving.http.WholeCall;
@@ -57,7 +57,7 @@
   private static final class Codec {
     static final ObjectMapper MAPPER =
         new ObjectMapper(new MessagePackFactory())
-            .addMixIn(StorePlace.class, AsArray.class)
+            .addMixIn(StorePosition.class, AsArray.class)
             .addMixIn(StoreEra.class, AsArray.class);
   }
 
@@ -107,7 +107,7 @@
    * @param goesBefore whether it holds what goes before this daemon's, though the store does not
    *     show it any more
    */
-  public record Told(String address, boolean isNear, StorePlace newest, boolean goesBefore) {}
+  public record Told(String address, boolean isNear, StorePosition newest, boolean goesBefore) {}
 
   /**
    * Hears of a peer's copy. Where it shows a later history of the store, a daemon that watches asks
@@ -138,7 +138,7 @@
   private void fetch(Told told) {
     if (isWanted(told) && pacing.take(System.nanoTime())) {
       Endpoint peer = new Endpoint(told.address(), port);
-      StorePlace since = told.goesBefore() ? StorePlace.NONE : watch.place();
+      StorePosition since = told.goesBefore() ? StorePosition.NONE : watch.place();
       Call question = Call.get(path + SINCE + PlaceText.write(since));
       WholeCall.send(client, timers, peer, question, FETCH_MILLIS, this::take);
     }
@@ -182,7 +182,7 @@
       return given.copy();
     }
     try {
-      StorePlace since = PlaceText.read(target.substring(path.length() + SINCE.length()));
+      StorePosition since = PlaceText.read(target.substring(path.length() + SINCE.length()));
       byte[] copy = Codec.MAPPER.writeValueAsBytes(watch.copySince(since));
       given = new Given(target, watch.changes(), copy);
       return copy;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PlaceText.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PlaceText.java
@@ -1,7 +1,7 @@
 package org.fawnvale.serving.store;
 
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 
 /** A place in the store's history as text, for the questions that daemons ask each other. */
 final class PlaceText {
@@ -11,7 +11,7 @@
 
   private PlaceText() {}
 
-  static String write(StorePlace place) {
+  static String write(StorePosition place) {
     return place.isKnown() ? place.era().number() + SEPARATOR + place.revision() : NONE;
   }
 
@@ -20,15 +20,15 @@
    *
    * @throws NumberFormatException when the text names none
    */
-  static StorePlace read(String text) {
+  static StorePosition read(String text) {
     if (NONE.equals(text)) {
-      return StorePlace.NONE;
+      return StorePosition.NONE;
     }
     int separator = text.indexOf(SEPARATOR);
     if (separator < 0) {
       throw new NumberFormatException("A place is written as 3.120 or none, not as " + text + ".");
     }
     StoreEra era = new StoreEra(Long.parseLong(text.substring(0, separator)));
-    return new StorePlace(era, Long.parseLong(text.substring(separator + 1)));
+    return new StorePosition(era, Long.parseLong(text.substring(separator + 1)));
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
@@ -11,7 +11,7 @@
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.watch.EraRule;
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
 import org.fawnvale.serving.http.WholeCall;
@@ -65,7 +65,7 @@
   private final ObjectTable<T> table;
   private final EraRule eraRule = new EraRule();
   private Map<String, Page.Item<T>> listing = new LinkedHashMap<>();
-  private StorePlace listingPlace = StorePlace.NONE;
+  private StorePosition listingPlace = StorePosition.NONE;
   private boolean active = true;
   private boolean reachable = true;
   private long failedAtNanos = Long.MIN_VALUE / 2;
@@ -199,9 +199,9 @@
    * The place of the newest change in the copy; unlike the store's own it does not move with other
    * kinds.
    *
-   * @return the place; {@link StorePlace#NONE} before the first list
+   * @return the place; {@link StorePosition#NONE} before the first list
    */
-  public StorePlace newest() {
+  public StorePosition newest() {
     return table.newest();
   }
 
@@ -219,16 +219,16 @@
    *
    * @return the places by name
    */
-  public Map<String, StorePlace> places() {
+  public Map<String, StorePosition> places() {
     return table.places();
   }
 
   /**
    * The store's place that the copy shows.
    *
-   * @return the place; {@link StorePlace#NONE} before the first list
+   * @return the place; {@link StorePosition#NONE} before the first list
    */
-  public StorePlace place() {
+  public StorePosition place() {
     return table.place();
   }
 
@@ -303,19 +303,19 @@
   }
 
   /** What has changed in this daemon's copy since a place. */
-  Copy<T> copySince(StorePlace since) {
+  Copy<T> copySince(StorePosition since) {
     return table.copySince(since);
   }
 
   private void list(String afterName, int ofRound) {
     if (afterName.isEmpty()) {
       listing = new LinkedHashMap<>();
-      listingPlace = StorePlace.NONE;
+      listingPlace = StorePosition.NONE;
     }
     boolean mayBeOld = firstMayBeOld && !place().isKnown();
     call(
         platform.list(kind, afterName, mayBeOld),
-        StorePlace.NONE,
+        StorePosition.NONE,
         StoreFigures.Reason.LIST,
         LIST_MILLIS,
         ofRound,
@@ -324,7 +324,7 @@
 
   private void call(
       Call call,
-      StorePlace asked,
+      StorePosition asked,
       StoreFigures.Reason reason,
       int timeoutMillis,
       int ofRound,
@@ -343,7 +343,7 @@
   }
 
   private void replied(
-      WholeCall.Reply reply, StorePlace asked, StoreFigures.Reason reason, Consumer<Page<T>> good) {
+      WholeCall.Reply reply, StorePosition asked, StoreFigures.Reason reason, Consumer<Page<T>> good) {
     if (!(reply instanceof WholeCall.Answered answer) || answer.status() != OK) {
       failed(reply, reason);
       return;
@@ -368,7 +368,7 @@
     if (page == null) {
       return;
     }
-    StorePlace before = newest();
+    StorePosition before = newest();
     good.accept(page);
     boolean isList = reason == StoreFigures.Reason.LIST;
     boolean news = isList || newest().isAfter(before);
@@ -505,7 +505,7 @@
   }
 
   private void watch(int ofRound, StoreFigures.Reason reason, int waitMillis) {
-    StorePlace since = place();
+    StorePosition since = place();
     call(
         platform.watch(kind, since, waitMillis),
         since,
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
@@ -12,7 +12,7 @@
 import org.fawnvale.serving.core.model.StatedLimit;
 import org.fawnvale.serving.core.quarantine.KeptRecord;
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.spi.Call;
 import org.fawnvale.serving.spi.HeaderNames;
 import org.fawnvale.serving.spi.Page;
@@ -53,7 +53,7 @@
   }
 
   @Override
-  public Call watch(Kind kind, StorePlace place, int waitMillis) {
+  public Call watch(Kind kind, StorePosition place, int waitMillis) {
     throw new UnsupportedOperationException("This test has no store.");
   }
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
@@ -16,7 +16,7 @@
 import org.fawnvale.serving.core.quarantine.RequestRecord;
 import org.fawnvale.serving.core.watch.CopyPlaces;
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.junit.jupiter.api.Test;
 
 /** A note comes out as it went in. */
@@ -40,7 +40,7 @@
               List.of("n7"),
               List.of(new PeerNote.ServingGroup("n2", "g", 8, "m")),
               List.of("n3@9")),
-          new CopyPlaces(new StorePlace(new StoreEra(3), 5), 28, StorePlace.NONE),
+          new CopyPlaces(new StorePosition(new StoreEra(3), 5), 28, StorePosition.NONE),
           List.of("127.0.0.2"),
           List.of(
               new DataCentreDigest(
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/ObjectTableTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/ObjectTableTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Random;
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.spi.Page;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -35,8 +35,8 @@
     return new ObjectTable<>("nodes", ObjectTable.Unreadable.NAMES_NOTHING, Succession.ofStore());
   }
 
-  private StorePlace at(long ofRevision) {
-    return new StorePlace(new StoreEra(era), ofRevision);
+  private StorePosition at(long ofRevision) {
+    return new StorePosition(new StoreEra(era), ofRevision);
   }
 
   private Page.Item<String> changeOne(Random random) {
@@ -102,7 +102,7 @@
   void anOlderCopyChangesNothing(long seed) {
     Random random = new Random(seed);
     list(random);
-    Copy<String> old = watcher.copySince(StorePlace.NONE);
+    Copy<String> old = watcher.copySince(StorePosition.NONE);
     watch(random);
     list(random);
     tell(watcher, follower);
@@ -155,7 +155,7 @@
         watch(random);
       }
       tell(watcher, follower);
-      Copy<String> ofLostHistory = follower.copySince(StorePlace.NONE);
+      Copy<String> ofLostHistory = follower.copySince(StorePosition.NONE);
       goBack(copy, copyRevisions, copied);
       for (int again = random.nextInt(8); again > 0; again--) {
         changeOne(random);
@@ -213,7 +213,7 @@
     knows.replace(Map.of(), at(4));
     startsAgain.replace(Map.of(), at(4));
     assertThat(knows.objects()).containsEntry("main", "version 5");
-    assertThat(startsAgain.merge(knows.copySince(StorePlace.NONE))).isTrue();
+    assertThat(startsAgain.merge(knows.copySince(StorePosition.NONE))).isTrue();
     assertThat(startsAgain.objects()).containsEntry("main", "version 5");
   }
 
@@ -230,7 +230,7 @@
     knows.replace(shown, at(4));
     beganLater.replace(shown, at(4));
     assertThat(knows.objects()).containsEntry("main", "version 5");
-    assertThat(beganLater.merge(knows.copySince(StorePlace.NONE))).isTrue();
+    assertThat(beganLater.merge(knows.copySince(StorePosition.NONE))).isTrue();
     assertThat(beganLater.objects()).containsEntry("main", "version 5");
     knows.change(page(new Page.Item<>("main", at(5), false, "version 6"), 5));
     assertThat(knows.objects()).containsEntry("main", "version 6");
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/PlaceTextTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/PlaceTextTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -14,9 +14,9 @@
 
   @Test
   void whatIsWrittenIsRead() {
-    StorePlace place = new StorePlace(new StoreEra(3), 120);
+    StorePosition place = new StorePosition(new StoreEra(3), 120);
     assertThat(PlaceText.read(PlaceText.write(place))).isEqualTo(place);
-    assertThat(PlaceText.read(PlaceText.write(StorePlace.NONE))).isEqualTo(StorePlace.NONE);
+    assertThat(PlaceText.read(PlaceText.write(StorePosition.NONE))).isEqualTo(StorePosition.NONE);
   }
 
   @ParameterizedTest
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/SmallWorld.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/SmallWorld.java
@@ -9,7 +9,7 @@
 import java.util.function.Predicate;
 import org.fawnvale.serving.core.watch.EraRule;
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.spi.Page;
 import org.jspecify.annotations.Nullable;
 
@@ -80,7 +80,7 @@
    * @param asked the place since which changes were asked for; none for a list
    * @param page null when the store does not have that place
    */
-  private record Answer(StorePlace at, StorePlace asked, @Nullable Page<Integer> page) {}
+  private record Answer(StorePosition at, StorePosition asked, @Nullable Page<Integer> page) {}
 
   private final Set<Flaw> flaws;
   private final EraRule rule = new EraRule();
@@ -117,8 +117,8 @@
     return history.get(history.size() - 1);
   }
 
-  private StorePlace at(long revision) {
-    return new StorePlace(new StoreEra(flaws.contains(Flaw.ERAS_IGNORED) ? 1 : era), revision);
+  private StorePosition at(long revision) {
+    return new StorePosition(new StoreEra(flaws.contains(Flaw.ERAS_IGNORED) ? 1 : era), revision);
   }
 
   /** Lets something happen; false when it can't. */
@@ -156,7 +156,7 @@
 
   private boolean storeLists() {
     Page<Integer> page = new Page<>(items(now()), false, "", at(now().revision()));
-    list = new Answer(page.place(), StorePlace.NONE, page);
+    list = new Answer(page.place(), StorePosition.NONE, page);
     return true;
   }
 
@@ -184,7 +184,7 @@
   }
 
   private boolean storeTellsChanges() {
-    StorePlace asked = watcher.place();
+    StorePosition asked = watcher.place();
     boolean hasIt = asked.revision() <= now().revision();
     Page<Integer> page = hasIt ? changesSince(asked.revision()) : null;
     changes = new Answer(at(now().revision()), asked, page);
@@ -226,7 +226,7 @@
   private boolean isDropped(Answer answer) {
     boolean isList = !answer.asked().isKnown();
     boolean ignoresAsked = !isList && flaws.contains(Flaw.ASKED_PLACE_IGNORED);
-    StorePlace asked = ignoresAsked ? watcher.place() : answer.asked();
+    StorePosition asked = ignoresAsked ? watcher.place() : answer.asked();
     EraRule.Verdict verdict = rule.judge(answer.at().era(), watcher.place(), asked, 0);
     if (verdict == EraRule.Verdict.LIST_ANEW && !flaws.contains(Flaw.WATCH_CONTINUED)) {
       mustList = true;
@@ -240,7 +240,7 @@
     Map<String, Page.Item<Integer>> listed = new LinkedHashMap<>();
     items(now()).forEach(item -> listed.put(item.name(), item));
     other.replace(listed, at(now().revision()));
-    boolean taken = watcher.merge(other.copySince(StorePlace.NONE));
+    boolean taken = watcher.merge(other.copySince(StorePosition.NONE));
     look();
     return taken;
   }
@@ -264,8 +264,8 @@
   }
 
   private Copy<Integer> asPresent(Copy<Integer> told) {
-    StorePlace present = new StorePlace(follower.place().era(), told.place().revision() + 9);
-    Map<String, StorePlace> places = new LinkedHashMap<>();
+    StorePosition present = new StorePosition(follower.place().era(), told.place().revision() + 9);
+    Map<String, StorePosition> places = new LinkedHashMap<>();
     told.places().keySet().forEach(name -> places.put(name, present));
     return new Copy<>(present, present, told.whole(), told.objects(), places, told.removed());
   }
