--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/DaemonState.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/DaemonState.java
@@ -22,5 +22,5 @@
     Map<String, Double> offeredWork,
     List<String> suspects,
     List<String> refusing,
-    List<PeerNote.ServingGroup> groups,
+    List<PeerMessage.ServingGroup> groups,
     List<String> closed) {}
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/Digests.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/Digests.java
@@ -42,14 +42,14 @@
    * @param sequence rises with each digest of that daemon
    * @return the digest
    */
-  public DataCentreDigest make(Collection<PeerNote> notes, String relay, long sequence) {
+  public DataCentreDigest make(Collection<PeerMessage> notes, String relay, long sequence) {
     Map<String, Integer> inFlight = new HashMap<>();
     Map<String, Double> work = new HashMap<>();
     Map<String, Integer> witnesses = new HashMap<>();
     Set<String> refusing = new TreeSet<>();
     List<DataCentreDigest.Member> members = new ArrayList<>();
     boolean served = false;
-    for (PeerNote note : notes) {
+    for (PeerMessage note : notes) {
       note.inFlight().forEach((node, count) -> inFlight.merge(node, count, Integer::sum));
       note.offeredWork().forEach((model, groups) -> work.merge(model, groups, Double::sum));
       note.suspects().forEach(head -> witnesses.merge(head, 1, Integer::sum));
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/Leadership.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/Leadership.java
@@ -36,7 +36,7 @@
   private long leaderlessSince = NEVER;
   private long quietUntil = NEVER;
 
-  private record Heard(PeerNote note, long atNanos) {}
+  private record Heard(PeerMessage note, long atNanos) {}
 
   /**
    * Creates the view of one daemon.
@@ -55,7 +55,7 @@
    * @param note the note
    * @param nowNanos the steady time
    */
-  public void hear(PeerNote note, long nowNanos) {
+  public void hear(PeerMessage note, long nowNanos) {
     Heard before = heard.get(note.name());
     if (isOfFormerLife(before, note.incarnation(), nowNanos)) {
       return;
@@ -80,7 +80,7 @@
         && nowNanos - before.atNanos() < SILENCE_NANOS;
   }
 
-  private void hearClaim(PeerNote note, long nowNanos) {
+  private void hearClaim(PeerMessage note, long nowNanos) {
     highestClaim = Math.max(highestClaim, note.claim());
     String candidate = note.leader();
     boolean isNews = !candidate.isEmpty() && !candidate.equals(leader);
@@ -103,10 +103,10 @@
       return;
     }
     boolean sameLife = before != null && before.note().incarnation() == member.incarnation();
-    PeerNote note =
+    PeerMessage note =
         sameLife && before != null
             ? before.note().withStanding(member.standing())
-            : PeerNote.ofMember(member, dataCentreOfMember);
+            : PeerMessage.ofMember(member, dataCentreOfMember);
     heard.put(member.name(), new Heard(note, nowNanos));
   }
 
@@ -258,8 +258,8 @@
    * @param nowNanos the steady time
    * @return the notes by daemon
    */
-  public Map<String, PeerNote> live(long nowNanos) {
-    Map<String, PeerNote> live = new HashMap<>();
+  public Map<String, PeerMessage> live(long nowNanos) {
+    Map<String, PeerMessage> live = new HashMap<>();
     heard.forEach(
         (name, last) -> {
           if (isAlive(last, nowNanos)) {
@@ -310,7 +310,7 @@
   public int placeInDataCentre(Standing standing, long nowNanos) {
     int before = 0;
     for (Heard last : heard.values()) {
-      PeerNote note = last.note();
+      PeerMessage note = last.note();
       boolean near = note.dataCentre().equals(dataCentre) && isAlive(last, nowNanos);
       boolean fitter = note.standing().compareTo(standing) > 0;
       boolean first = note.standing() == standing && note.name().compareTo(self) < 0;
@@ -324,7 +324,7 @@
    *
    * @return the note; null when this daemon leads or nothing was heard
    */
-  public @Nullable PeerNote leaderNote() {
+  public @Nullable PeerMessage leaderNote() {
     Heard last = heard.get(leader);
     return last == null ? null : last.note();
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/PeerNote.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/PeerMessage.java
@@ -22,7 +22,7 @@
  * @param groups groups that began to serve a short while ago, told by the leader alone
  * @param closed heads, as {@code ID@EPOCH}, whose groups it has begun to take apart, likewise
  */
-public record PeerNote(
+public record PeerMessage(
     String name,
     String address,
     String dataCentre,
@@ -46,8 +46,8 @@
    * @param dataCentre its data centre
    * @return a note that tells nothing else
    */
-  static PeerNote ofMember(DataCentreDigest.Member member, String dataCentre) {
-    return new PeerNote(
+  static PeerMessage ofMember(DataCentreDigest.Member member, String dataCentre) {
+    return new PeerMessage(
         member.name(),
         member.address(),
         dataCentre,
@@ -71,8 +71,8 @@
    * @param newer the standing
    * @return the note
    */
-  PeerNote withStanding(Standing newer) {
-    return new PeerNote(
+  PeerMessage withStanding(Standing newer) {
+    return new PeerMessage(
         name,
         address,
         dataCentre,
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/CutDataCentreTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/CutDataCentreTest.java
@@ -93,8 +93,8 @@
   }
 
   private void tell(Daemon from) {
-    PeerNote note =
-        new PeerNote(
+    PeerMessage note =
+        new PeerMessage(
             from.name,
             from.name,
             "cut",
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/DigestsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/DigestsTest.java
@@ -13,8 +13,8 @@
 
   private final Digests digests = new Digests("north");
 
-  private static PeerNote note(String name, Map<String, Integer> inFlight, List<String> suspects) {
-    return new PeerNote(
+  private static PeerMessage note(String name, Map<String, Integer> inFlight, List<String> suspects) {
+    return new PeerMessage(
         name,
         "at-" + name,
         "south",
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/LeadershipTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/LeadershipTest.java
@@ -36,8 +36,8 @@
   }
 
   private void tell(String from, Leadership daemon) {
-    PeerNote note =
-        new PeerNote(
+    PeerMessage note =
+        new PeerMessage(
             from,
             from,
             "here",
@@ -285,9 +285,9 @@
     assertThat(suspended.leader()).isEqualTo("b");
   }
 
-  private static PeerNote note(String from, long incarnation) {
+  private static PeerMessage note(String from, long incarnation) {
     DataCentreDigest.Member member =
         new DataCentreDigest.Member(from, from, incarnation, Standing.FIT);
-    return PeerNote.ofMember(member, "here");
+    return PeerMessage.ofMember(member, "here");
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/Fleet.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/Fleet.java
@@ -17,7 +17,7 @@
 import org.fawnvale.serving.core.model.ModelSpec;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.ServiceSpec;
-import org.fawnvale.serving.core.peer.PeerNote;
+import org.fawnvale.serving.core.peer.PeerMessage;
 
 /** Which nodes may take requests: heads of whole, open groups, and nodes of plain services. */
 final class Fleet {
@@ -83,10 +83,10 @@
         serving.put(head.id(), head.withSlots(engine.slots()));
       }
     }
-    Map<String, PeerNote.ServingGroup> opened = new HashMap<>();
+    Map<String, PeerMessage.ServingGroup> opened = new HashMap<>();
     announced.opened().forEach(group -> opened.merge(group.head(), group, Fleet::later));
     for (Node node : engines) {
-      PeerNote.ServingGroup group = opened.isEmpty() ? null : opened.get(node.id());
+      PeerMessage.ServingGroup group = opened.isEmpty() ? null : opened.get(node.id());
       if (group != null && !node.draining() && !isInLaterGroup(node, group)) {
         Membership place = new Membership(group.group(), group.epoch(), 0, MemberState.OPEN);
         Node head = node.withGroup(group.model(), node.staged(), place);
@@ -111,13 +111,13 @@
   }
 
   /** A head that was opened twice a short while ago serves the later group. */
-  private static PeerNote.ServingGroup later(
-      PeerNote.ServingGroup one, PeerNote.ServingGroup other) {
+  private static PeerMessage.ServingGroup later(
+      PeerMessage.ServingGroup one, PeerMessage.ServingGroup other) {
     return one.epoch() > other.epoch() ? one : other;
   }
 
   /** Tells whether the list already shows a head in a later group than the leader's word does. */
-  private static boolean isInLaterGroup(Node node, PeerNote.ServingGroup group) {
+  private static boolean isInLaterGroup(Node node, PeerMessage.ServingGroup group) {
     Membership place = node.membership();
     return place != null && place.epoch() > group.epoch();
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
@@ -6,7 +6,7 @@
 import org.fawnvale.serving.core.limit.LimitNote;
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.peer.Owners;
-import org.fawnvale.serving.core.peer.PeerNote;
+import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.quarantine.RequestRecord;
 import org.fawnvale.serving.gateway.RepeatGuard;
 import org.fawnvale.serving.limit.LimitDesk;
@@ -52,7 +52,7 @@
   }
 
   /** Takes in which daemons are in touch: they share limits, and trials of barred requests. */
-  void see(Collection<PeerNote> live, int heardLately) {
+  void see(Collection<PeerMessage> live, int heardLately) {
     List<Owners.Daemon> others = new ArrayList<>();
     live.forEach(
         note -> others.add(new Owners.Daemon(note.name(), note.address(), note.dataCentre())));
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -25,7 +25,7 @@
 import org.fawnvale.serving.core.model.Settings;
 import org.fawnvale.serving.core.peer.DaemonState;
 import org.fawnvale.serving.core.peer.Owners;
-import org.fawnvale.serving.core.peer.PeerNote;
+import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.Standing;
 import org.fawnvale.serving.core.route.RouteTable;
 import org.fawnvale.serving.core.watch.CopyPlaces;
@@ -353,7 +353,7 @@
     if (leads) {
       return new Announced(formation.opened(), formation.closed());
     }
-    PeerNote leader = peers.leadership().leaderNote();
+    PeerMessage leader = peers.leadership().leaderNote();
     return leader == null ? Announced.NOTHING : new Announced(leader.groups(), leader.closed());
   }
 
@@ -439,7 +439,7 @@
   }
 
   private void seeWhoIsInTouch() {
-    Map<String, PeerNote> live = peers.live();
+    Map<String, PeerMessage> live = peers.live();
     news.see(live.values(), peers.heardLately());
     dispatcher.daemons(live.size() + 1);
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
@@ -19,7 +19,7 @@
 import org.fawnvale.serving.core.model.EngineSpec;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.Settings;
-import org.fawnvale.serving.core.peer.PeerNote;
+import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.http.NodeClient;
 import org.fawnvale.serving.peer.Peers;
@@ -184,19 +184,19 @@
    *
    * @return the groups; empty when this daemon does not lead
    */
-  public List<PeerNote.ServingGroup> opened() {
+  public List<PeerMessage.ServingGroup> opened() {
     GroupPlanner current = planner;
-    List<PeerNote.ServingGroup> opened = new ArrayList<>();
+    List<PeerMessage.ServingGroup> opened = new ArrayList<>();
     if (current != null) {
       current.recent().opened().forEach((key, model) -> addOpened(opened, key, model));
     }
     return opened;
   }
 
-  private static void addOpened(List<PeerNote.ServingGroup> opened, GroupKey key, String model) {
+  private static void addOpened(List<PeerMessage.ServingGroup> opened, GroupKey key, String model) {
     String head = key.head();
     if (head != null) {
-      opened.add(new PeerNote.ServingGroup(head, key.name(), key.epoch(), model));
+      opened.add(new PeerMessage.ServingGroup(head, key.name(), key.epoch(), model));
     }
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/NoteCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/NoteCodec.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.fawnvale.serving.core.limit.LimitNote;
 import org.fawnvale.serving.core.peer.DataCentreDigest;
-import org.fawnvale.serving.core.peer.PeerNote;
+import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.Standing;
 import org.fawnvale.serving.core.quarantine.RequestRecord;
 import org.fawnvale.serving.core.watch.CopyPlaces;
@@ -34,7 +34,7 @@
    * @param limits what is known of limits that nodes name
    */
   record Datagram(
-      PeerNote note,
+      PeerMessage note,
       CopyPlaces places,
       List<String> addresses,
       List<DataCentreDigest> digests,
@@ -42,7 +42,7 @@
       List<LimitNote> limits) {}
 
   static byte[] write(Datagram datagram) throws IOException {
-    PeerNote note = datagram.note();
+    PeerMessage note = datagram.note();
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       packer.packInt(FORMAT);
       packer.packString(note.name());
@@ -59,7 +59,7 @@
       writeStrings(packer, note.suspects());
       writeStrings(packer, note.refusing());
       packer.packArrayHeader(note.groups().size());
-      for (PeerNote.ServingGroup group : note.groups()) {
+      for (PeerMessage.ServingGroup group : note.groups()) {
         packer.packString(group.head());
         packer.packString(group.group());
         packer.packLong(group.epoch());
@@ -141,11 +141,11 @@
       Map<String, Double> offeredWork = readWork(in);
       List<String> suspects = readStrings(in);
       List<String> refusing = readStrings(in);
-      List<PeerNote.ServingGroup> groups = readGroups(in);
+      List<PeerMessage.ServingGroup> groups = readGroups(in);
       List<String> closed = readStrings(in);
       CopyPlaces places = PlaceCodec.read(in);
-      PeerNote note =
-          new PeerNote(
+      PeerMessage note =
+          new PeerMessage(
               name,
               address,
               dataCentre,
@@ -172,14 +172,14 @@
     }
   }
 
-  private static List<PeerNote.ServingGroup> readGroups(MessageUnpacker in) throws IOException {
+  private static List<PeerMessage.ServingGroup> readGroups(MessageUnpacker in) throws IOException {
     int count = in.unpackArrayHeader();
-    List<PeerNote.ServingGroup> groups = new ArrayList<>();
+    List<PeerMessage.ServingGroup> groups = new ArrayList<>();
     for (int index = 0; index < count; index++) {
       String head = in.unpackString();
       String group = in.unpackString();
       long epoch = in.unpackLong();
-      groups.add(new PeerNote.ServingGroup(head, group, epoch, in.unpackString()));
+      groups.add(new PeerMessage.ServingGroup(head, group, epoch, in.unpackString()));
     }
     return groups;
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -18,7 +18,7 @@
 import org.fawnvale.serving.core.peer.Digests;
 import org.fawnvale.serving.core.peer.Leadership;
 import org.fawnvale.serving.core.peer.NoteRouting;
-import org.fawnvale.serving.core.peer.PeerNote;
+import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.Standing;
 import org.fawnvale.serving.core.quarantine.RequestRecord;
 import org.fawnvale.serving.core.watch.CopyPlaces;
@@ -185,8 +185,8 @@
    * @param news whether it holds what all daemons should know at once
    */
   public void tell(DaemonState state, CopyPlaces places, boolean news) {
-    PeerNote note =
-        new PeerNote(
+    PeerMessage note =
+        new PeerMessage(
             settings.name(),
             settings.address(),
             settings.dataCentre(),
@@ -205,13 +205,13 @@
     send(note, places, news);
   }
 
-  private void send(PeerNote note, CopyPlaces places, boolean news) {
+  private void send(PeerMessage note, CopyPlaces places, boolean news) {
     turn++;
-    Map<String, PeerNote> live = live();
+    Map<String, PeerMessage> live = live();
     List<NoteRouting.Peer> others = new ArrayList<>();
     Set<String> near = new HashSet<>();
     Set<String> known = new HashSet<>();
-    for (PeerNote other : live.values()) {
+    for (PeerMessage other : live.values()) {
       others.add(new NoteRouting.Peer(other.name(), other.address(), other.dataCentre()));
       known.add(other.address());
       if (other.dataCentre().equals(settings.dataCentre())) {
@@ -255,8 +255,8 @@
   }
 
   /** What a relay tells the other relays. */
-  private DataCentreDigest ownDigest(PeerNote own, Collection<PeerNote> live) {
-    List<PeerNote> near = new ArrayList<>();
+  private DataCentreDigest ownDigest(PeerMessage own, Collection<PeerMessage> live) {
+    List<PeerMessage> near = new ArrayList<>();
     near.add(own);
     live.stream()
         .filter(note -> note.dataCentre().equals(settings.dataCentre()))
@@ -280,7 +280,7 @@
   public OfUpstreams ofUpstreams() {
     Map<String, Integer> sum = new HashMap<>();
     Set<String> refusing = new HashSet<>();
-    for (PeerNote note : withoutDigest()) {
+    for (PeerMessage note : withoutDigest()) {
       note.inFlight().forEach((node, count) -> sum.merge(node, count, Integer::sum));
       refusing.addAll(note.refusing());
     }
@@ -298,7 +298,7 @@
    */
   public Map<String, Double> offeredWork() {
     Map<String, Double> sum = new HashMap<>();
-    for (PeerNote note : withoutDigest()) {
+    for (PeerMessage note : withoutDigest()) {
       note.offeredWork().forEach((model, groups) -> sum.merge(model, groups, Double::sum));
     }
     for (DataCentreDigest digest : freshDigests()) {
@@ -314,7 +314,7 @@
    */
   public List<StallEvidence.Witness> witnesses() {
     List<StallEvidence.Witness> witnesses = new ArrayList<>();
-    for (PeerNote note : withoutDigest()) {
+    for (PeerMessage note : withoutDigest()) {
       witnesses.add(
           new StallEvidence.Witness(note.dataCentre(), note.suspects(), note.inFlight().keySet()));
     }
@@ -340,10 +340,10 @@
   }
 
   /** The notes of live daemons that no digest sums up. */
-  private List<PeerNote> withoutDigest() {
+  private List<PeerMessage> withoutDigest() {
     Set<String> summed = digests.fresh(System.nanoTime()).keySet();
-    List<PeerNote> notes = new ArrayList<>();
-    for (PeerNote note : live().values()) {
+    List<PeerMessage> notes = new ArrayList<>();
+    for (PeerMessage note : live().values()) {
       if (!summed.contains(note.dataCentre())) {
         notes.add(note);
       }
@@ -378,7 +378,7 @@
    *
    * @return notes by daemon
    */
-  public Map<String, PeerNote> live() {
+  public Map<String, PeerMessage> live() {
     return leadership.live(System.nanoTime());
   }
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/FleetTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/FleetTest.java
@@ -14,7 +14,7 @@
 import org.fawnvale.serving.core.model.NodeLife;
 import org.fawnvale.serving.core.model.RequestSize;
 import org.fawnvale.serving.core.model.ServiceSpec;
-import org.fawnvale.serving.core.peer.PeerNote;
+import org.fawnvale.serving.core.peer.PeerMessage;
 import org.junit.jupiter.api.Test;
 
 /** Which heads are sent requests, by the list and by the leader's word. */
@@ -103,7 +103,7 @@
   void aGroupThatTheListDoesNotShowYetServesByTheLeadersWord() {
     Node free = HEAD.withGroup(null, List.of(), null);
     Announced opened =
-        new Announced(List.of(new PeerNote.ServingGroup("head", "g~head", 5, "m")), List.of());
+        new Announced(List.of(new PeerMessage.ServingGroup("head", "g~head", 5, "m")), List.of());
     assertThat(serving(opened, free)).containsExactly("head");
   }
 }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
@@ -10,7 +10,7 @@
 import org.fawnvale.serving.core.limit.LimitNote;
 import org.fawnvale.serving.core.model.NodeLife;
 import org.fawnvale.serving.core.peer.DataCentreDigest;
-import org.fawnvale.serving.core.peer.PeerNote;
+import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.Standing;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.core.quarantine.RequestRecord;
@@ -24,7 +24,7 @@
 
   private static final NoteCodec.Datagram DATAGRAM =
       new NoteCodec.Datagram(
-          new PeerNote(
+          new PeerMessage(
               "edge-1",
               "127.0.0.1",
               "here",
@@ -38,7 +38,7 @@
               Map.of("m", 2.5),
               List.of("n1@7"),
               List.of("n7"),
-              List.of(new PeerNote.ServingGroup("n2", "g", 8, "m")),
+              List.of(new PeerMessage.ServingGroup("n2", "g", 8, "m")),
               List.of("n3@9")),
           new CopyPlaces(new StorePosition(new StoreEra(3), 5), 28, StorePosition.NONE),
           List.of("127.0.0.2"),
