--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/KnownLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/KnownLimits.java
@@ -67,7 +67,7 @@
   }
 
   private static final class Entry {
-    double perSecond = LimitNote.OVER;
+    double perSecond = LimitUpdate.OVER;
     int stamp = UNKNOWN;
     int clean;
     long shownNanos;
@@ -75,7 +75,7 @@
     boolean own;
 
     boolean isOver() {
-      return perSecond == LimitNote.OVER;
+      return perSecond == LimitUpdate.OVER;
     }
   }
 
@@ -83,14 +83,14 @@
    * The limit of a node.
    *
    * @param life the node's life
-   * @return requests a second; {@link LimitNote#OVER} when it has none
+   * @return requests a second; {@link LimitUpdate#OVER} when it has none
    */
   public double of(NodeLife life) {
     if (inForce == 0) {
-      return LimitNote.OVER;
+      return LimitUpdate.OVER;
     }
     Entry entry = entries.get(life);
-    return entry == null ? LimitNote.OVER : entry.perSecond;
+    return entry == null ? LimitUpdate.OVER : entry.perSecond;
   }
 
   /**
@@ -147,7 +147,7 @@
     entry.clean++;
     return entry.clean < CLEAN_ANSWERS
         ? Change.NONE
-        : change(life, LimitNote.OVER, entry.stamp + 1, true, nowNanos);
+        : change(life, LimitUpdate.OVER, entry.stamp + 1, true, nowNanos);
   }
 
   private Change change(NodeLife life, double perSecond, int stamp, boolean own, long nowNanos) {
@@ -177,14 +177,14 @@
    * @param nowNanos the steady time
    * @return what was new
    */
-  public Change learn(LimitNote told, long nowNanos) {
+  public Change learn(LimitUpdate told, long nowNanos) {
     long shownNanos = nowNanos - told.ageMillis() * NANOS_PER_MILLI;
     if (nowNanos - shownNanos > KEPT_NANOS) {
       return Change.NONE;
     }
     Entry entry = entries.get(told.life());
     int stamp = entry == null ? UNKNOWN : entry.stamp;
-    double known = entry == null ? LimitNote.OVER : entry.perSecond;
+    double known = entry == null ? LimitUpdate.OVER : entry.perSecond;
     boolean isStricter = told.stamp() == stamp && told.perSecond() < known;
     if (told.stamp() <= stamp && !isStricter) {
       if (entry != null && told.stamp() == stamp && shownNanos - entry.shownNanos > 0) {
@@ -238,13 +238,13 @@
    * @param nowNanos the steady time
    * @return a note for each of some lives
    */
-  public List<LimitNote> toTell(boolean forOthers, long nowNanos) {
+  public List<LimitUpdate> toTell(boolean forOthers, long nowNanos) {
     if (entries.isEmpty()) {
       return List.of();
     }
     turn++;
-    List<LimitNote> changed = new ArrayList<>();
-    List<LimitNote> standing = new ArrayList<>();
+    List<LimitUpdate> changed = new ArrayList<>();
+    List<LimitUpdate> standing = new ArrayList<>();
     entries.forEach(
         (life, entry) -> {
           boolean isNew = nowNanos - entry.changedNanos < NEWS_NANOS;
@@ -254,7 +254,7 @@
             standing.add(note(life, entry, nowNanos));
           }
         });
-    List<LimitNote> told = new ArrayList<>(inTurn(changed, MOST_TOLD));
+    List<LimitUpdate> told = new ArrayList<>(inTurn(changed, MOST_TOLD));
     told.addAll(inTurn(standing, MOST_TOLD_ON));
     return told;
   }
@@ -266,21 +266,21 @@
    * @param nowNanos the steady time
    * @return a note; null when nothing is known
    */
-  public @Nullable LimitNote noteOf(NodeLife life, long nowNanos) {
+  public @Nullable LimitUpdate noteOf(NodeLife life, long nowNanos) {
     Entry entry = entries.get(life);
     return entry == null ? null : note(life, entry, nowNanos);
   }
 
-  private static LimitNote note(NodeLife life, Entry entry, long nowNanos) {
+  private static LimitUpdate note(NodeLife life, Entry entry, long nowNanos) {
     long age = Math.max(0, nowNanos - entry.shownNanos) / NANOS_PER_MILLI;
-    return new LimitNote(life, entry.stamp, entry.perSecond, age);
+    return new LimitUpdate(life, entry.stamp, entry.perSecond, age);
   }
 
-  private Collection<LimitNote> inTurn(List<LimitNote> notes, int most) {
+  private Collection<LimitUpdate> inTurn(List<LimitUpdate> notes, int most) {
     if (notes.size() <= most) {
       return notes;
     }
-    List<LimitNote> some = new ArrayList<>();
+    List<LimitUpdate> some = new ArrayList<>();
     for (int place = 0; place < most; place++) {
       some.add(notes.get(Math.floorMod(turn * most + place, notes.size())));
     }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
@@ -103,7 +103,7 @@
    * @param nowNanos the steady time
    * @return what was new
    */
-  public KnownLimits.Change learn(LimitNote told, long nowNanos) {
+  public KnownLimits.Change learn(LimitUpdate told, long nowNanos) {
     return settle(told.life(), known.learn(told, nowNanos));
   }
 
@@ -128,7 +128,7 @@
   }
 
   private boolean isSpentHere(NodeLife life, Owned owned) {
-    return known.of(life) != LimitNote.OVER && owners.isOwn(life.id(), owned.dataCentre());
+    return known.of(life) != LimitUpdate.OVER && owners.isOwn(life.id(), owned.dataCentre());
   }
 
   /**
@@ -139,7 +139,7 @@
    * @return whether there is room within its limit
    */
   public Room room(Node node, long nowNanos) {
-    if (known.of(node.life()) == LimitNote.OVER) {
+    if (known.of(node.life()) == LimitUpdate.OVER) {
       return Room.FREE;
     }
     if (holdsLeave(node.life(), nowNanos)) {
@@ -177,7 +177,7 @@
    */
   public boolean spend(Node node, long nowNanos) {
     double limit = known.of(node.life());
-    if (limit == LimitNote.OVER) {
+    if (limit == LimitUpdate.OVER) {
       return true;
     }
     if (holdsLeave(node.life(), nowNanos)) {
@@ -215,7 +215,7 @@
    */
   public Reply ask(NodeLife life, String dataCentre, long nowNanos) {
     double limit = known.of(life);
-    if (limit == LimitNote.OVER || !owners.isOwn(life.id(), dataCentre)) {
+    if (limit == LimitUpdate.OVER || !owners.isOwn(life.id(), dataCentre)) {
       return new NotOwned();
     }
     TokenBucket bucket = bucket(life, dataCentre, nowNanos);
@@ -257,7 +257,7 @@
    */
   public long nanosToNext(Node node, long nowNanos) {
     double limit = known.of(node.life());
-    if (limit == LimitNote.OVER) {
+    if (limit == LimitUpdate.OVER) {
       return 0;
     }
     if (owners.isOwn(node.id(), node.dataCentre())) {
@@ -274,7 +274,7 @@
    * @param nowNanos the steady time
    * @return a note for each of some lives
    */
-  public List<LimitNote> toTell(boolean forOthers, long nowNanos) {
+  public List<LimitUpdate> toTell(boolean forOthers, long nowNanos) {
     return known.toTell(forOthers, nowNanos);
   }
 
@@ -285,7 +285,7 @@
    * @param nowNanos the steady time
    * @return a note; null when nothing is known
    */
-  public @Nullable LimitNote noteOf(NodeLife life, long nowNanos) {
+  public @Nullable LimitUpdate noteOf(NodeLife life, long nowNanos) {
     return known.noteOf(life, nowNanos);
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/KnownLimitsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/KnownLimitsTest.java
@@ -36,7 +36,7 @@
     assertThat(names(1.6, KnownLimits.UNKNOWN)).isEqualTo(Change.NAMED);
     assertThat(names(1.6, KnownLimits.UNKNOWN)).isEqualTo(Change.NONE);
     assertThat(known.of(NODE)).isEqualTo(1.6);
-    assertThat(known.of(NodeLife.only("n2"))).isEqualTo(LimitNote.OVER);
+    assertThat(known.of(NodeLife.only("n2"))).isEqualTo(LimitUpdate.OVER);
   }
 
   @Test
@@ -104,7 +104,7 @@
   @Test
   void aNewLifeHasNone() {
     names(1, KnownLimits.UNKNOWN);
-    assertThat(known.of(new NodeLife(NODE.id(), 7))).isEqualTo(LimitNote.OVER);
+    assertThat(known.of(new NodeLife(NODE.id(), 7))).isEqualTo(LimitUpdate.OVER);
   }
 
   @Test
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/LimitPlay.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/LimitPlay.java
@@ -199,14 +199,14 @@
     Set<Daemon> told = new HashSet<>(daemons);
     told.removeIf(daemon -> !daemon.alive);
     for (Daemon from : told) {
-      List<LimitNote> notes = from.limits.toTell(false, now);
+      List<LimitUpdate> notes = from.limits.toTell(false, now);
       if (!notes.isEmpty() && random.nextInt(10) == 0) {
         told.stream().filter(to -> to.side == from.side).forEach(to -> learn(to, notes));
       }
     }
   }
 
-  private void learn(Daemon to, List<LimitNote> notes) {
+  private void learn(Daemon to, List<LimitUpdate> notes) {
     notes.forEach(note -> to.limits.learn(note, now));
   }
 
@@ -227,7 +227,7 @@
   }
 
   private boolean isUnknown(Daemon daemon) {
-    return daemon.limits.known().of(node.life()) == LimitNote.OVER;
+    return daemon.limits.known().of(node.life()) == LimitUpdate.OVER;
   }
 
   private void sendWithin(Daemon daemon) {
@@ -247,7 +247,7 @@
   private void askForLeave(Daemon daemon) {
     String name = daemon.limits.ownerOf(node).name();
     Daemon owner = daemons.get(Integer.parseInt(name.substring(1)));
-    LimitNote known = daemon.limits.noteOf(node.life(), now);
+    LimitUpdate known = daemon.limits.noteOf(node.life(), now);
     long way1 = (1 + random.nextInt(4)) * MILLI;
     if (!owner.alive || owner.side != daemon.side || known == null) {
       daemon.limits.denied(node.life(), 300 * MILLI, now);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-import org.fawnvale.serving.core.limit.LimitNote;
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.peer.Owners;
 import org.fawnvale.serving.core.peer.PeerMessage;
@@ -39,12 +39,12 @@
   }
 
   @Override
-  public List<LimitNote> limits(boolean forOthers) {
+  public List<LimitUpdate> limits(boolean forOthers) {
     return limits.toTell(forOthers, System.nanoTime());
   }
 
   @Override
-  public void hear(List<RequestRecord> records, List<LimitNote> notes) {
+  public void hear(List<RequestRecord> records, List<LimitUpdate> notes) {
     if (!records.isEmpty()) {
       repeats.hear(records);
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
@@ -8,7 +8,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.limit.KnownLimits;
-import org.fawnvale.serving.core.limit.LimitNote;
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.model.NodeLife;
 import org.fawnvale.serving.core.model.StatedLimit;
 import org.jspecify.annotations.Nullable;
@@ -76,7 +76,7 @@
    * @param told the word
    * @param change what was new
    */
-  public void told(LimitNote told, KnownLimits.Change change) {
+  public void told(LimitUpdate told, KnownLimits.Change change) {
     if (change == KnownLimits.Change.NONE) {
       return;
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LeaveQuestion.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LeaveQuestion.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.Base64;
 import java.util.List;
-import org.fawnvale.serving.core.limit.LimitNote;
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
@@ -17,7 +17,7 @@
  * @param limit what the asker knows
  * @param dataCentre the node's data centre
  */
-record LeaveQuestion(LimitNote limit, String dataCentre) {
+record LeaveQuestion(LimitUpdate limit, String dataCentre) {
 
   private static final String PATH = "/limits/leave/";
 
@@ -45,7 +45,7 @@
       throw new IOException("The question is not in base 64; use one version of the daemons.", e);
     }
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
-      List<LimitNote> notes = LimitNoteCodec.read(in);
+      List<LimitUpdate> notes = LimitNoteCodec.read(in);
       if (notes.size() != 1) {
         throw new IOException("A question is about one limit, not " + notes.size() + ".");
       }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitDesk.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitDesk.java
@@ -7,7 +7,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.limit.KnownLimits;
-import org.fawnvale.serving.core.limit.LimitNote;
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.peer.Owners;
@@ -51,9 +51,9 @@
    *
    * @param notes its notes
    */
-  public void learn(List<LimitNote> notes) {
+  public void learn(List<LimitUpdate> notes) {
     long now = System.nanoTime();
-    for (LimitNote note : notes) {
+    for (LimitUpdate note : notes) {
       KnownLimits.Change change = limits.learn(note, now);
       log.told(note, change);
     }
@@ -66,7 +66,7 @@
    * @param told told once, while the guard is held, whether the request may go
    */
   public void ask(Node node, Consumer<Boolean> told) {
-    LimitNote known = limits.noteOf(node.life(), System.nanoTime());
+    LimitUpdate known = limits.noteOf(node.life(), System.nanoTime());
     if (known == null) {
       told.accept(true);
       return;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitNoteCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitNoteCodec.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import org.fawnvale.serving.core.limit.LimitNote;
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.model.NodeLife;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
@@ -20,9 +20,9 @@
    * @param notes the notes
    * @throws IOException when they can't be written
    */
-  public static void write(MessageBufferPacker packer, List<LimitNote> notes) throws IOException {
+  public static void write(MessageBufferPacker packer, List<LimitUpdate> notes) throws IOException {
     packer.packArrayHeader(notes.size());
-    for (LimitNote note : notes) {
+    for (LimitUpdate note : notes) {
       packer.packString(note.life().id());
       packer.packLong(note.life().startedMillis());
       packer.packInt(note.stamp());
@@ -38,15 +38,15 @@
    * @return the notes
    * @throws IOException when they can't be read
    */
-  public static List<LimitNote> read(MessageUnpacker in) throws IOException {
+  public static List<LimitUpdate> read(MessageUnpacker in) throws IOException {
     int count = in.unpackArrayHeader();
-    List<LimitNote> notes = new ArrayList<>();
+    List<LimitUpdate> notes = new ArrayList<>();
     for (int index = 0; index < count; index++) {
       String id = in.unpackString();
       NodeLife life = new NodeLife(id, in.unpackLong());
       int stamp = in.unpackInt();
       double perSecond = in.unpackDouble();
-      notes.add(new LimitNote(life, stamp, perSecond, in.unpackLong()));
+      notes.add(new LimitUpdate(life, stamp, perSecond, in.unpackLong()));
     }
     return notes;
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/NoteCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/NoteCodec.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.fawnvale.serving.core.limit.LimitNote;
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.peer.DataCentreDigest;
 import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.Standing;
@@ -39,7 +39,7 @@
       List<String> addresses,
       List<DataCentreDigest> digests,
       List<RequestRecord> records,
-      List<LimitNote> limits) {}
+      List<LimitUpdate> limits) {}
 
   static byte[] write(Datagram datagram) throws IOException {
     PeerMessage note = datagram.note();
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -11,7 +11,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.formation.StallEvidence;
-import org.fawnvale.serving.core.limit.LimitNote;
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.model.Settings;
 import org.fawnvale.serving.core.peer.DaemonState;
 import org.fawnvale.serving.core.peer.DataCentreDigest;
@@ -70,7 +70,7 @@
      * @param forOthers whether what others have told is told on
      * @return the notes on limits that go out with the next note
      */
-    List<LimitNote> limits(boolean forOthers);
+    List<LimitUpdate> limits(boolean forOthers);
 
     /**
      * Takes in what a peer tells.
@@ -78,7 +78,7 @@
      * @param records what it knows of requests under which nodes ended
      * @param limits what it knows of limits
      */
-    void hear(List<RequestRecord> records, List<LimitNote> limits);
+    void hear(List<RequestRecord> records, List<LimitUpdate> limits);
   }
 
   /** Told what a peer's copies of the store's objects show. */
@@ -223,7 +223,7 @@
         routing.targets(others, new NoteRouting.Occasion(turn, leads, leadership.leader(), news));
     boolean relays = NoteRouting.hasRelays(others.size() + 1) && routing.isRelay(others);
     List<RequestRecord> records = shared.records(relays);
-    List<LimitNote> limits = shared.limits(relays);
+    List<LimitUpdate> limits = shared.limits(relays);
     List<String> addresses = link.addresses();
     link.send(
         new NoteCodec.Datagram(
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import org.fawnvale.serving.core.limit.LimitNote;
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.model.NodeLife;
 import org.fawnvale.serving.core.peer.Owners;
@@ -23,7 +23,7 @@
 
   private static final Owners.Daemon SELF = new Owners.Daemon("d1", "127.0.0.1", "a");
   private static final Owners.Daemon OTHER = new Owners.Daemon("d2", "127.0.0.2", "b");
-  private static final LimitNote LIMIT = new LimitNote(new NodeLife("n1", 7), 2, 50, 30);
+  private static final LimitUpdate LIMIT = new LimitUpdate(new NodeLife("n1", 7), 2, 50, 30);
   private static final Fingerprint SHEET = new Fingerprint(-17);
 
   private final Timers timers = new Timers(new Object());
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.fawnvale.serving.core.limit.LimitNote;
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.model.NodeLife;
 import org.fawnvale.serving.core.peer.DataCentreDigest;
 import org.fawnvale.serving.core.peer.PeerMessage;
@@ -59,8 +59,8 @@
                   Set.of(new NodeLife("n5", 1_700_000_000_000L), NodeLife.only("n6")),
                   Set.of(NodeLife.only("n6")))),
           List.of(
-              new LimitNote(new NodeLife("n7", 1_700_000_000_001L), 3, 1.6, 250),
-              new LimitNote(NodeLife.only("n8"), 2, LimitNote.OVER, 0)));
+              new LimitUpdate(new NodeLife("n7", 1_700_000_000_001L), 3, 1.6, 250),
+              new LimitUpdate(NodeLife.only("n8"), 2, LimitUpdate.OVER, 0)));
 
   @Test
   void whatIsWrittenIsRead() throws IOException {
