--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/Quarantine.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/Quarantine.java
@@ -63,7 +63,7 @@
 
   /** A record, and since when it says so. */
   private static final class Entry {
-    RequestRecord record;
+    QuarantineRecord record;
     long changedNanos;
     long seenNanos;
     long barredNanos;
@@ -74,7 +74,7 @@
     long trialGivenNanos;
 
     Entry(Fingerprint fingerprint) {
-      record = new RequestRecord(fingerprint, Set.of(), Set.of());
+      record = new QuarantineRecord(fingerprint, Set.of(), Set.of());
     }
   }
 
@@ -202,7 +202,7 @@
    * @return how many ends are held against the request now
    */
   public int ended(Fingerprint fingerprint, NodeLife life, long nowNanos) {
-    return learn(new RequestRecord(fingerprint, Set.of(life), Set.of()), true, nowNanos);
+    return learn(new QuarantineRecord(fingerprint, Set.of(life), Set.of()), true, nowNanos);
   }
 
   /**
@@ -215,7 +215,7 @@
   public void answered(Fingerprint fingerprint, long nowNanos) {
     Entry entry = entries.get(fingerprint);
     if (entry != null && entry.record.count() > 0) {
-      learn(new RequestRecord(fingerprint, Set.of(), entry.record.ended()), true, nowNanos);
+      learn(new QuarantineRecord(fingerprint, Set.of(), entry.record.ended()), true, nowNanos);
     }
   }
 
@@ -226,9 +226,9 @@
    * @param nowNanos the steady time
    * @return requests that are barred from now on
    */
-  public List<Fingerprint> hear(Collection<RequestRecord> records, long nowNanos) {
+  public List<Fingerprint> hear(Collection<QuarantineRecord> records, long nowNanos) {
     List<Fingerprint> barred = new ArrayList<>();
-    for (RequestRecord told : records) {
+    for (QuarantineRecord told : records) {
       int before = count(told.fingerprint());
       int after = learn(told, false, nowNanos);
       if (before < MOST_ENDS && after >= MOST_ENDS) {
@@ -238,9 +238,9 @@
     return barred;
   }
 
-  private int learn(RequestRecord told, boolean own, long nowNanos) {
+  private int learn(QuarantineRecord told, boolean own, long nowNanos) {
     Entry entry = entries.computeIfAbsent(told.fingerprint(), Entry::new);
-    RequestRecord before = entry.record;
+    QuarantineRecord before = entry.record;
     entry.record = before.with(told);
     entry.seenNanos = nowNanos;
     if (!entry.record.equals(before)) {
@@ -274,10 +274,10 @@
    * @param nowNanos the steady time
    * @return the records
    */
-  public List<RequestRecord> toTell(boolean forOthers, long nowNanos) {
+  public List<QuarantineRecord> toTell(boolean forOthers, long nowNanos) {
     turn++;
-    List<RequestRecord> fresh = new ArrayList<>();
-    List<RequestRecord> heavy = new ArrayList<>();
+    List<QuarantineRecord> fresh = new ArrayList<>();
+    List<QuarantineRecord> heavy = new ArrayList<>();
     for (Entry entry : entries.values()) {
       boolean isNew = nowNanos - entry.changedNanos < NEWS_NANOS;
       if (isNew && (entry.own || forOthers)) {
@@ -286,16 +286,16 @@
         heavy.add(entry.record);
       }
     }
-    List<RequestRecord> told = new ArrayList<>(inTurn(fresh, MOST_TOLD));
+    List<QuarantineRecord> told = new ArrayList<>(inTurn(fresh, MOST_TOLD));
     told.addAll(inTurn(heavy, MOST_TOLD_ON));
     return told;
   }
 
-  private List<RequestRecord> inTurn(List<RequestRecord> records, int most) {
+  private List<QuarantineRecord> inTurn(List<QuarantineRecord> records, int most) {
     if (records.size() <= most) {
       return records;
     }
-    List<RequestRecord> some = new ArrayList<>();
+    List<QuarantineRecord> some = new ArrayList<>();
     for (int place = 0; place < most; place++) {
       some.add(records.get(Math.floorMod(turn * most + place, records.size())));
     }
@@ -330,7 +330,7 @@
    * @param fingerprint the request
    * @return its record; null when nothing is known
    */
-  public @Nullable RequestRecord recordOf(Fingerprint fingerprint) {
+  public @Nullable QuarantineRecord recordOf(Fingerprint fingerprint) {
     Entry entry = entries.get(fingerprint);
     return entry == null ? null : entry.record;
   }
@@ -340,8 +340,8 @@
    *
    * @return their records
    */
-  public List<RequestRecord> barredRecords() {
-    List<RequestRecord> barred = new ArrayList<>();
+  public List<QuarantineRecord> barredRecords() {
+    List<QuarantineRecord> barred = new ArrayList<>();
     for (Entry entry : entries.values()) {
       if (entry.record.count() >= MOST_ENDS) {
         barred.add(entry.record);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/RequestRecord.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/QuarantineRecord.java
@@ -12,7 +12,7 @@
  * @param ended lives of nodes that ended while they ran it
  * @param excused those of them that are not held against it, since it has been answered later
  */
-public record RequestRecord(Fingerprint fingerprint, Set<NodeLife> ended, Set<NodeLife> excused) {
+public record QuarantineRecord(Fingerprint fingerprint, Set<NodeLife> ended, Set<NodeLife> excused) {
 
   /**
    * Nodes whose end is held against the request.
@@ -33,8 +33,8 @@
    * @param other the other record
    * @return what both tell
    */
-  RequestRecord with(RequestRecord other) {
-    return new RequestRecord(fingerprint, union(ended, other.ended), union(excused, other.excused));
+  QuarantineRecord with(QuarantineRecord other) {
+    return new QuarantineRecord(fingerprint, union(ended, other.ended), union(excused, other.excused));
   }
 
   private static Set<NodeLife> union(Set<NodeLife> one, Set<NodeLife> other) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/BarredAwayFromTheLeaderTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/BarredAwayFromTheLeaderTest.java
@@ -67,7 +67,7 @@
   }
 
   private void tellAll(Quarantine from, long nowNanos) {
-    List<RequestRecord> told = from.toTell(true, nowNanos);
+    List<QuarantineRecord> told = from.toTell(true, nowNanos);
     daemons.stream().filter(other -> other != from).forEach(other -> other.hear(told, nowNanos));
   }
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTest.java
@@ -34,7 +34,7 @@
   @Test
   void oneEndSeenByManyDaemonsCountsOnce() {
     for (int daemon = 0; daemon < 9; daemon++) {
-      RequestRecord told = new RequestRecord(SHEET, Set.of(life(1)), Set.of());
+      QuarantineRecord told = new QuarantineRecord(SHEET, Set.of(life(1)), Set.of());
       assertThat(quarantine.hear(List.of(told), 0)).isEmpty();
     }
     assertThat(quarantine.isBarred(SHEET, 0)).isFalse();
@@ -51,8 +51,8 @@
   @Test
   void endsThatThreeDaemonsSawAreAddedUp() {
     quarantine.ended(SHEET, life(1), 0);
-    RequestRecord second = new RequestRecord(SHEET, Set.of(life(2)), Set.of());
-    RequestRecord third = new RequestRecord(SHEET, Set.of(life(3)), Set.of());
+    QuarantineRecord second = new QuarantineRecord(SHEET, Set.of(life(2)), Set.of());
+    QuarantineRecord third = new QuarantineRecord(SHEET, Set.of(life(3)), Set.of());
     assertThat(quarantine.hear(List.of(second, third), 0)).containsExactly(SHEET);
     assertThat(quarantine.hear(List.of(second, third), 0)).isEmpty();
   }
@@ -67,9 +67,9 @@
 
   @Test
   void daemonsAgreeInWhateverOrderTheyHear() {
-    List<RequestRecord> told = new ArrayList<>();
+    List<QuarantineRecord> told = new ArrayList<>();
     for (int number = 0; number < 6; number++) {
-      told.add(new RequestRecord(SHEET, Set.of(life(number)), Set.of(life(number / 2))));
+      told.add(new QuarantineRecord(SHEET, Set.of(life(number)), Set.of(life(number / 2))));
     }
     Random random = new Random(20261203);
     for (int run = 0; run < 100; run++) {
@@ -77,7 +77,7 @@
       Collections.shuffle(told, random);
       other.hear(told, 0);
       other.hear(told.subList(0, 3), 0);
-      assertThat(other.toTell(true, 0)).extracting(RequestRecord::count).containsExactly(3);
+      assertThat(other.toTell(true, 0)).extracting(QuarantineRecord::count).containsExactly(3);
       assertThat(other.isBarred(SHEET, 0)).isTrue();
     }
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/SpreadInLargeFleetsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/SpreadInLargeFleetsTest.java
@@ -61,7 +61,7 @@
     daemons.stream().filter(daemon -> daemon != from).forEach(daemon -> others.add(daemon.self));
     from.notes++;
     boolean relays = NoteRouting.hasRelays(daemons.size()) && from.routing.isRelay(others);
-    List<RequestRecord> records = from.quarantine.toTell(relays, now);
+    List<QuarantineRecord> records = from.quarantine.toTell(relays, now);
     NoteRouting.Occasion occasion =
         new NoteRouting.Occasion(from.notes, LEADER.equals(from.self.name()), LEADER, news);
     Set<String> targets = from.routing.targets(others, occasion);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/BarredRequests.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/BarredRequests.java
@@ -1,6 +1,6 @@
 package org.fawnvale.serving.daemon;
 
-import org.fawnvale.serving.core.quarantine.RequestRecord;
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.gateway.RepeatGuard;
 import org.fawnvale.serving.store.QuarantineStore;
@@ -44,7 +44,7 @@
    * Each daemon hears of a request that is barred. The one that saw the last end keeps it for those
    * to come, and the leader, since the other may be at its end.
    */
-  private void barred(RequestRecord told, boolean own) {
+  private void barred(QuarantineRecord told, boolean own) {
     if (own || leads) {
       store.keep(told);
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
@@ -7,7 +7,7 @@
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.peer.Owners;
 import org.fawnvale.serving.core.peer.PeerMessage;
-import org.fawnvale.serving.core.quarantine.RequestRecord;
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.gateway.RepeatGuard;
 import org.fawnvale.serving.limit.LimitDesk;
 import org.fawnvale.serving.peer.Peers;
@@ -34,7 +34,7 @@
   }
 
   @Override
-  public List<RequestRecord> records(boolean forOthers) {
+  public List<QuarantineRecord> records(boolean forOthers) {
     return repeats.toTell(forOthers);
   }
 
@@ -44,7 +44,7 @@
   }
 
   @Override
-  public void hear(List<RequestRecord> records, List<LimitUpdate> notes) {
+  public void hear(List<QuarantineRecord> records, List<LimitUpdate> notes) {
     if (!records.isEmpty()) {
       repeats.hear(records);
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RepeatGuard.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RepeatGuard.java
@@ -11,7 +11,7 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.core.quarantine.Quarantine;
-import org.fawnvale.serving.core.quarantine.RequestRecord;
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.http.NodeClient;
 
 /**
@@ -43,7 +43,7 @@
      * @param told what is known of it
      * @param own whether this daemon saw the last end; otherwise it heard of it
      */
-    void barred(RequestRecord told, boolean own);
+    void barred(QuarantineRecord told, boolean own);
   }
 
   private final Quarantine quarantine = new Quarantine();
@@ -176,7 +176,7 @@
   }
 
   private void tellBarred(Fingerprint fingerprint, boolean own) {
-    RequestRecord told = quarantine.recordOf(fingerprint);
+    QuarantineRecord told = quarantine.recordOf(fingerprint);
     if (told != null) {
       barredListener.barred(told, own);
     }
@@ -218,7 +218,7 @@
    *
    * @param records its records
    */
-  public void hear(List<RequestRecord> records) {
+  public void hear(List<QuarantineRecord> records) {
     for (Fingerprint fingerprint : quarantine.hear(records, System.nanoTime())) {
       LOG.warn("fingerprint={} outcome=barred by=peers", fingerprint);
       tellBarred(fingerprint, false);
@@ -231,7 +231,7 @@
    *
    * @return their records
    */
-  public List<RequestRecord> barred() {
+  public List<QuarantineRecord> barred() {
     return quarantine.barredRecords();
   }
 
@@ -261,7 +261,7 @@
    * @param forOthers whether what others have told is told on, as a relay does
    * @return records of requests
    */
-  public List<RequestRecord> toTell(boolean forOthers) {
+  public List<QuarantineRecord> toTell(boolean forOthers) {
     return quarantine.toTell(forOthers, System.nanoTime());
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/NoteCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/NoteCodec.java
@@ -9,7 +9,7 @@
 import org.fawnvale.serving.core.peer.DataCentreDigest;
 import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.Standing;
-import org.fawnvale.serving.core.quarantine.RequestRecord;
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.core.watch.CopyPlaces;
 import org.fawnvale.serving.limit.LimitNoteCodec;
 import org.msgpack.core.MessageBufferPacker;
@@ -38,7 +38,7 @@
       CopyPlaces places,
       List<String> addresses,
       List<DataCentreDigest> digests,
-      List<RequestRecord> records,
+      List<QuarantineRecord> records,
       List<LimitUpdate> limits) {}
 
   static byte[] write(Datagram datagram) throws IOException {
@@ -167,7 +167,7 @@
       for (int index = 0; index < told; index++) {
         digests.add(DigestCodec.read(in));
       }
-      List<RequestRecord> records = RecordCodec.read(in);
+      List<QuarantineRecord> records = RecordCodec.read(in);
       return new Datagram(note, places, addresses, digests, records, LimitNoteCodec.read(in));
     }
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -20,7 +20,7 @@
 import org.fawnvale.serving.core.peer.NoteRouting;
 import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.Standing;
-import org.fawnvale.serving.core.quarantine.RequestRecord;
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.core.watch.CopyPlaces;
 
 /** What the other daemons told last, and who leads. All calls hold the guard. */
@@ -62,7 +62,7 @@
      * @param forOthers whether what others have told is told on, as the relay of a large fleet does
      * @return the records that go out with the next note
      */
-    List<RequestRecord> records(boolean forOthers);
+    List<QuarantineRecord> records(boolean forOthers);
 
     /**
      * Limits that nodes name.
@@ -78,7 +78,7 @@
      * @param records what it knows of requests under which nodes ended
      * @param limits what it knows of limits
      */
-    void hear(List<RequestRecord> records, List<LimitUpdate> limits);
+    void hear(List<QuarantineRecord> records, List<LimitUpdate> limits);
   }
 
   /** Told what a peer's copies of the store's objects show. */
@@ -222,7 +222,7 @@
     Set<String> targets =
         routing.targets(others, new NoteRouting.Occasion(turn, leads, leadership.leader(), news));
     boolean relays = NoteRouting.hasRelays(others.size() + 1) && routing.isRelay(others);
-    List<RequestRecord> records = shared.records(relays);
+    List<QuarantineRecord> records = shared.records(relays);
     List<LimitUpdate> limits = shared.limits(relays);
     List<String> addresses = link.addresses();
     link.send(
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/RecordCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/RecordCodec.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.fawnvale.serving.core.model.NodeLife;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
-import org.fawnvale.serving.core.quarantine.RequestRecord;
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
 
@@ -16,9 +16,9 @@
 
   private RecordCodec() {}
 
-  static void write(MessageBufferPacker packer, List<RequestRecord> records) throws IOException {
+  static void write(MessageBufferPacker packer, List<QuarantineRecord> records) throws IOException {
     packer.packArrayHeader(records.size());
-    for (RequestRecord told : records) {
+    for (QuarantineRecord told : records) {
       packer.packLong(told.fingerprint().value());
       writeLives(packer, told.ended());
       writeLives(packer, told.excused());
@@ -34,13 +34,13 @@
     }
   }
 
-  static List<RequestRecord> read(MessageUnpacker in) throws IOException {
+  static List<QuarantineRecord> read(MessageUnpacker in) throws IOException {
     int count = in.unpackArrayHeader();
-    List<RequestRecord> records = new ArrayList<>();
+    List<QuarantineRecord> records = new ArrayList<>();
     for (int index = 0; index < count; index++) {
       Fingerprint fingerprint = new Fingerprint(in.unpackLong());
       Set<NodeLife> ended = readLives(in);
-      records.add(new RequestRecord(fingerprint, ended, readLives(in)));
+      records.add(new QuarantineRecord(fingerprint, ended, readLives(in)));
     }
     return records;
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
@@ -12,7 +12,7 @@
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.core.quarantine.KeptRecord;
-import org.fawnvale.serving.core.quarantine.RequestRecord;
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
 import org.fawnvale.serving.http.WholeCall;
@@ -45,8 +45,8 @@
   private final Endpoint store;
   private final Platform platform;
   private final LongSupplier clockMillis;
-  private final Consumer<List<RequestRecord>> known;
-  private final Map<Fingerprint, RequestRecord> waiting = new LinkedHashMap<>();
+  private final Consumer<List<QuarantineRecord>> known;
+  private final Map<Fingerprint, QuarantineRecord> waiting = new LinkedHashMap<>();
   private boolean calling;
 
   /**
@@ -65,7 +65,7 @@
       Endpoint store,
       Platform platform,
       LongSupplier clockMillis,
-      Consumer<List<RequestRecord>> known) {
+      Consumer<List<QuarantineRecord>> known) {
     this.client = client;
     this.timers = timers;
     this.store = store;
@@ -103,7 +103,7 @@
   private void take(WholeCall.Answered answer) {
     try {
       Page<KeptRecord> page = platform.keptRecords(platform.era(answer.head()), answer.body());
-      List<RequestRecord> holding = new ArrayList<>();
+      List<QuarantineRecord> holding = new ArrayList<>();
       for (Page.Item<KeptRecord> item : page.items()) {
         KeptRecord kept = item.value();
         if (kept != null && kept.untilMillis() > clockMillis.getAsLong()) {
@@ -137,7 +137,7 @@
    *
    * @param told what is known of it
    */
-  public void keep(RequestRecord told) {
+  public void keep(QuarantineRecord told) {
     if (waiting.size() < MOST_WAITING) {
       waiting.put(told.fingerprint(), told);
       keepNext();
@@ -162,13 +162,13 @@
       return;
     }
     calling = true;
-    RequestRecord next = waiting.values().iterator().next();
+    QuarantineRecord next = waiting.values().iterator().next();
     KeptRecord kept = new KeptRecord(next, clockMillis.getAsLong() + KEPT_MILLIS);
     WholeCall.send(
         client, timers, store, platform.keep(kept), CALL_MILLIS, reply -> called(next, reply));
   }
 
-  private void called(RequestRecord told, WholeCall.Reply reply) {
+  private void called(QuarantineRecord told, WholeCall.Reply reply) {
     calling = false;
     boolean isKept =
         reply instanceof WholeCall.Answered answer
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RepeatsThatEndNodesTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RepeatsThatEndNodesTest.java
@@ -15,7 +15,7 @@
 import org.fawnvale.serving.core.model.NodeLife;
 import org.fawnvale.serving.core.model.Workspace;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
-import org.fawnvale.serving.core.quarantine.RequestRecord;
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -114,7 +114,7 @@
     synchronized (running.guard()) {
       gateway
           .repeats()
-          .hear(List.of(new RequestRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
+          .hear(List.of(new QuarantineRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
     }
     assertThat(status.get()).isEqualTo(502);
     assertThat(silent.awaitGivenUp()).isTrue();
@@ -126,7 +126,7 @@
     synchronized (running.guard()) {
       gateway
           .repeats()
-          .hear(List.of(new RequestRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
+          .hear(List.of(new QuarantineRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
     }
     assertThat(ask("/safe/sheet", "r1", "rose")).isEqualTo(503);
     assertThat(ended()).isZero();
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
@@ -13,7 +13,7 @@
 import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.Standing;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
-import org.fawnvale.serving.core.quarantine.RequestRecord;
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.core.watch.CopyPlaces;
 import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePosition;
@@ -54,7 +54,7 @@
                   true,
                   List.of(new DataCentreDigest.Member("edge-9", "127.0.0.9", 4, Standing.FIT)))),
           List.of(
-              new RequestRecord(
+              new QuarantineRecord(
                   new Fingerprint(-17),
                   Set.of(new NodeLife("n5", 1_700_000_000_000L), NodeLife.only("n6")),
                   Set.of(NodeLife.only("n6")))),
