--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/KeptRecord.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/StoredQuarantineRecord.java
@@ -6,4 +6,4 @@
  * @param told the record
  * @param untilMillis until when it holds, in milliseconds of Unix time
  */
-public record KeptRecord(QuarantineRecord told, long untilMillis) {}
+public record StoredQuarantineRecord(QuarantineRecord told, long untilMillis) {}
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
@@ -9,7 +9,7 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeAnswer;
 import org.fawnvale.serving.core.model.RequestSize;
-import org.fawnvale.serving.core.quarantine.KeptRecord;
+import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
 import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePosition;
 
@@ -105,7 +105,7 @@
    * @return the page
    * @throws IOException when the body can't be read
    */
-  Page<KeptRecord> keptRecords(StoreEra era, byte[] body) throws IOException;
+  Page<StoredQuarantineRecord> keptRecords(StoreEra era, byte[] body) throws IOException;
 
   /**
    * The call that keeps a request that ends nodes, unless it is kept already.
@@ -113,7 +113,7 @@
    * @param kept the record
    * @return the call
    */
-  Call keep(KeptRecord kept);
+  Call keep(StoredQuarantineRecord kept);
 
   /**
    * The call that removes one of the system's own objects.
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
@@ -10,7 +10,7 @@
 import org.fawnvale.serving.core.model.NodeAnswer;
 import org.fawnvale.serving.core.model.RequestSize;
 import org.fawnvale.serving.core.model.StatedLimit;
-import org.fawnvale.serving.core.quarantine.KeptRecord;
+import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
 import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.spi.Call;
@@ -73,12 +73,12 @@
   }
 
   @Override
-  public Page<KeptRecord> keptRecords(StoreEra era, byte[] body) {
+  public Page<StoredQuarantineRecord> keptRecords(StoreEra era, byte[] body) {
     throw new UnsupportedOperationException("This test has no store.");
   }
 
   @Override
-  public Call keep(KeptRecord kept) {
+  public Call keep(StoredQuarantineRecord kept) {
     throw new UnsupportedOperationException("This test has no store.");
   }
 
