--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
@@ -6,7 +6,7 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeAnswer;
 import org.fawnvale.serving.core.model.NodeLife;
-import org.fawnvale.serving.core.peer.Owners;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -24,7 +24,7 @@
   private static final int REDIRECT = 300;
 
   private final KnownLimits known = new KnownLimits();
-  private final Owners owners;
+  private final RendezvousOwners owners;
   private final Map<NodeLife, Owned> buckets = new HashMap<>();
   private final Map<NodeLife, Leave> leaves = new HashMap<>();
   private final Map<NodeLife, Long> askAgain = new HashMap<>();
@@ -66,7 +66,7 @@
    *
    * @param owners tells which daemon spends which limit
    */
-  public SharedLimits(Owners owners) {
+  public SharedLimits(RendezvousOwners owners) {
     this.owners = owners;
   }
 
@@ -201,7 +201,7 @@
    * @param node the node
    * @return the owner of its limit
    */
-  public Owners.Daemon ownerOf(Node node) {
+  public RendezvousOwners.Daemon ownerOf(Node node) {
     return owners.ownerOf(node.id(), node.dataCentre());
   }
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/Owners.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/RendezvousOwners.java
@@ -19,7 +19,7 @@
  * owner has the share of a matter that the daemons in touch are of those heard lately: what the
  * sides of a cut have adds up to the whole.
  */
-public final class Owners {
+public final class RendezvousOwners {
 
   /**
    * How long after the daemons in touch have changed a new owner begins, in nanoseconds: the former
@@ -57,7 +57,7 @@
    *
    * @param self this daemon
    */
-  public Owners(Daemon self) {
+  public RendezvousOwners(Daemon self) {
     this.self = self;
     this.inTouch = List.of(self);
     this.names = Set.of(self.name());
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ConnectionReuseTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ConnectionReuseTest.java
@@ -16,7 +16,7 @@
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeLife;
-import org.fawnvale.serving.core.peer.Owners;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -51,7 +51,7 @@
         new Dispatcher(
             "here",
             new UpstreamGate(
-                new SharedLimits(new Owners(new Owners.Daemon("d", "127.0.0.1", "a")))),
+                new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a")))),
             () -> 0);
     final Map<Endpoint, List<Double>> rested = new HashMap<>();
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
@@ -15,7 +15,7 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeAnswer;
 import org.fawnvale.serving.core.model.NodeLife;
-import org.fawnvale.serving.core.peer.Owners;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.junit.jupiter.api.Test;
 
 /** Where a request goes, and who is let in when little is left. */
@@ -27,7 +27,7 @@
   private static final long MILLI = 1_000_000L;
 
   private final UpstreamGate gate =
-      new UpstreamGate(new SharedLimits(new Owners(new Owners.Daemon("d", "127.0.0.1", "a"))));
+      new UpstreamGate(new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
   private final AtomicLong now = new AtomicLong();
   private final Dispatcher dispatcher = new Dispatcher("here", gate, now::get);
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadPlay.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadPlay.java
@@ -26,7 +26,7 @@
 import org.fawnvale.serving.core.model.NodeAnswer;
 import org.fawnvale.serving.core.model.NodeLife;
 import org.fawnvale.serving.core.model.RequestSize;
-import org.fawnvale.serving.core.peer.Owners;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 
 /**
  * Plays a load in simulated time: callers of streams before many daemons, each with a dispatcher of
@@ -135,7 +135,7 @@
 
   private static final class Daemon {
     final UpstreamGate gate =
-        new UpstreamGate(new SharedLimits(new Owners(new Owners.Daemon("d", "127.0.0.1", "a"))));
+        new UpstreamGate(new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
     final Dispatcher dispatcher;
 
     Daemon(String dataCentre, Random random, LongSupplier steadyNanos) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/UpstreamGateTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/UpstreamGateTest.java
@@ -8,7 +8,7 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeAnswer;
 import org.fawnvale.serving.core.model.NodeLife;
-import org.fawnvale.serving.core.peer.Owners;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.junit.jupiter.api.Test;
 
 /** What nodes ask for with their answers, and for how long it holds. */
@@ -24,7 +24,7 @@
   private static final NodeAnswer PLAIN = new NodeAnswer(200, false, false, 0, null, null);
 
   private final UpstreamGate gate =
-      new UpstreamGate(new SharedLimits(new Owners(new Owners.Daemon("d", "127.0.0.1", "a"))));
+      new UpstreamGate(new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
 
   private static NodeAnswer restOf(long millis) {
     return new NodeAnswer(503, true, false, millis, null, null);
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodesThatStartAgainTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodesThatStartAgainTest.java
@@ -12,7 +12,7 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeLife;
 import org.fawnvale.serving.core.model.Policy;
-import org.fawnvale.serving.core.peer.Owners;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -135,7 +135,7 @@
         new Dispatcher(
             "a",
             new UpstreamGate(
-                new SharedLimits(new Owners(new Owners.Daemon("d", "127.0.0.1", "a")))),
+                new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a")))),
             () -> 0);
     dispatcher.serve(List.of(node(1, "large")));
     dispatcher.state("n").suspect(now);
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/LimitPlay.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/LimitPlay.java
@@ -12,7 +12,7 @@
 import org.fawnvale.serving.core.model.NodeAnswer;
 import org.fawnvale.serving.core.model.NodeLife;
 import org.fawnvale.serving.core.model.StatedLimit;
-import org.fawnvale.serving.core.peer.Owners;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 
 /**
  * Plays one node that names a limit before many daemons, in simulated time: callers ask any daemon,
@@ -99,16 +99,16 @@
   private record Due(long at, Runnable what) {}
 
   private static final class Daemon {
-    final Owners.Daemon self;
-    final Owners owners;
+    final RendezvousOwners.Daemon self;
+    final RendezvousOwners owners;
     final SharedLimits limits;
     final TokenBucket own = new TokenBucket(0);
     boolean alive = true;
     int side;
 
     Daemon(int number) {
-      self = new Owners.Daemon("d" + number, "a" + number, "dc" + number % DATA_CENTRES);
-      owners = new Owners(self);
+      self = new RendezvousOwners.Daemon("d" + number, "a" + number, "dc" + number % DATA_CENTRES);
+      owners = new RendezvousOwners(self);
       limits = new SharedLimits(owners);
     }
   }
@@ -167,7 +167,7 @@
   private void see() {
     int alive = (int) daemons.stream().filter(daemon -> daemon.alive).count();
     for (Daemon daemon : daemons) {
-      List<Owners.Daemon> others = new ArrayList<>();
+      List<RendezvousOwners.Daemon> others = new ArrayList<>();
       for (Daemon other : daemons) {
         if (other != daemon && other.alive && other.side == daemon.side) {
           others.add(other.self);
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/BarredAwayFromTheLeaderTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/BarredAwayFromTheLeaderTest.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.fawnvale.serving.core.model.NodeLife;
-import org.fawnvale.serving.core.peer.Owners;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -29,7 +29,7 @@
   private static final int[] ALL = {0, 1, 2, 3, 4, 5, 6, 7, 8};
 
   private final List<Quarantine> daemons = new ArrayList<>();
-  private final List<Owners> views = new ArrayList<>();
+  private final List<RendezvousOwners> views = new ArrayList<>();
 
   @BeforeEach
   void bar() {
@@ -50,20 +50,20 @@
   /** Some daemons hear each other and nobody else. */
   private void inTouch(int from, int until) {
     for (int number = from; number < until; number++) {
-      List<Owners.Daemon> others = new ArrayList<>();
+      List<RendezvousOwners.Daemon> others = new ArrayList<>();
       for (int other = from; other < until; other++) {
         if (other != number) {
           others.add(named(other));
         }
       }
-      Owners view = new Owners(named(number));
+      RendezvousOwners view = new RendezvousOwners(named(number));
       view.see(others, DAEMONS, 0);
       views.add(view);
     }
   }
 
-  private static Owners.Daemon named(int number) {
-    return new Owners.Daemon("d" + number, "10.0.0." + number, "dc" + number / 3);
+  private static RendezvousOwners.Daemon named(int number) {
+    return new RendezvousOwners.Daemon("d" + number, "10.0.0." + number, "dc" + number / 3);
   }
 
   private void tellAll(Quarantine from, long nowNanos) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.limit.SharedLimits;
-import org.fawnvale.serving.core.peer.Owners;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.gateway.RepeatGuard;
@@ -15,12 +15,12 @@
 /** What all daemons come to know together: requests that end nodes, and limits that nodes name. */
 final class NewsForPeers implements Peers.SharedNews {
 
-  private final Owners owners;
+  private final RendezvousOwners owners;
   private final RepeatGuard repeats;
   private final SharedLimits limits;
   private final LimitDesk desk;
 
-  NewsForPeers(Owners owners, RepeatGuard repeats, SharedLimits limits, LimitDesk desk) {
+  NewsForPeers(RendezvousOwners owners, RepeatGuard repeats, SharedLimits limits, LimitDesk desk) {
     this.owners = owners;
     this.repeats = repeats;
     this.limits = limits;
@@ -53,9 +53,9 @@
 
   /** Takes in which daemons are in touch: they share limits, and trials of barred requests. */
   void see(Collection<PeerMessage> live, int heardLately) {
-    List<Owners.Daemon> others = new ArrayList<>();
+    List<RendezvousOwners.Daemon> others = new ArrayList<>();
     live.forEach(
-        note -> others.add(new Owners.Daemon(note.name(), note.address(), note.dataCentre())));
+        note -> others.add(new RendezvousOwners.Daemon(note.name(), note.address(), note.dataCentre())));
     if (owners.see(others, heardLately, System.nanoTime())) {
       limits.ownersChanged();
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -24,7 +24,7 @@
 import org.fawnvale.serving.core.model.ServiceSpec;
 import org.fawnvale.serving.core.model.Settings;
 import org.fawnvale.serving.core.peer.DaemonState;
-import org.fawnvale.serving.core.peer.Owners;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.Standing;
 import org.fawnvale.serving.core.route.RouteTable;
@@ -143,8 +143,8 @@
     this.platform = platform;
     this.reactor = reactor;
     this.client = new HttpClient(reactor, timers);
-    Owners owners =
-        new Owners(new Owners.Daemon(settings.name(), settings.address(), settings.dataCentre()));
+    RendezvousOwners owners =
+        new RendezvousOwners(new RendezvousOwners.Daemon(settings.name(), settings.address(), settings.dataCentre()));
     SharedLimits limits = new SharedLimits(owners);
     this.gate = new UpstreamGate(limits);
     OwnerCalls ownerCalls = new OwnerCalls(client, timers, settings.peerPort() + COPY_PORT_OFFSET);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitDesk.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitDesk.java
@@ -10,7 +10,7 @@
 import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.peer.Owners;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.http.LimitLog;
 
 /**
@@ -71,7 +71,7 @@
       told.accept(true);
       return;
     }
-    Owners.Daemon owner = limits.ownerOf(node);
+    RendezvousOwners.Daemon owner = limits.ownerOf(node);
     try {
       String target = new LeaveQuestion(known, node.dataCentre()).target();
       calls.ask(owner, target, body -> told.accept(take(node, owner, body)));
@@ -81,7 +81,7 @@
     }
   }
 
-  private boolean take(Node node, Owners.Daemon owner, byte[] body) {
+  private boolean take(Node node, RendezvousOwners.Daemon owner, byte[] body) {
     SharedLimits.Reply said = read(body);
     long now = System.nanoTime();
     String outcome = "granted";
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/OwnerCalls.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/OwnerCalls.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 import org.fawnvale.serving.core.model.Endpoint;
-import org.fawnvale.serving.core.peer.Owners;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
 import org.fawnvale.serving.http.WholeCall;
@@ -40,7 +40,7 @@
    * @param target the path of the question
    * @param told told the body of its answer once, while the guard is held; empty without one
    */
-  void ask(Owners.Daemon owner, String target, Consumer<byte[]> told) {
+  void ask(RendezvousOwners.Daemon owner, String target, Consumer<byte[]> told) {
     Endpoint endpoint = new Endpoint(owner.address(), port);
     WholeCall.send(
         client, timers, endpoint, Call.get(target), ASK_MILLIS, reply -> told.accept(body(reply)));
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialDesk.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialDesk.java
@@ -4,7 +4,7 @@
 import java.util.function.Predicate;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.fawnvale.serving.core.peer.Owners;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 
 /**
@@ -26,7 +26,7 @@
   private static final int RADIX = 16;
 
   private final OwnerCalls calls;
-  private final Owners owners;
+  private final RendezvousOwners owners;
   private final Predicate<Fingerprint> gives;
 
   /**
@@ -36,7 +36,7 @@
    * @param owners tells which daemon gives leave for which request
    * @param gives gives leave for a request that this daemon decides on
    */
-  public TrialDesk(OwnerCalls calls, Owners owners, Predicate<Fingerprint> gives) {
+  public TrialDesk(OwnerCalls calls, RendezvousOwners owners, Predicate<Fingerprint> gives) {
     this.calls = calls;
     this.owners = owners;
     this.gives = gives;
@@ -58,7 +58,7 @@
       told.accept(gives.test(fingerprint));
       return;
     }
-    Owners.Daemon owner = owners.ownerOf(matter, NO_DATA_CENTRE);
+    RendezvousOwners.Daemon owner = owners.ownerOf(matter, NO_DATA_CENTRE);
     calls.ask(
         owner, PATH + matter, body -> told.accept(body.length == YES.length && body[0] == YES[0]));
   }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
@@ -15,7 +15,7 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeLife;
 import org.fawnvale.serving.core.model.Settings;
-import org.fawnvale.serving.core.peer.Owners;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.core.route.RouteTable;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.HttpReactor;
@@ -30,7 +30,7 @@
   private final Timers timers = new Timers(new Object());
   private final HttpReactor reactor = HttpReactor.start(16_384);
   private final UpstreamGate gate =
-      new UpstreamGate(new SharedLimits(new Owners(new Owners.Daemon("d", "127.0.0.1", "a"))));
+      new UpstreamGate(new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
   private final Dispatcher dispatcher = new Dispatcher("a", gate, System::nanoTime);
   private final Gateway gateway;
   private final int port;
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
@@ -10,7 +10,7 @@
 import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.model.NodeLife;
-import org.fawnvale.serving.core.peer.Owners;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.HttpReactor;
@@ -21,14 +21,14 @@
 /** What a daemon answers to others that ask it for leave. */
 class DesksTest {
 
-  private static final Owners.Daemon SELF = new Owners.Daemon("d1", "127.0.0.1", "a");
-  private static final Owners.Daemon OTHER = new Owners.Daemon("d2", "127.0.0.2", "b");
+  private static final RendezvousOwners.Daemon SELF = new RendezvousOwners.Daemon("d1", "127.0.0.1", "a");
+  private static final RendezvousOwners.Daemon OTHER = new RendezvousOwners.Daemon("d2", "127.0.0.2", "b");
   private static final LimitUpdate LIMIT = new LimitUpdate(new NodeLife("n1", 7), 2, 50, 30);
   private static final Fingerprint SHEET = new Fingerprint(-17);
 
   private final Timers timers = new Timers(new Object());
   private final HttpReactor reactor = HttpReactor.start(16_384);
-  private final Owners owners = new Owners(SELF);
+  private final RendezvousOwners owners = new RendezvousOwners(SELF);
   private final SharedLimits limits = new SharedLimits(owners);
   private final OwnerCalls calls = new OwnerCalls(new HttpClient(reactor, timers), timers, 1);
   private final LimitDesk limitDesk = new LimitDesk(calls, limits, new SimpleMeterRegistry());
@@ -116,9 +116,9 @@
   @Test
   void whoDoesNotOwnATrialGivesNoLeave() {
     List<Fingerprint> asked = new ArrayList<>();
-    List<Owners.Daemon> others = new ArrayList<>();
+    List<RendezvousOwners.Daemon> others = new ArrayList<>();
     for (int number = 2; number < 40; number++) {
-      others.add(new Owners.Daemon("d" + number, "127.0.0." + number, "a"));
+      others.add(new RendezvousOwners.Daemon("d" + number, "127.0.0." + number, "a"));
     }
     owners.see(others, 39, System.nanoTime());
     assertThat(owners.isOwn("ffffffffffffffef", "")).isFalse();
