--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/Leadership.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/LeaderElection.java
@@ -15,7 +15,7 @@
  * outbid each other's terms. So a term may have several leaders at once, and the claims within it
  * are counted: each is above all that its leader has heard of.
  */
-public final class Leadership {
+public final class LeaderElection {
 
   /** Notes that may be missed before their sender counts as gone. */
   private static final long SILENCE_NANOS = 500_000_000L;
@@ -44,7 +44,7 @@
    * @param self its name
    * @param dataCentre its data centre
    */
-  public Leadership(String self, String dataCentre) {
+  public LeaderElection(String self, String dataCentre) {
     this.self = self;
     this.dataCentre = dataCentre;
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/CutDataCentreTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/CutDataCentreTest.java
@@ -35,7 +35,7 @@
 
   private static final class Daemon {
     final String name;
-    final Leadership leadership;
+    final LeaderElection leadership;
     final StoreDoubt doubt = new StoreDoubt();
     long callBegun = -1;
     long failedAt = Long.MIN_VALUE / 2;
@@ -43,7 +43,7 @@
 
     Daemon(int number) {
       name = String.format("d%02d", number);
-      leadership = new Leadership(name, "cut");
+      leadership = new LeaderElection(name, "cut");
     }
 
     /** A call that was begun fails after a while. */
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/LeadershipTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/LeaderElectionTest.java
@@ -11,17 +11,17 @@
 import org.junit.jupiter.api.Test;
 
 /** Who leads among three daemons that tell each other a note every 150 ms. */
-class LeadershipTest {
+class LeaderElectionTest {
 
   private static final long MILLI = 1_000_000L;
 
-  private final Map<String, Leadership> daemons = new LinkedHashMap<>();
+  private final Map<String, LeaderElection> daemons = new LinkedHashMap<>();
   private final Map<String, Standing> standings = new LinkedHashMap<>();
   private long now;
 
   private void start(String... names) {
     for (String name : names) {
-      daemons.put(name, new Leadership(name, "here"));
+      daemons.put(name, new LeaderElection(name, "here"));
       standings.put(name, Standing.FIT);
     }
   }
@@ -35,7 +35,7 @@
     }
   }
 
-  private void tell(String from, Leadership daemon) {
+  private void tell(String from, LeaderElection daemon) {
     PeerMessage note =
         new PeerMessage(
             from,
@@ -62,8 +62,8 @@
   }
 
   /** Lets a daemon decide alone for a while, as do the others among themselves. */
-  private Leadership cutOff(String name, int millis) {
-    Leadership alone = daemons.remove(name);
+  private LeaderElection cutOff(String name, int millis) {
+    LeaderElection alone = daemons.remove(name);
     long end = now + millis * MILLI;
     while (now < end) {
       run(50);
@@ -84,7 +84,7 @@
     start("a", "b", "c");
     run(1_000);
     assertThat(leading()).containsExactly("a");
-    assertThat(daemons.values()).extracting(Leadership::leader).containsOnly("a");
+    assertThat(daemons.values()).extracting(LeaderElection::leader).containsOnly("a");
   }
 
   @Test
@@ -122,7 +122,7 @@
     run(1_000);
     daemons.remove("a");
     run(1_000);
-    daemons.put("a", new Leadership("a", "here"));
+    daemons.put("a", new LeaderElection("a", "here"));
     run(1_000);
     assertThat(leading()).containsExactly("b");
   }
@@ -131,9 +131,9 @@
   void aDaemonThatHearsFewOthersRaisesNoTermAndGoesQuietWhenRefused() {
     start("a", "b", "c");
     run(1_000);
-    Leadership cutOff = daemons.remove("a");
+    LeaderElection cutOff = daemons.remove("a");
     daemons.remove("b");
-    Leadership other = daemons.get("c");
+    LeaderElection other = daemons.get("c");
     long term = other.term();
     run(1_500);
     assertThat(other.decide(Standing.FIT, now)).isTrue();
@@ -184,14 +184,14 @@
       daemons.forEach(this::tell);
     }
     assertThat(claimed).containsExactly("e");
-    assertThat(daemons.values()).extracting(Leadership::leader).containsOnly("e");
+    assertThat(daemons.values()).extracting(LeaderElection::leader).containsOnly("e");
   }
 
   @Test
   void twoLeadersOfOneTermHaveDifferentFences() {
     start("a", "b", "c");
     run(1_000);
-    Leadership cutOff = cutOff("c", 2_000);
+    LeaderElection cutOff = cutOff("c", 2_000);
     assertThat(cutOff.leader()).isEqualTo("c");
     assertThat(cutOff.term()).isEqualTo(daemons.get("a").term());
     assertThat(cutOff.fence()).isNotEqualTo(daemons.get("a").fence());
@@ -201,7 +201,7 @@
   void theLeaderAfterACutHasAFenceAboveThatOfEitherSide() {
     start("a", "b", "c");
     run(1_000);
-    Leadership cutOff = cutOff("c", 2_000);
+    LeaderElection cutOff = cutOff("c", 2_000);
     long ofCutOff = cutOff.fence();
     daemons.put("c", cutOff);
     run(500);
@@ -227,7 +227,7 @@
     daemons.remove("a");
     daemons.remove("b");
     run(1_500);
-    Leadership alone = daemons.get("c");
+    LeaderElection alone = daemons.get("c");
     long refused = alone.fence();
     alone.refused(now);
     run(5_000);
@@ -249,7 +249,7 @@
    */
   @Test
   void aDaemonThatStartsAgainWhileItsTimeOfDayStandsBackIsHeard() {
-    Leadership here = new Leadership("b", "here");
+    LeaderElection here = new LeaderElection("b", "here");
     here.hear(note("a", 5_000), now);
     now += 600 * MILLI;
     here.hear(note("a", 2_600), now);
@@ -258,7 +258,7 @@
 
   @Test
   void aNoteOfAFormerLifeThatArrivesLateIsNotHeard() {
-    Leadership here = new Leadership("b", "here");
+    LeaderElection here = new LeaderElection("b", "here");
     here.hear(note("a", 2_600), now);
     here.hear(note("a", 5_000), now);
     now += 100 * MILLI;
@@ -274,7 +274,7 @@
   void aLeaderThatWasSuspendedStepsBackWithTheFirstNoteThatItHears() {
     start("a", "b", "c");
     run(1_000);
-    Leadership suspended = daemons.remove("a");
+    LeaderElection suspended = daemons.remove("a");
     long itsClock = now;
     run(3_000);
     itsClock += 50 * MILLI;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -16,7 +16,7 @@
 import org.fawnvale.serving.core.peer.DaemonState;
 import org.fawnvale.serving.core.peer.DataCentreDigest;
 import org.fawnvale.serving.core.peer.Digests;
-import org.fawnvale.serving.core.peer.Leadership;
+import org.fawnvale.serving.core.peer.LeaderElection;
 import org.fawnvale.serving.core.peer.NoteRouting;
 import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.Standing;
@@ -30,7 +30,7 @@
 
   private final Settings settings;
   private final long incarnation;
-  private final Leadership leadership;
+  private final LeaderElection leadership;
   private final Digests digests;
   private final NoteRouting routing;
   private final PlacesListener placesHeard;
@@ -46,7 +46,7 @@
       Settings settings, long incarnation, PlacesListener placesHeard, SharedNews shared) {
     this.settings = settings;
     this.incarnation = incarnation;
-    this.leadership = new Leadership(settings.name(), settings.dataCentre());
+    this.leadership = new LeaderElection(settings.name(), settings.dataCentre());
     this.digests = new Digests(settings.dataCentre());
     this.routing = new NoteRouting(settings.name(), settings.dataCentre());
     this.placesHeard = placesHeard;
@@ -414,7 +414,7 @@
    *
    * @return the view of leadership
    */
-  public Leadership leadership() {
+  public LeaderElection leadership() {
     return leadership;
   }
 
