--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/DaemonState.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/DaemonState.java
@@ -16,7 +16,7 @@
  * @param closed heads whose groups it takes apart, when it leads
  */
 public record DaemonState(
-    Standing standing,
+    LeaderEligibility standing,
     boolean served,
     Map<String, Integer> inFlight,
     Map<String, Double> offeredWork,
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/LeaderElection.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/LeaderElection.java
@@ -32,7 +32,7 @@
   private String leader = "";
   private long highestClaim;
   private long ownClaim;
-  private Standing own = Standing.UNFIT;
+  private LeaderEligibility own = LeaderEligibility.UNFIT;
   private long leaderlessSince = NEVER;
   private long quietUntil = NEVER;
 
@@ -116,8 +116,8 @@
    * one that has lost the store to one that has it.
    */
   private boolean isPreferred(String candidate, long nowNanos) {
-    Standing ofCandidate = candidate.equals(self) ? own : standingOf(candidate, nowNanos);
-    Standing ofLeader = leader.equals(self) ? own : standingOf(leader, nowNanos);
+    LeaderEligibility ofCandidate = candidate.equals(self) ? own : standingOf(candidate, nowNanos);
+    LeaderEligibility ofLeader = leader.equals(self) ? own : standingOf(leader, nowNanos);
     if (leader.isEmpty() || ofCandidate != ofLeader) {
       return leader.isEmpty() || ofCandidate.compareTo(ofLeader) > 0;
     }
@@ -132,11 +132,11 @@
    * @param nowNanos the steady time
    * @return true when this daemon leads
    */
-  public boolean decide(Standing standing, long nowNanos) {
+  public boolean decide(LeaderEligibility standing, long nowNanos) {
     own = standing;
-    Standing best = bestStanding(standing, nowNanos);
-    Standing ofLeader = leader.equals(self) ? standing : standingOf(leader, nowNanos);
-    if (best == Standing.UNFIT || ofLeader == best) {
+    LeaderEligibility best = bestStanding(standing, nowNanos);
+    LeaderEligibility ofLeader = leader.equals(self) ? standing : standingOf(leader, nowNanos);
+    if (best == LeaderEligibility.UNFIT || ofLeader == best) {
       leaderlessSince = NEVER;
     } else if (leaderlessSince == NEVER) {
       leaderlessSince = nowNanos;
@@ -156,7 +156,7 @@
     if (leader.equals(self) && highestClaim > ownClaim) {
       claim();
     }
-    return standing != Standing.UNFIT && leader.equals(self) && nowNanos >= quietUntil;
+    return standing != LeaderEligibility.UNFIT && leader.equals(self) && nowNanos >= quietUntil;
   }
 
   /**
@@ -211,10 +211,10 @@
     ownClaim = highestClaim;
   }
 
-  private Standing standingOf(String name, long nowNanos) {
+  private LeaderEligibility standingOf(String name, long nowNanos) {
     Heard last = heard.get(name);
     boolean alive = last != null && isAlive(last, nowNanos);
-    return alive ? last.note().standing() : Standing.UNFIT;
+    return alive ? last.note().standing() : LeaderEligibility.UNFIT;
   }
 
   /** The leader tells its own data centre each of its notes. */
@@ -232,17 +232,17 @@
     return NoteRouting.hasRelays(heard.size() + 1) ? 2 * SILENCE_NANOS : SILENCE_NANOS;
   }
 
-  private Standing bestStanding(Standing own, long nowNanos) {
-    Standing best = own;
+  private LeaderEligibility bestStanding(LeaderEligibility own, long nowNanos) {
+    LeaderEligibility best = own;
     for (String name : heard.keySet()) {
-      Standing other = standingOf(name, nowNanos);
+      LeaderEligibility other = standingOf(name, nowNanos);
       best = other.compareTo(best) > 0 ? other : best;
     }
     return best;
   }
 
   /** Counts the daemons of the best standing whose names come first. */
-  private int rank(Standing best, long nowNanos) {
+  private int rank(LeaderEligibility best, long nowNanos) {
     int rank = 0;
     for (String name : heard.keySet()) {
       if (name.compareTo(self) < 0 && standingOf(name, nowNanos) == best) {
@@ -307,7 +307,7 @@
    * @param nowNanos the steady time
    * @return the number of live daemons that come before it
    */
-  public int placeInDataCentre(Standing standing, long nowNanos) {
+  public int placeInDataCentre(LeaderEligibility standing, long nowNanos) {
     int before = 0;
     for (Heard last : heard.values()) {
       PeerMessage note = last.note();
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/Standing.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/LeaderEligibility.java
@@ -1,7 +1,7 @@
 package org.fawnvale.serving.core.peer;
 
 /** How fit a daemon is to lead; a later value is fitter. */
-public enum Standing {
+public enum LeaderEligibility {
   /** It stops, has just started, or knows no nodes. */
   UNFIT,
   /** It knows nodes, and the store does not answer it. */
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/PeerMessage.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/PeerMessage.java
@@ -30,7 +30,7 @@
     long term,
     String leader,
     long claim,
-    Standing standing,
+    LeaderEligibility standing,
     boolean served,
     Map<String, Integer> inFlight,
     Map<String, Double> offeredWork,
@@ -71,7 +71,7 @@
    * @param newer the standing
    * @return the note
    */
-  PeerMessage withStanding(Standing newer) {
+  PeerMessage withStanding(LeaderEligibility newer) {
     return new PeerMessage(
         name,
         address,
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/CutDataCentreTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/CutDataCentreTest.java
@@ -39,7 +39,7 @@
     final StoreDoubt doubt = new StoreDoubt();
     long callBegun = -1;
     long failedAt = Long.MIN_VALUE / 2;
-    Standing standing = Standing.FIT;
+    LeaderEligibility standing = LeaderEligibility.FIT;
 
     Daemon(int number) {
       name = String.format("d%02d", number);
@@ -81,10 +81,10 @@
   private void step(Daemon daemon, boolean doubts) {
     boolean peerHasLost =
         daemon.leadership.live(now).values().stream()
-            .anyMatch(note -> note.standing() == Standing.WITHOUT_STORE);
+            .anyMatch(note -> note.standing() == LeaderEligibility.WITHOUT_STORE);
     daemon.doubt.learn(peerHasLost, now);
     boolean answers = !daemon.failedLately(now) && (!doubts || daemon.doubt.isOver(-1));
-    daemon.standing = answers ? Standing.FIT : Standing.WITHOUT_STORE;
+    daemon.standing = answers ? LeaderEligibility.FIT : LeaderEligibility.WITHOUT_STORE;
     boolean leads = daemon.leadership.decide(daemon.standing, now);
     daemon.call(leads && isCut, now);
     if (leads) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/DigestsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/DigestsTest.java
@@ -22,7 +22,7 @@
         1,
         "",
         0,
-        Standing.FIT,
+        LeaderEligibility.FIT,
         true,
         inFlight,
         Map.of("large", 0.5),
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/LeaderElectionTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/LeaderElectionTest.java
@@ -16,13 +16,13 @@
   private static final long MILLI = 1_000_000L;
 
   private final Map<String, LeaderElection> daemons = new LinkedHashMap<>();
-  private final Map<String, Standing> standings = new LinkedHashMap<>();
+  private final Map<String, LeaderEligibility> standings = new LinkedHashMap<>();
   private long now;
 
   private void start(String... names) {
     for (String name : names) {
       daemons.put(name, new LeaderElection(name, "here"));
-      standings.put(name, Standing.FIT);
+      standings.put(name, LeaderEligibility.FIT);
     }
   }
 
@@ -67,7 +67,7 @@
     long end = now + millis * MILLI;
     while (now < end) {
       run(50);
-      alone.decide(Standing.FIT, now);
+      alone.decide(LeaderEligibility.FIT, now);
     }
     return alone;
   }
@@ -102,7 +102,7 @@
   void aLeaderThatLosesTheStoreGivesWayToOneThatHasIt() {
     start("a", "b", "c");
     run(1_000);
-    standings.put("a", Standing.WITHOUT_STORE);
+    standings.put("a", LeaderEligibility.WITHOUT_STORE);
     run(1_000);
     assertThat(leading()).containsExactly("b");
   }
@@ -111,7 +111,7 @@
   void aLeaderStaysWhenNoDaemonHasTheStore() {
     start("a", "b", "c");
     run(1_000);
-    standings.replaceAll((name, standing) -> Standing.WITHOUT_STORE);
+    standings.replaceAll((name, standing) -> LeaderEligibility.WITHOUT_STORE);
     run(1_000);
     assertThat(leading()).containsExactly("a");
   }
@@ -136,10 +136,10 @@
     LeaderElection other = daemons.get("c");
     long term = other.term();
     run(1_500);
-    assertThat(other.decide(Standing.FIT, now)).isTrue();
+    assertThat(other.decide(LeaderEligibility.FIT, now)).isTrue();
     assertThat(other.term()).isEqualTo(term);
     other.refused(now);
-    assertThat(other.decide(Standing.FIT, now)).isFalse();
+    assertThat(other.decide(LeaderEligibility.FIT, now)).isFalse();
     assertThat(other.term()).isEqualTo(term);
     assertThat(cutOff.term()).isEqualTo(term);
   }
@@ -149,7 +149,7 @@
     start("a", "b", "c", "d", "e", "f", "g");
     run(1_000);
     List.of("d", "e", "f", "g").forEach(daemons::remove);
-    standings.put("a", Standing.WITHOUT_STORE);
+    standings.put("a", LeaderEligibility.WITHOUT_STORE);
     List<String> leaders = new ArrayList<>();
     for (int step = 0; step < 40; step++) {
       now += 50 * MILLI;
@@ -164,7 +164,7 @@
     start("a", "b", "c");
     run(1_000);
     assertThat(watching()).containsExactly("a");
-    standings.put("a", Standing.WITHOUT_STORE);
+    standings.put("a", LeaderEligibility.WITHOUT_STORE);
     run(200);
     assertThat(watching()).containsExactly("b");
     daemons.remove("b");
@@ -231,7 +231,7 @@
     long refused = alone.fence();
     alone.refused(now);
     run(5_000);
-    assertThat(alone.decide(Standing.FIT, now)).isTrue();
+    assertThat(alone.decide(LeaderEligibility.FIT, now)).isTrue();
     assertThat(alone.fence()).isGreaterThan(refused);
   }
 
@@ -278,16 +278,16 @@
     long itsClock = now;
     run(3_000);
     itsClock += 50 * MILLI;
-    assertThat(suspended.decide(Standing.FIT, itsClock)).isTrue();
+    assertThat(suspended.decide(LeaderEligibility.FIT, itsClock)).isTrue();
     daemons.put("a", suspended);
     tell("b", daemons.get("b"));
-    assertThat(suspended.decide(Standing.FIT, itsClock)).isFalse();
+    assertThat(suspended.decide(LeaderEligibility.FIT, itsClock)).isFalse();
     assertThat(suspended.leader()).isEqualTo("b");
   }
 
   private static PeerMessage note(String from, long incarnation) {
     DataCentreDigest.Member member =
-        new DataCentreDigest.Member(from, from, incarnation, Standing.FIT);
+        new DataCentreDigest.Member(from, from, incarnation, LeaderEligibility.FIT);
     return PeerMessage.ofMember(member, "here");
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -26,7 +26,7 @@
 import org.fawnvale.serving.core.peer.DaemonState;
 import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.core.peer.PeerMessage;
-import org.fawnvale.serving.core.peer.Standing;
+import org.fawnvale.serving.core.peer.LeaderEligibility;
 import org.fawnvale.serving.core.route.RouteTable;
 import org.fawnvale.serving.core.watch.CopyPlaces;
 import org.fawnvale.serving.core.watch.CopyTimes;
@@ -447,7 +447,7 @@
   private void decideWhoLeads() {
     boolean led = leads;
     leads = peers.decide(standing());
-    Standing standing = standing();
+    LeaderEligibility standing = standing();
     nodes.active(leads || !nodes.place().isKnown() || peers.watchesForDataCentre(standing));
     if (leads && !led) {
       tellPeers(true);
@@ -524,16 +524,16 @@
     return ModelDemand.observed(engine, work, seconds);
   }
 
-  private Standing standing() {
+  private LeaderEligibility standing() {
     boolean settled = System.nanoTime() - startedNanos > SETTLE_NANOS;
     if (!settled || stopping || !nodes.place().isKnown() || configuration == null) {
-      return Standing.UNFIT;
+      return LeaderEligibility.UNFIT;
     }
     if (sight.storeAnswers()) {
-      return Standing.FIT;
+      return LeaderEligibility.FIT;
     }
     boolean alone = peers.daemons() > 1 && peers.live().isEmpty();
-    return alone ? Standing.UNFIT : Standing.WITHOUT_STORE;
+    return alone ? LeaderEligibility.UNFIT : LeaderEligibility.WITHOUT_STORE;
   }
 
   private void tellPeers(boolean isNews) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/DigestCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/DigestCodec.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.fawnvale.serving.core.peer.DataCentreDigest;
-import org.fawnvale.serving.core.peer.Standing;
+import org.fawnvale.serving.core.peer.LeaderEligibility;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
 
@@ -47,7 +47,7 @@
       String name = in.unpackString();
       String address = in.unpackString();
       long incarnation = in.unpackLong();
-      Standing standing = Standing.values()[in.unpackInt()];
+      LeaderEligibility standing = LeaderEligibility.values()[in.unpackInt()];
       members.add(new DataCentreDigest.Member(name, address, incarnation, standing));
     }
     return new DataCentreDigest(
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/NoteCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/NoteCodec.java
@@ -8,7 +8,7 @@
 import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.peer.DataCentreDigest;
 import org.fawnvale.serving.core.peer.PeerMessage;
-import org.fawnvale.serving.core.peer.Standing;
+import org.fawnvale.serving.core.peer.LeaderEligibility;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.core.watch.CopyPlaces;
 import org.fawnvale.serving.limit.LimitNoteCodec;
@@ -135,7 +135,7 @@
       long term = in.unpackLong();
       String leader = in.unpackString();
       long claim = in.unpackLong();
-      Standing standing = Standing.values()[in.unpackInt()];
+      LeaderEligibility standing = LeaderEligibility.values()[in.unpackInt()];
       boolean served = in.unpackBoolean();
       Map<String, Integer> inFlight = readCounts(in);
       Map<String, Double> offeredWork = readWork(in);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -19,7 +19,7 @@
 import org.fawnvale.serving.core.peer.LeaderElection;
 import org.fawnvale.serving.core.peer.NoteRouting;
 import org.fawnvale.serving.core.peer.PeerMessage;
-import org.fawnvale.serving.core.peer.Standing;
+import org.fawnvale.serving.core.peer.LeaderEligibility;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.core.watch.CopyPlaces;
 
@@ -148,7 +148,7 @@
    * @param standing how fit this daemon is to lead
    * @return true when this daemon leads
    */
-  public boolean decide(Standing standing) {
+  public boolean decide(LeaderEligibility standing) {
     long now = System.nanoTime();
     boolean leads = leadership.decide(standing, now);
     if (!leadership.leader().equals(leaderBefore)) {
@@ -173,7 +173,7 @@
    * @param standing how fit it is
    * @return true when no fitter or earlier one lives there
    */
-  public boolean watchesForDataCentre(Standing standing) {
+  public boolean watchesForDataCentre(LeaderEligibility standing) {
     return leadership.placeInDataCentre(standing, System.nanoTime()) == 0;
   }
 
@@ -361,7 +361,7 @@
         .anyMatch(
             note ->
                 note.dataCentre().equals(settings.dataCentre())
-                    && note.standing() == Standing.WITHOUT_STORE);
+                    && note.standing() == LeaderEligibility.WITHOUT_STORE);
   }
 
   /**
@@ -370,7 +370,7 @@
    * @return true when one of them says so
    */
   public boolean storeAnswersAny() {
-    return live().values().stream().anyMatch(note -> note.standing() == Standing.FIT);
+    return live().values().stream().anyMatch(note -> note.standing() == LeaderEligibility.FIT);
   }
 
   /**
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
@@ -11,7 +11,7 @@
 import org.fawnvale.serving.core.model.NodeLife;
 import org.fawnvale.serving.core.peer.DataCentreDigest;
 import org.fawnvale.serving.core.peer.PeerMessage;
-import org.fawnvale.serving.core.peer.Standing;
+import org.fawnvale.serving.core.peer.LeaderEligibility;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.core.watch.CopyPlaces;
@@ -32,7 +32,7 @@
               3,
               "edge-2",
               2,
-              Standing.FIT,
+              LeaderEligibility.FIT,
               true,
               Map.of("n1", 4),
               Map.of("m", 2.5),
@@ -52,7 +52,7 @@
                   List.of("n4@2", "n4@2"),
                   List.of("n8", "n9"),
                   true,
-                  List.of(new DataCentreDigest.Member("edge-9", "127.0.0.9", 4, Standing.FIT)))),
+                  List.of(new DataCentreDigest.Member("edge-9", "127.0.0.9", 4, LeaderEligibility.FIT)))),
           List.of(
               new QuarantineRecord(
                   new Fingerprint(-17),
