--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/CopyPlaces.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/CopyPositions.java
@@ -7,8 +7,8 @@
  * @param version the version that it has in force; negative before the first
  * @param nodes the place of the newest change in its copy of the nodes
  */
-public record CopyPlaces(StorePosition configuration, long version, StorePosition nodes) {
+public record CopyPositions(StorePosition configuration, long version, StorePosition nodes) {
 
   /** A daemon that knows nothing yet. */
-  public static final CopyPlaces NONE = new CopyPlaces(StorePosition.NONE, -1, StorePosition.NONE);
+  public static final CopyPositions NONE = new CopyPositions(StorePosition.NONE, -1, StorePosition.NONE);
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -28,7 +28,7 @@
 import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.LeaderEligibility;
 import org.fawnvale.serving.core.route.RouteTable;
-import org.fawnvale.serving.core.watch.CopyPlaces;
+import org.fawnvale.serving.core.watch.CopyPositions;
 import org.fawnvale.serving.core.watch.CopyTimes;
 import org.fawnvale.serving.core.watch.LeavingNews;
 import org.fawnvale.serving.core.watch.WatchCadence;
@@ -367,7 +367,7 @@
     return service == null ? null : service.engine();
   }
 
-  private void placesOfPeer(String address, boolean isNear, CopyPlaces places) {
+  private void placesOfPeer(String address, boolean isNear, CopyPositions places) {
     boolean goesBefore = places.version() > versionInForce();
     configurationCopies.hear(
         new PeerCopies.Told(address, isNear, places.configuration(), goesBefore));
@@ -376,7 +376,7 @@
 
   private long versionInForce() {
     Configuration current = configuration;
-    return current == null ? CopyPlaces.NONE.version() : current.version();
+    return current == null ? CopyPositions.NONE.version() : current.version();
   }
 
   private void tick() {
@@ -556,7 +556,7 @@
             dispatcher.refusing(),
             leads ? formation.opened() : List.of(),
             leads ? formation.closed() : List.of());
-    CopyPlaces places = new CopyPlaces(configurations.newest(), versionInForce(), nodes.newest());
+    CopyPositions places = new CopyPositions(configurations.newest(), versionInForce(), nodes.newest());
     peers.tell(state, places, isNews);
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/NoteCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/NoteCodec.java
@@ -10,7 +10,7 @@
 import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.LeaderEligibility;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
-import org.fawnvale.serving.core.watch.CopyPlaces;
+import org.fawnvale.serving.core.watch.CopyPositions;
 import org.fawnvale.serving.limit.LimitNoteCodec;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
@@ -35,7 +35,7 @@
    */
   record Datagram(
       PeerMessage note,
-      CopyPlaces places,
+      CopyPositions places,
       List<String> addresses,
       List<DataCentreDigest> digests,
       List<QuarantineRecord> records,
@@ -143,7 +143,7 @@
       List<String> refusing = readStrings(in);
       List<PeerMessage.ServingGroup> groups = readGroups(in);
       List<String> closed = readStrings(in);
-      CopyPlaces places = PlaceCodec.read(in);
+      CopyPositions places = PlaceCodec.read(in);
       PeerMessage note =
           new PeerMessage(
               name,
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -21,7 +21,7 @@
 import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.LeaderEligibility;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
-import org.fawnvale.serving.core.watch.CopyPlaces;
+import org.fawnvale.serving.core.watch.CopyPositions;
 
 /** What the other daemons told last, and who leads. All calls hold the guard. */
 public final class Peers {
@@ -92,7 +92,7 @@
      * @param isNear whether it is of the same data centre
      * @param places what they show
      */
-    void heard(String address, boolean isNear, CopyPlaces places);
+    void heard(String address, boolean isNear, CopyPositions places);
   }
 
   /**
@@ -184,7 +184,7 @@
    * @param places what its copies of the store's objects show
    * @param news whether it holds what all daemons should know at once
    */
-  public void tell(DaemonState state, CopyPlaces places, boolean news) {
+  public void tell(DaemonState state, CopyPositions places, boolean news) {
     PeerMessage note =
         new PeerMessage(
             settings.name(),
@@ -205,7 +205,7 @@
     send(note, places, news);
   }
 
-  private void send(PeerMessage note, CopyPlaces places, boolean news) {
+  private void send(PeerMessage note, CopyPositions places, boolean news) {
     turn++;
     Map<String, PeerMessage> live = live();
     List<NoteRouting.Peer> others = new ArrayList<>();
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PlaceCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PlaceCodec.java
@@ -1,7 +1,7 @@
 package org.fawnvale.serving.peer;
 
 import java.io.IOException;
-import org.fawnvale.serving.core.watch.CopyPlaces;
+import org.fawnvale.serving.core.watch.CopyPositions;
 import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePosition;
 import org.msgpack.core.MessageBufferPacker;
@@ -12,7 +12,7 @@
 
   private PlaceCodec() {}
 
-  static void write(MessageBufferPacker packer, CopyPlaces places) throws IOException {
+  static void write(MessageBufferPacker packer, CopyPositions places) throws IOException {
     write(packer, places.configuration());
     packer.packLong(places.version());
     write(packer, places.nodes());
@@ -23,10 +23,10 @@
     packer.packLong(place.revision());
   }
 
-  static CopyPlaces read(MessageUnpacker in) throws IOException {
+  static CopyPositions read(MessageUnpacker in) throws IOException {
     StorePosition configuration = readPlace(in);
     long version = in.unpackLong();
-    return new CopyPlaces(configuration, version, readPlace(in));
+    return new CopyPositions(configuration, version, readPlace(in));
   }
 
   private static StorePosition readPlace(MessageUnpacker in) throws IOException {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
@@ -14,7 +14,7 @@
 import org.fawnvale.serving.core.peer.LeaderEligibility;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
-import org.fawnvale.serving.core.watch.CopyPlaces;
+import org.fawnvale.serving.core.watch.CopyPositions;
 import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePosition;
 import org.junit.jupiter.api.Test;
@@ -40,7 +40,7 @@
               List.of("n7"),
               List.of(new PeerMessage.ServingGroup("n2", "g", 8, "m")),
               List.of("n3@9")),
-          new CopyPlaces(new StorePosition(new StoreEra(3), 5), 28, StorePosition.NONE),
+          new CopyPositions(new StorePosition(new StoreEra(3), 5), 28, StorePosition.NONE),
           List.of("127.0.0.2"),
           List.of(
               new DataCentreDigest(
