--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/CopyTimes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/CopyDelays.java
@@ -10,12 +10,12 @@
  * @param farPatienceMillis how long one that does not waits for a peer of its data centre before it
  *     takes the copy of a far one, in milliseconds
  */
-public record CopyTimes(int pauseMillis, int watcherPatienceMillis, int farPatienceMillis) {
+public record CopyDelays(int pauseMillis, int watcherPatienceMillis, int farPatienceMillis) {
 
   /**
    * The times for the configuration. The pause is that between two notes. A watcher waits long
    * enough for 1,800 routes over a link of 14 Mbit/s, which take 0.3 s: a second copy from a peer
    * would take as long again on both links. A near watcher rests 0.4 s, and its note takes 0.15 s.
    */
-  public static final CopyTimes CONFIGURATION = new CopyTimes(150, 600, 700);
+  public static final CopyDelays CONFIGURATION = new CopyDelays(150, 600, 700);
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/WatchCadence.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/WatchCadence.java
@@ -77,9 +77,9 @@
    *
    * @return the times
    */
-  public CopyTimes copyTimes() {
+  public CopyDelays copyTimes() {
     int pause = Math.max(SHORTEST_PAUSE_MILLIS, leavingMillis / COPY_SHARE);
     int rest = restMillis();
-    return new CopyTimes(pause, rest + NOTES_MILLIS, rest + NOTES_MILLIS);
+    return new CopyDelays(pause, rest + NOTES_MILLIS, rest + NOTES_MILLIS);
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -29,7 +29,7 @@
 import org.fawnvale.serving.core.peer.LeaderEligibility;
 import org.fawnvale.serving.core.route.RouteTable;
 import org.fawnvale.serving.core.watch.CopyPositions;
-import org.fawnvale.serving.core.watch.CopyTimes;
+import org.fawnvale.serving.core.watch.CopyDelays;
 import org.fawnvale.serving.core.watch.LeavingNews;
 import org.fawnvale.serving.core.watch.WatchCadence;
 import org.fawnvale.serving.formation.FormationService;
@@ -195,7 +195,7 @@
     this.suspicions = new HeadSuspicions(settings.dataCentre(), dispatcher, peers);
     this.configurationCopies =
         copiesOf(
-            configurations, "/copies/configuration", Configuration.class, CopyTimes.CONFIGURATION);
+            configurations, "/copies/configuration", Configuration.class, CopyDelays.CONFIGURATION);
     QuarantineStore quarantine =
         new QuarantineStore(
             client,
@@ -209,7 +209,7 @@
   }
 
   private <T> PeerCopies<T> copiesOf(
-      StoreWatch<T> watch, String path, Class<T> content, CopyTimes times) {
+      StoreWatch<T> watch, String path, Class<T> content, CopyDelays times) {
     int port = settings.peerPort() + COPY_PORT_OFFSET;
     return new PeerCopies<>(client, timers, watch, path, port, content, times);
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/CopyPacing.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/CopyPacing.java
@@ -1,6 +1,6 @@
 package org.fawnvale.serving.store;
 
-import org.fawnvale.serving.core.watch.CopyTimes;
+import org.fawnvale.serving.core.watch.CopyDelays;
 
 /**
  * When a copy that a peer tells of is fetched: at once from a near peer, later from a far one or by
@@ -14,7 +14,7 @@
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  private final CopyTimes times;
+  private final CopyDelays times;
   private final long pauseNanos;
   private long lastFetchNanos = Long.MIN_VALUE / 2;
   private long nearDueNanos = Long.MIN_VALUE / 2;
@@ -25,7 +25,7 @@
    *
    * @param times how long to wait between and before fetches
    */
-  CopyPacing(CopyTimes times) {
+  CopyPacing(CopyDelays times) {
     this.times = times;
     this.pauseNanos = times.pauseMillis() * NANOS_PER_MILLI;
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopies.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopies.java
@@ -9,7 +9,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.model.Endpoint;
-import org.fawnvale.serving.core.watch.CopyTimes;
+import org.fawnvale.serving.core.watch.CopyDelays;
 import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.http.HttpClient;
@@ -83,7 +83,7 @@
       String path,
       int port,
       Class<T> content,
-      CopyTimes times) {
+      CopyDelays times) {
     this.pacing = new CopyPacing(times);
     this.client = client;
     this.timers = timers;
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/CopyPacingTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/CopyPacingTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.fawnvale.serving.core.watch.CopyTimes;
+import org.fawnvale.serving.core.watch.CopyDelays;
 import org.junit.jupiter.api.Test;
 
 /** How often copies are fetched while many peers tell of a newer one. */
@@ -10,7 +10,7 @@
 
   private static final long MILLI = 1_000_000L;
 
-  private final CopyPacing pacing = new CopyPacing(CopyTimes.CONFIGURATION);
+  private final CopyPacing pacing = new CopyPacing(CopyDelays.CONFIGURATION);
 
   private int fetches(int millis, boolean watches, boolean isNear) {
     int begun = 0;
