--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/EraRule.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/EraFilter.java
@@ -7,7 +7,7 @@
  * went back and comes late. What was known goes on to hold then: it was in force, and the answer is
  * older.
  */
-public final class EraRule {
+public final class EraFilter {
 
   /**
    * How long answers of an earlier history are held to be late ones. A store that tells nothing
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/EraRuleTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/EraFilterTest.java
@@ -5,66 +5,66 @@
 import org.junit.jupiter.api.Test;
 
 /** What answers of other histories of the store are good for. */
-class EraRuleTest {
+class EraFilterTest {
 
   private static final long SECOND = 1_000_000_000L;
   private static final StorePosition SHOWN = new StorePosition(new StoreEra(4), 120);
 
-  private final EraRule rule = new EraRule();
+  private final EraFilter rule = new EraFilter();
 
-  private EraRule.Verdict changes(long era, long atNanos) {
+  private EraFilter.Verdict changes(long era, long atNanos) {
     return rule.judge(new StoreEra(era), SHOWN, SHOWN, atNanos);
   }
 
-  private EraRule.Verdict list(long era, long atNanos) {
+  private EraFilter.Verdict list(long era, long atNanos) {
     return rule.judge(new StoreEra(era), SHOWN, StorePosition.NONE, atNanos);
   }
 
   @Test
   void answersOfTheSameHistoryAreTaken() {
-    assertThat(changes(4, 0)).isEqualTo(EraRule.Verdict.TAKE);
-    assertThat(list(4, 0)).isEqualTo(EraRule.Verdict.TAKE);
+    assertThat(changes(4, 0)).isEqualTo(EraFilter.Verdict.TAKE);
+    assertThat(list(4, 0)).isEqualTo(EraFilter.Verdict.TAKE);
   }
 
   @Test
   void theFirstAnswerIsTakenWhateverItsHistory() {
     assertThat(rule.judge(new StoreEra(9), StorePosition.NONE, StorePosition.NONE, 0))
-        .isEqualTo(EraRule.Verdict.TAKE);
+        .isEqualTo(EraFilter.Verdict.TAKE);
   }
 
   @Test
   void changesOfALaterHistoryLeadToAListWhichIsTaken() {
-    assertThat(changes(5, 0)).isEqualTo(EraRule.Verdict.LIST_ANEW);
-    assertThat(list(5, 0)).isEqualTo(EraRule.Verdict.TAKE);
-    assertThat(list(7, 0)).isEqualTo(EraRule.Verdict.TAKE);
+    assertThat(changes(5, 0)).isEqualTo(EraFilter.Verdict.LIST_ANEW);
+    assertThat(list(5, 0)).isEqualTo(EraFilter.Verdict.TAKE);
+    assertThat(list(7, 0)).isEqualTo(EraFilter.Verdict.TAKE);
   }
 
   /** The copy of another daemon came in the meantime, and the call was made before. */
   @Test
   void changesSinceAPlaceOfAnEarlierHistoryLeadToAListThoughTheCopyShowsTheLaterOne() {
     StorePosition asked = new StorePosition(new StoreEra(3), 130);
-    assertThat(rule.judge(new StoreEra(4), SHOWN, asked, 0)).isEqualTo(EraRule.Verdict.LIST_ANEW);
+    assertThat(rule.judge(new StoreEra(4), SHOWN, asked, 0)).isEqualTo(EraFilter.Verdict.LIST_ANEW);
   }
 
   @Test
   void anAnswerOfAnEarlierHistoryChangesNothing() {
-    assertThat(list(3, 0)).isEqualTo(EraRule.Verdict.DROP);
-    assertThat(changes(3, SECOND)).isEqualTo(EraRule.Verdict.DROP);
-    assertThat(changes(0, 2 * SECOND)).isEqualTo(EraRule.Verdict.DROP);
+    assertThat(list(3, 0)).isEqualTo(EraFilter.Verdict.DROP);
+    assertThat(changes(3, SECOND)).isEqualTo(EraFilter.Verdict.DROP);
+    assertThat(changes(0, 2 * SECOND)).isEqualTo(EraFilter.Verdict.DROP);
   }
 
   @Test
   void aStoreThatTellsNothingElseHasBeenSetUpAnew() {
-    assertThat(list(3, 0)).isEqualTo(EraRule.Verdict.DROP);
-    assertThat(list(3, 4 * SECOND)).isEqualTo(EraRule.Verdict.DROP);
-    assertThat(changes(3, 5 * SECOND)).isEqualTo(EraRule.Verdict.LIST_ANEW);
-    assertThat(list(3, 5 * SECOND)).isEqualTo(EraRule.Verdict.TAKE);
+    assertThat(list(3, 0)).isEqualTo(EraFilter.Verdict.DROP);
+    assertThat(list(3, 4 * SECOND)).isEqualTo(EraFilter.Verdict.DROP);
+    assertThat(changes(3, 5 * SECOND)).isEqualTo(EraFilter.Verdict.LIST_ANEW);
+    assertThat(list(3, 5 * SECOND)).isEqualTo(EraFilter.Verdict.TAKE);
   }
 
   @Test
   void oneAnswerOfTheKnownHistoryShowsThatTheOthersWereLate() {
-    assertThat(list(3, 0)).isEqualTo(EraRule.Verdict.DROP);
-    assertThat(changes(4, 4 * SECOND)).isEqualTo(EraRule.Verdict.TAKE);
-    assertThat(list(3, 6 * SECOND)).isEqualTo(EraRule.Verdict.DROP);
+    assertThat(list(3, 0)).isEqualTo(EraFilter.Verdict.DROP);
+    assertThat(changes(4, 4 * SECOND)).isEqualTo(EraFilter.Verdict.TAKE);
+    assertThat(list(3, 6 * SECOND)).isEqualTo(EraFilter.Verdict.DROP);
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
@@ -9,7 +9,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.model.Endpoint;
-import org.fawnvale.serving.core.watch.EraRule;
+import org.fawnvale.serving.core.watch.EraFilter;
 import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.http.HttpClient;
@@ -24,7 +24,7 @@
  * Keeps a copy of the objects of one kind: lists them, then waits for changes, and lists again when
  * the store has forgotten its history or has begun another one.
  *
- * <p>Each answer tells in which history it was given; {@link EraRule} says what it is good for.
+ * <p>Each answer tells in which history it was given; {@link EraFilter} says what it is good for.
  *
  * @param <T> the type of the objects
  */
@@ -63,7 +63,7 @@
   private final StoreFigures figures;
   private final Runnable changed;
   private final ObjectTable<T> table;
-  private final EraRule eraRule = new EraRule();
+  private final EraFilter eraRule = new EraFilter();
   private Map<String, Page.Item<T>> listing = new LinkedHashMap<>();
   private StorePosition listingPlace = StorePosition.NONE;
   private boolean active = true;
@@ -396,7 +396,7 @@
           kind,
           era,
           place(),
-          EraRule.EARLIER_NANOS / NANOS_PER_MILLI);
+          EraFilter.EARLIER_NANOS / NANOS_PER_MILLI);
     }
     later(nextPauseMillis(), () -> list("", round));
   }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/SmallWorld.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/SmallWorld.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.fawnvale.serving.core.watch.EraRule;
+import org.fawnvale.serving.core.watch.EraFilter;
 import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.spi.Page;
@@ -83,7 +83,7 @@
   private record Answer(StorePosition at, StorePosition asked, @Nullable Page<Integer> page) {}
 
   private final Set<Flaw> flaws;
-  private final EraRule rule = new EraRule();
+  private final EraFilter rule = new EraFilter();
   private final ObjectTable<Integer> watcher;
   private final ObjectTable<Integer> follower;
   private final List<State> history = new ArrayList<>();
@@ -227,11 +227,11 @@
     boolean isList = !answer.asked().isKnown();
     boolean ignoresAsked = !isList && flaws.contains(Flaw.ASKED_PLACE_IGNORED);
     StorePosition asked = ignoresAsked ? watcher.place() : answer.asked();
-    EraRule.Verdict verdict = rule.judge(answer.at().era(), watcher.place(), asked, 0);
-    if (verdict == EraRule.Verdict.LIST_ANEW && !flaws.contains(Flaw.WATCH_CONTINUED)) {
+    EraFilter.Verdict verdict = rule.judge(answer.at().era(), watcher.place(), asked, 0);
+    if (verdict == EraFilter.Verdict.LIST_ANEW && !flaws.contains(Flaw.WATCH_CONTINUED)) {
       mustList = true;
     }
-    return verdict == EraRule.Verdict.DROP && !flaws.contains(Flaw.LATE_ANSWER_TAKEN);
+    return verdict == EraFilter.Verdict.DROP && !flaws.contains(Flaw.LATE_ANSWER_TAKEN);
   }
 
   /** Another daemon that watches has just listed, and tells. */
