--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/LeavingNews.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/DepartureDetector.java
@@ -11,7 +11,7 @@
  * note that waits for its turn and a copy that waits for the note are a fifth of the time in which
  * all daemons must have stopped sending there.
  */
-public final class LeavingNews {
+public final class DepartureDetector {
 
   private Set<String> staying = Set.of();
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/LeavingNewsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/DepartureDetectorTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /** What other daemons must hear at once. */
-class LeavingNewsTest {
+class DepartureDetectorTest {
 
-  private final LeavingNews news = new LeavingNews();
+  private final DepartureDetector news = new DepartureDetector();
 
   private static Node node(String id) {
     Endpoint endpoint = new Endpoint("127.0.0.1", 1);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -30,7 +30,7 @@
 import org.fawnvale.serving.core.route.RouteTable;
 import org.fawnvale.serving.core.watch.CopyPositions;
 import org.fawnvale.serving.core.watch.CopyDelays;
-import org.fawnvale.serving.core.watch.LeavingNews;
+import org.fawnvale.serving.core.watch.DepartureDetector;
 import org.fawnvale.serving.core.watch.WatchCadence;
 import org.fawnvale.serving.formation.FormationService;
 import org.fawnvale.serving.gateway.Gateway;
@@ -128,7 +128,7 @@
   private @Nullable Configuration configuration;
   private boolean stopping;
   private boolean leads;
-  private final LeavingNews leavingNews = new LeavingNews();
+  private final DepartureDetector leavingNews = new DepartureDetector();
   private Announced announcedBefore = Announced.NOTHING;
   private boolean groupsAreNews;
   private boolean upstreamsAreOld;
