--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreDoubt.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreSuspicion.java
@@ -6,7 +6,7 @@
  * data centre that was cut off for 5.4 s each of 27 daemons held itself to be fit, led, found out,
  * and gave way to the next after 0.3 s, and no group was mended meanwhile.
  */
-public final class StoreDoubt {
+public final class StoreSuspicion {
 
   private boolean peerHadLost;
   private long sinceNanos = Long.MIN_VALUE / 2;
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/CutDataCentreTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/CutDataCentreTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.fawnvale.serving.core.watch.StoreDoubt;
+import org.fawnvale.serving.core.watch.StoreSuspicion;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -36,7 +36,7 @@
   private static final class Daemon {
     final String name;
     final LeaderElection leadership;
-    final StoreDoubt doubt = new StoreDoubt();
+    final StoreSuspicion doubt = new StoreSuspicion();
     long callBegun = -1;
     long failedAt = Long.MIN_VALUE / 2;
     LeaderEligibility standing = LeaderEligibility.FIT;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreSight.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreSight.java
@@ -10,7 +10,7 @@
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.Settings;
-import org.fawnvale.serving.core.watch.StoreDoubt;
+import org.fawnvale.serving.core.watch.StoreSuspicion;
 import org.fawnvale.serving.core.watch.StoreOutages;
 import org.fawnvale.serving.peer.Peers;
 import org.fawnvale.serving.store.EraChange;
@@ -34,7 +34,7 @@
   private final StoreWatch<Node> nodes;
   private final UpstreamGate gate;
   private final LastModels lastModels = new LastModels();
-  private final StoreDoubt doubt = new StoreDoubt();
+  private final StoreSuspicion doubt = new StoreSuspicion();
   private final StoreOutages outages = new StoreOutages();
   private final VanishedNodes vanishedNodes = new VanishedNodes();
   private final RestoredNodes restoredNodes = new RestoredNodes();
