--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/WatchCadence.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/PollIntervals.java
@@ -11,7 +11,7 @@
  * a fleet of five data centres; with a promise of 4 s they make 9, and 13 while groups are on their
  * way (counted from the rests).
  */
-public final class WatchCadence {
+public final class PollIntervals {
 
   /** A rest shorter than this brings the same change in no fewer calls. */
   private static final int SHORTEST_REST_MILLIS = 300;
@@ -47,7 +47,7 @@
    * @param leavingMillis how soon after a node says that it leaves nothing may be sent there, in
    *     milliseconds
    */
-  public WatchCadence(int leavingMillis) {
+  public PollIntervals(int leavingMillis) {
     this.leavingMillis = leavingMillis;
   }
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/WatchCadenceTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/PollIntervalsTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** However long daemons rest, a node that leaves is left alone in time. */
-class WatchCadenceTest {
+class PollIntervalsTest {
 
   private static final int NOTES_MILLIS = 300;
 
@@ -25,7 +25,7 @@
   @ParameterizedTest
   @ValueSource(ints = {1_500, 2_000, 3_000, 4_000, 60_000})
   void theLastDaemonKnowsOfALeavingNodeWellBeforeItMust(int promisedMillis) {
-    WatchCadence cadence = new WatchCadence(promisedMillis);
+    PollIntervals cadence = new PollIntervals(promisedMillis);
     int known =
         cadence.restMillis()
             + NOTES_MILLIS
@@ -39,7 +39,7 @@
   @ParameterizedTest
   @ValueSource(ints = {2_000, 3_000, 4_000, 60_000})
   void theLastDaemonKnowsInTimeAlsoWhenTheWatcherIsLost(int promisedMillis) {
-    WatchCadence cadence = new WatchCadence(promisedMillis);
+    PollIntervals cadence = new PollIntervals(promisedMillis);
     int known =
         cadence.restMillis()
             + SILENCE_MILLIS
@@ -55,7 +55,7 @@
   @ParameterizedTest
   @ValueSource(ints = {2_000, 3_000, 4_000})
   void fiveWatchersAndALeaderMakeAThirdOfTheCallsOfFixedRests(int promisedMillis) {
-    WatchCadence cadence = new WatchCadence(promisedMillis);
+    PollIntervals cadence = new PollIntervals(promisedMillis);
     double calls = 5 * 1_000.0 / cadence.restMillis() + 1_000.0 / cadence.leaderRestMillis(false);
     double ofFixedRests = 5 * 1_000.0 / 300 + 1_000.0 / 120;
     assertThat(calls / ofFixedRests).isLessThan(promisedMillis == 4_000 ? 0.37 : 0.57);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -31,7 +31,7 @@
 import org.fawnvale.serving.core.watch.CopyPositions;
 import org.fawnvale.serving.core.watch.CopyDelays;
 import org.fawnvale.serving.core.watch.DepartureDetector;
-import org.fawnvale.serving.core.watch.WatchCadence;
+import org.fawnvale.serving.core.watch.PollIntervals;
 import org.fawnvale.serving.formation.FormationService;
 import org.fawnvale.serving.gateway.Gateway;
 import org.fawnvale.serving.gateway.GatewayFigures;
@@ -105,7 +105,7 @@
   private final HttpClient client;
   private final UpstreamGate gate;
   private final Dispatcher dispatcher;
-  private final WatchCadence cadence;
+  private final PollIntervals cadence;
   private final Fleet fleet;
   private final Gateway gateway;
   private final Peers peers;
@@ -153,7 +153,7 @@
     dispatcher.connected(client::hasRested);
     NodeClient toNodes = new NodeClient(client, timers, gate, platform::answer, registry);
     toNodes.onLeaving(() -> upstreamsAreOld = true);
-    this.cadence = new WatchCadence(settings.bounds().leavingMillis());
+    this.cadence = new PollIntervals(settings.bounds().leavingMillis());
     this.fleet = new Fleet(settings.policy().cutsAreNoDeaths());
     GatewayFigures figures = new GatewayFigures(registry);
     this.gateway = new Gateway(timers, toNodes, platform, dispatcher, settings.bounds(), figures);
