--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/LeaderElection.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/LeaderElection.java
@@ -229,7 +229,7 @@
    * digests, which take two hops.
    */
   private long silence() {
-    return NoteRouting.hasRelays(heard.size() + 1) ? 2 * SILENCE_NANOS : SILENCE_NANOS;
+    return MessageRouting.hasRelays(heard.size() + 1) ? 2 * SILENCE_NANOS : SILENCE_NANOS;
   }
 
   private LeaderEligibility bestStanding(LeaderEligibility own, long nowNanos) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/NoteRouting.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/MessageRouting.java
@@ -12,7 +12,7 @@
  * gives its own daemons what it hears. So what crosses grows with the data centres, not with the
  * square of the daemons. Within the data centre every other note goes to the relay alone.
  */
-public final class NoteRouting {
+public final class MessageRouting {
 
   /** Every how many notes the leader tells all daemons, beside those with news. */
   private static final int LEADER_SPACING = 4;
@@ -33,7 +33,7 @@
    * @param self its name
    * @param dataCentre its data centre
    */
-  public NoteRouting(String self, String dataCentre) {
+  public MessageRouting(String self, String dataCentre) {
     this.self = self;
     this.dataCentre = dataCentre;
   }
@@ -101,7 +101,7 @@
       if (direct || near && toAllNear || leaderToAll || leads) {
         targets.add(peer.address());
       } else {
-        (near ? nearRelay : relays).merge(peer.dataCentre(), peer, NoteRouting::firstByName);
+        (near ? nearRelay : relays).merge(peer.dataCentre(), peer, MessageRouting::firstByName);
       }
     }
     nearRelay.values().forEach(peer -> targets.add(peer.address()));
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/SpreadInLargeFleetsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/SpreadInLargeFleetsTest.java
@@ -7,7 +7,7 @@
 import java.util.Random;
 import java.util.Set;
 import org.fawnvale.serving.core.model.NodeLife;
-import org.fawnvale.serving.core.peer.NoteRouting;
+import org.fawnvale.serving.core.peer.MessageRouting;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -32,16 +32,16 @@
   private long now;
 
   private static final class Daemon {
-    final NoteRouting.Peer self;
-    final NoteRouting routing;
+    final MessageRouting.Peer self;
+    final MessageRouting routing;
     final Quarantine quarantine = new Quarantine();
     int ticks;
     int notes;
 
     Daemon(int number) {
       String name = String.format("d%02d", number);
-      self = new NoteRouting.Peer(name, name, "dc" + number % DATA_CENTRES);
-      routing = new NoteRouting(name, self.dataCentre());
+      self = new MessageRouting.Peer(name, name, "dc" + number % DATA_CENTRES);
+      routing = new MessageRouting(name, self.dataCentre());
       ticks = number;
       notes = number;
     }
@@ -57,13 +57,13 @@
   }
 
   private void tell(Daemon from, boolean news, double lost) {
-    List<NoteRouting.Peer> others = new ArrayList<>();
+    List<MessageRouting.Peer> others = new ArrayList<>();
     daemons.stream().filter(daemon -> daemon != from).forEach(daemon -> others.add(daemon.self));
     from.notes++;
-    boolean relays = NoteRouting.hasRelays(daemons.size()) && from.routing.isRelay(others);
+    boolean relays = MessageRouting.hasRelays(daemons.size()) && from.routing.isRelay(others);
     List<QuarantineRecord> records = from.quarantine.toTell(relays, now);
-    NoteRouting.Occasion occasion =
-        new NoteRouting.Occasion(from.notes, LEADER.equals(from.self.name()), LEADER, news);
+    MessageRouting.Occasion occasion =
+        new MessageRouting.Occasion(from.notes, LEADER.equals(from.self.name()), LEADER, news);
     Set<String> targets = from.routing.targets(others, occasion);
     for (Daemon to : daemons) {
       if (targets.contains(to.self.address()) && random.nextDouble() >= lost) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -17,7 +17,7 @@
 import org.fawnvale.serving.core.peer.DataCentreDigest;
 import org.fawnvale.serving.core.peer.Digests;
 import org.fawnvale.serving.core.peer.LeaderElection;
-import org.fawnvale.serving.core.peer.NoteRouting;
+import org.fawnvale.serving.core.peer.MessageRouting;
 import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.LeaderEligibility;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
@@ -32,7 +32,7 @@
   private final long incarnation;
   private final LeaderElection leadership;
   private final Digests digests;
-  private final NoteRouting routing;
+  private final MessageRouting routing;
   private final PlacesListener placesHeard;
   private final SharedNews shared;
   private final Set<String> everHeard = new HashSet<>();
@@ -48,7 +48,7 @@
     this.incarnation = incarnation;
     this.leadership = new LeaderElection(settings.name(), settings.dataCentre());
     this.digests = new Digests(settings.dataCentre());
-    this.routing = new NoteRouting(settings.name(), settings.dataCentre());
+    this.routing = new MessageRouting(settings.name(), settings.dataCentre());
     this.placesHeard = placesHeard;
     this.shared = shared;
   }
@@ -208,11 +208,11 @@
   private void send(PeerMessage note, CopyPositions places, boolean news) {
     turn++;
     Map<String, PeerMessage> live = live();
-    List<NoteRouting.Peer> others = new ArrayList<>();
+    List<MessageRouting.Peer> others = new ArrayList<>();
     Set<String> near = new HashSet<>();
     Set<String> known = new HashSet<>();
     for (PeerMessage other : live.values()) {
-      others.add(new NoteRouting.Peer(other.name(), other.address(), other.dataCentre()));
+      others.add(new MessageRouting.Peer(other.name(), other.address(), other.dataCentre()));
       known.add(other.address());
       if (other.dataCentre().equals(settings.dataCentre())) {
         near.add(other.address());
@@ -220,8 +220,8 @@
     }
     boolean leads = leadership.leader().equals(settings.name());
     Set<String> targets =
-        routing.targets(others, new NoteRouting.Occasion(turn, leads, leadership.leader(), news));
-    boolean relays = NoteRouting.hasRelays(others.size() + 1) && routing.isRelay(others);
+        routing.targets(others, new MessageRouting.Occasion(turn, leads, leadership.leader(), news));
+    boolean relays = MessageRouting.hasRelays(others.size() + 1) && routing.isRelay(others);
     List<QuarantineRecord> records = shared.records(relays);
     List<LimitUpdate> limits = shared.limits(relays);
     List<String> addresses = link.addresses();
