--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/MessageRouting.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/MessageRouting.java
@@ -64,7 +64,7 @@
    * @return true when notes don't go to every daemon
    */
   public static boolean hasRelays(int daemons) {
-    return NoteSpacing.across(daemons) > 1;
+    return MessageSpacing.across(daemons) > 1;
   }
 
   /**
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/NoteSpacing.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/MessageSpacing.java
@@ -6,12 +6,12 @@
  * a larger fleet sends only every second, third or fourth note. The leader's notes and those with
  * news go to all.
  */
-public final class NoteSpacing {
+public final class MessageSpacing {
 
   private static final int DAEMONS_A_STEP = 20;
   private static final int WIDEST = 4;
 
-  private NoteSpacing() {}
+  private MessageSpacing() {}
 
   /**
    * Every how many notes one goes to a daemon of another data centre.
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerLink.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerLink.java
@@ -16,7 +16,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.model.Settings;
-import org.fawnvale.serving.core.peer.NoteSpacing;
+import org.fawnvale.serving.core.peer.MessageSpacing;
 
 /** Sends this daemon's note to all known daemons and hears theirs. */
 public final class PeerLink {
@@ -167,7 +167,7 @@
   }
 
   private boolean isDue(String address) {
-    return NoteSpacing.isDue(turn, address, lastHeard.size() + 1);
+    return MessageSpacing.isDue(turn, address, lastHeard.size() + 1);
   }
 
   private void sendTo(String address, byte[] bytes) {
