--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/Digests.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/DataCentreDigests.java
@@ -9,7 +9,7 @@
 import java.util.TreeSet;
 
 /** The newest digest of each other data centre, and the making of one's own. */
-public final class Digests {
+public final class DataCentreDigests {
 
   /**
    * How long a digest counts. It is made every 150 ms and takes two hops; a relay that died is
@@ -30,7 +30,7 @@
    *
    * @param dataCentre its data centre
    */
-  public Digests(String dataCentre) {
+  public DataCentreDigests(String dataCentre) {
     this.dataCentre = dataCentre;
   }
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/DigestsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/DataCentreDigestsTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 
 /** What a data centre tells the others. */
-class DigestsTest {
+class DataCentreDigestsTest {
 
   private static final long SECOND = 1_000_000_000L;
 
-  private final Digests digests = new Digests("north");
+  private final DataCentreDigests digests = new DataCentreDigests("north");
 
   private static PeerMessage note(String name, Map<String, Integer> inFlight, List<String> suspects) {
     return new PeerMessage(
@@ -37,7 +37,7 @@
   }
 
   private static DataCentreDigest south(String relay, long sequence) {
-    return new Digests("south")
+    return new DataCentreDigests("south")
         .make(
             List.of(
                 note("a", Map.of("h", 2), List.of("h@1")),
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -15,7 +15,7 @@
 import org.fawnvale.serving.core.model.Settings;
 import org.fawnvale.serving.core.peer.DaemonState;
 import org.fawnvale.serving.core.peer.DataCentreDigest;
-import org.fawnvale.serving.core.peer.Digests;
+import org.fawnvale.serving.core.peer.DataCentreDigests;
 import org.fawnvale.serving.core.peer.LeaderElection;
 import org.fawnvale.serving.core.peer.MessageRouting;
 import org.fawnvale.serving.core.peer.PeerMessage;
@@ -31,7 +31,7 @@
   private final Settings settings;
   private final long incarnation;
   private final LeaderElection leadership;
-  private final Digests digests;
+  private final DataCentreDigests digests;
   private final MessageRouting routing;
   private final PlacesListener placesHeard;
   private final SharedNews shared;
@@ -47,7 +47,7 @@
     this.settings = settings;
     this.incarnation = incarnation;
     this.leadership = new LeaderElection(settings.name(), settings.dataCentre());
-    this.digests = new Digests(settings.dataCentre());
+    this.digests = new DataCentreDigests(settings.dataCentre());
     this.routing = new MessageRouting(settings.name(), settings.dataCentre());
     this.placesHeard = placesHeard;
     this.shared = shared;
