--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/Fence.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/FencingToken.java
@@ -9,7 +9,7 @@
  * head that has left its group at the word of one leader can be brought back into it by the other,
  * while the first joins the other members elsewhere (1 of 15,638 random runs of two leaders).
  */
-public final class Fence {
+public final class FencingToken {
 
   /** Bits for the name: two of 68 daemons share the value in 1 of 460 fleets, by arithmetic. */
   private static final int NAME_BITS = 20;
@@ -17,7 +17,7 @@
   /** Bits for the claims of one term; a claim follows a death or a cut, so there are few. */
   private static final int CLAIM_BITS = 13;
 
-  private Fence() {}
+  private FencingToken() {}
 
   /**
    * Makes a token. It stays below two to the power of 53, which every reader of JSON keeps exact,
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/LeaderElection.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/LeaderElection.java
@@ -353,7 +353,7 @@
    * @return the token, which no other daemon uses
    */
   public long fence() {
-    return Fence.of(term, ownClaim, self);
+    return FencingToken.of(term, ownClaim, self);
   }
 
   /**
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationRun.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationRun.java
@@ -11,7 +11,7 @@
 import org.fawnvale.serving.core.demand.ModelDemand;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.Policy;
-import org.fawnvale.serving.core.peer.Fence;
+import org.fawnvale.serving.core.peer.FencingToken;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -220,7 +220,7 @@
     }
     boolean hasHeard = (claims.nextInt() & 1) == 0;
     claim = isFirst ? 1 : claim + (hasHeard ? 1 : 0);
-    return Fence.of(term, claim, name);
+    return FencingToken.of(term, claim, name);
   }
 
   void play() {
