--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/CutDataCentreTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/PartitionedDataCentreTest.java
@@ -14,7 +14,7 @@
  * A data centre of 27 daemons is cut off from the store and from the leader. Most daemons rest:
  * they call the store only when they lead, and find out then that it gives no answer.
  */
-class CutDataCentreTest {
+class PartitionedDataCentreTest {
 
   private static final long MILLI = 1_000_000L;
   private static final int DAEMONS = 27;
