--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/BarredAwayFromTheLeaderTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTrialTest.java
@@ -21,7 +21,7 @@
  * callers are. The evidence: asked for each second at any other daemon it stayed barred for as long
  * as it was asked for.
  */
-class BarredAwayFromTheLeaderTest {
+class QuarantineTrialTest {
 
   private static final long SECOND = 1_000_000_000L;
   private static final Fingerprint SHEET = new Fingerprint(1);
