--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/HarmlessRequestsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineFalsePositiveTest.java
@@ -14,7 +14,7 @@
  * for the guilty request each half second. How many harmless ones are held guilty, and how many
  * heads the guilty one ends.
  */
-class HarmlessRequestsTest {
+class QuarantineFalsePositiveTest {
 
   private static final int RUNS = 1_000;
   private static final int STEP_MILLIS = 10;
