--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/SpreadInLargeFleetsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantinePropagationTest.java
@@ -15,7 +15,7 @@
  * daemons notes stay within a data centre and relays hand on what they hear. Every daemon has to
  * refuse the request three seconds later; datagrams are lost meanwhile.
  */
-class SpreadInLargeFleetsTest {
+class QuarantinePropagationTest {
 
   private static final long MILLI = 1_000_000L;
   private static final int TICK_MILLIS = 25;
