--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/LimitPlay.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulation.java
@@ -19,7 +19,7 @@
  * daemons tell each other and ask each other for leave with delays, and may be killed or parted.
  * Tells what the node gets.
  */
-final class LimitPlay {
+final class SharedLimitSimulation {
 
   private static final long MILLI = 1_000_000L;
   private static final long SECOND = 1_000 * MILLI;
@@ -113,14 +113,14 @@
     }
   }
 
-  private LimitPlay(Load load, Way way, long seed) {
+  private SharedLimitSimulation(Load load, Way way, long seed) {
     this.load = load;
     this.way = way;
     this.random = new Random(seed);
   }
 
   static Outcome play(Load load, Way way, long seed) {
-    return new LimitPlay(load, way, seed).run();
+    return new SharedLimitSimulation(load, way, seed).run();
   }
 
   private Outcome run() {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/LimitPlayTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulationTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a node that names a limit gets from all daemons together, by how they keep it. */
-class LimitPlayTest {
+class SharedLimitSimulationTest {
 
   private static final int SEEDS = 5;
   private static final int[] FLEETS = {9, 78, 300};
@@ -19,23 +19,23 @@
     return (int) (1.5 * 4 * limit) + 5;
   }
 
-  private static LimitPlay.Outcome worst(LimitPlay.Load load, LimitPlay.Way way) {
+  private static SharedLimitSimulation.Outcome worst(SharedLimitSimulation.Load load, SharedLimitSimulation.Way way) {
     int worst = 0;
     double used = 0;
     for (int seed = 1; seed <= SEEDS; seed++) {
-      LimitPlay.Outcome one = LimitPlay.play(load, way, seed);
+      SharedLimitSimulation.Outcome one = SharedLimitSimulation.play(load, way, seed);
       worst = Math.max(worst, one.worstWindow());
       used += one.used() / SEEDS;
     }
-    return new LimitPlay.Outcome(worst, used);
+    return new SharedLimitSimulation.Outcome(worst, used);
   }
 
   @Test
   void theSumIsKeptAndUsedWhereCallersWait() {
     for (int daemons : FLEETS) {
       for (double limit : new double[] {0.5, 1.6, 10, 50}) {
-        LimitPlay.Load load = LimitPlay.Load.steady(daemons, limit, 5 * limit);
-        LimitPlay.Outcome outcome = worst(load, LimitPlay.Way.LEAVE);
+        SharedLimitSimulation.Load load = SharedLimitSimulation.Load.steady(daemons, limit, 5 * limit);
+        SharedLimitSimulation.Outcome outcome = worst(load, SharedLimitSimulation.Way.LEAVE);
         assertThat(outcome.worstWindow()).as("%s", load).isLessThanOrEqualTo(goal(limit));
         assertThat(outcome.used()).as("%s", load).isGreaterThan(0.9);
       }
@@ -44,22 +44,22 @@
 
   @Test
   void eachForItselfBreaksThePromise() {
-    LimitPlay.Load load = LimitPlay.Load.steady(9, 1.6, 16);
-    assertThat(worst(load, LimitPlay.Way.ALONE).worstWindow()).isGreaterThan(promise(1.6));
+    SharedLimitSimulation.Load load = SharedLimitSimulation.Load.steady(9, 1.6, 16);
+    assertThat(worst(load, SharedLimitSimulation.Way.ALONE).worstWindow()).isGreaterThan(promise(1.6));
   }
 
   /** Shares of a daemon are so small that many save a request each and spend them together. */
   @Test
   void equalSharesGoTogetherAfterAPause() {
-    LimitPlay.Load load = LimitPlay.Load.steady(78, 1.6, 8);
-    LimitPlay.Outcome outcome = worst(load, LimitPlay.Way.EQUAL_SHARES);
+    SharedLimitSimulation.Load load = SharedLimitSimulation.Load.steady(78, 1.6, 8);
+    SharedLimitSimulation.Outcome outcome = worst(load, SharedLimitSimulation.Way.EQUAL_SHARES);
     assertThat(outcome.worstWindow()).isGreaterThan(goal(1.6));
   }
 
   @Test
   void oneDaemonAloneLeavesMostOfTheLimitUnused() {
-    LimitPlay.Load load = LimitPlay.Load.steady(78, 1.6, 8);
-    assertThat(worst(load, LimitPlay.Way.OWNER_ONLY).used()).isLessThan(0.5);
+    SharedLimitSimulation.Load load = SharedLimitSimulation.Load.steady(78, 1.6, 8);
+    assertThat(worst(load, SharedLimitSimulation.Way.OWNER_ONLY).used()).isLessThan(0.5);
   }
 
   /**
@@ -69,8 +69,8 @@
   void theSumIsKeptWhileItsOwnerEndsAndDaemonsAreParted() {
     for (int daemons : FLEETS) {
       for (double limit : new double[] {0.5, 1.6, 10}) {
-        LimitPlay.Load load = new LimitPlay.Load(daemons, limit, 5 * limit, 40, 8, 16, 10);
-        LimitPlay.Outcome outcome = worst(load, LimitPlay.Way.LEAVE);
+        SharedLimitSimulation.Load load = new SharedLimitSimulation.Load(daemons, limit, 5 * limit, 40, 8, 16, 10);
+        SharedLimitSimulation.Outcome outcome = worst(load, SharedLimitSimulation.Way.LEAVE);
         assertThat(outcome.worstWindow()).as("%s", load).isLessThanOrEqualTo(promise(limit));
       }
     }
