--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/QuarantineRecord.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/QuarantineRecord.java
@@ -12,7 +12,8 @@
  * @param ended lives of nodes that ended while they ran it
  * @param excused those of them that are not held against it, since it has been answered later
  */
-public record QuarantineRecord(Fingerprint fingerprint, Set<NodeLife> ended, Set<NodeLife> excused) {
+public record QuarantineRecord(
+    Fingerprint fingerprint, Set<NodeLife> ended, Set<NodeLife> excused) {
 
   /**
    * Nodes whose end is held against the request.
@@ -34,7 +35,8 @@
    * @return what both tell
    */
   QuarantineRecord with(QuarantineRecord other) {
-    return new QuarantineRecord(fingerprint, union(ended, other.ended), union(excused, other.excused));
+    return new QuarantineRecord(
+        fingerprint, union(ended, other.ended), union(excused, other.excused));
   }
 
   private static Set<NodeLife> union(Set<NodeLife> one, Set<NodeLife> other) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/CopyPositions.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/CopyPositions.java
@@ -10,5 +10,6 @@
 public record CopyPositions(StorePosition configuration, long version, StorePosition nodes) {
 
   /** A daemon that knows nothing yet. */
-  public static final CopyPositions NONE = new CopyPositions(StorePosition.NONE, -1, StorePosition.NONE);
+  public static final CopyPositions NONE =
+      new CopyPositions(StorePosition.NONE, -1, StorePosition.NONE);
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ConnectionReuseTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ConnectionReuseTest.java
@@ -51,7 +51,8 @@
         new Dispatcher(
             "here",
             new UpstreamGate(
-                new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a")))),
+                new SharedLimits(
+                    new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a")))),
             () -> 0);
     final Map<Endpoint, List<Double>> rested = new HashMap<>();
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
@@ -27,7 +27,9 @@
   private static final long MILLI = 1_000_000L;
 
   private final UpstreamGate gate =
-      new UpstreamGate(new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
+      new UpstreamGate(
+          new SharedLimits(
+              new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
   private final AtomicLong now = new AtomicLong();
   private final Dispatcher dispatcher = new Dispatcher("here", gate, now::get);
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadPlay.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadPlay.java
@@ -135,7 +135,9 @@
 
   private static final class Daemon {
     final UpstreamGate gate =
-        new UpstreamGate(new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
+        new UpstreamGate(
+            new SharedLimits(
+                new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
     final Dispatcher dispatcher;
 
     Daemon(String dataCentre, Random random, LongSupplier steadyNanos) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/UpstreamGateTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/UpstreamGateTest.java
@@ -24,7 +24,9 @@
   private static final NodeAnswer PLAIN = new NodeAnswer(200, false, false, 0, null, null);
 
   private final UpstreamGate gate =
-      new UpstreamGate(new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
+      new UpstreamGate(
+          new SharedLimits(
+              new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
 
   private static NodeAnswer restOf(long millis) {
     return new NodeAnswer(503, true, false, millis, null, null);
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodesThatStartAgainTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodesThatStartAgainTest.java
@@ -135,7 +135,8 @@
         new Dispatcher(
             "a",
             new UpstreamGate(
-                new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a")))),
+                new SharedLimits(
+                    new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a")))),
             () -> 0);
     dispatcher.serve(List.of(node(1, "large")));
     dispatcher.state("n").suspect(now);
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulationTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulationTest.java
@@ -19,7 +19,8 @@
     return (int) (1.5 * 4 * limit) + 5;
   }
 
-  private static SharedLimitSimulation.Outcome worst(SharedLimitSimulation.Load load, SharedLimitSimulation.Way way) {
+  private static SharedLimitSimulation.Outcome worst(
+      SharedLimitSimulation.Load load, SharedLimitSimulation.Way way) {
     int worst = 0;
     double used = 0;
     for (int seed = 1; seed <= SEEDS; seed++) {
@@ -34,7 +35,8 @@
   void theSumIsKeptAndUsedWhereCallersWait() {
     for (int daemons : FLEETS) {
       for (double limit : new double[] {0.5, 1.6, 10, 50}) {
-        SharedLimitSimulation.Load load = SharedLimitSimulation.Load.steady(daemons, limit, 5 * limit);
+        SharedLimitSimulation.Load load =
+            SharedLimitSimulation.Load.steady(daemons, limit, 5 * limit);
         SharedLimitSimulation.Outcome outcome = worst(load, SharedLimitSimulation.Way.LEAVE);
         assertThat(outcome.worstWindow()).as("%s", load).isLessThanOrEqualTo(goal(limit));
         assertThat(outcome.used()).as("%s", load).isGreaterThan(0.9);
@@ -45,7 +47,8 @@
   @Test
   void eachForItselfBreaksThePromise() {
     SharedLimitSimulation.Load load = SharedLimitSimulation.Load.steady(9, 1.6, 16);
-    assertThat(worst(load, SharedLimitSimulation.Way.ALONE).worstWindow()).isGreaterThan(promise(1.6));
+    assertThat(worst(load, SharedLimitSimulation.Way.ALONE).worstWindow())
+        .isGreaterThan(promise(1.6));
   }
 
   /** Shares of a daemon are so small that many save a request each and spend them together. */
@@ -69,7 +72,8 @@
   void theSumIsKeptWhileItsOwnerEndsAndDaemonsAreParted() {
     for (int daemons : FLEETS) {
       for (double limit : new double[] {0.5, 1.6, 10}) {
-        SharedLimitSimulation.Load load = new SharedLimitSimulation.Load(daemons, limit, 5 * limit, 40, 8, 16, 10);
+        SharedLimitSimulation.Load load =
+            new SharedLimitSimulation.Load(daemons, limit, 5 * limit, 40, 8, 16, 10);
         SharedLimitSimulation.Outcome outcome = worst(load, SharedLimitSimulation.Way.LEAVE);
         assertThat(outcome.worstWindow()).as("%s", load).isLessThanOrEqualTo(promise(limit));
       }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/DataCentreDigestsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/DataCentreDigestsTest.java
@@ -13,7 +13,8 @@
 
   private final DataCentreDigests digests = new DataCentreDigests("north");
 
-  private static PeerMessage note(String name, Map<String, Integer> inFlight, List<String> suspects) {
+  private static PeerMessage note(
+      String name, Map<String, Integer> inFlight, List<String> suspects) {
     return new PeerMessage(
         name,
         "at-" + name,
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.limit.SharedLimits;
-import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.core.peer.PeerMessage;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.gateway.RepeatGuard;
 import org.fawnvale.serving.limit.LimitDesk;
@@ -55,7 +55,9 @@
   void see(Collection<PeerMessage> live, int heardLately) {
     List<RendezvousOwners.Daemon> others = new ArrayList<>();
     live.forEach(
-        note -> others.add(new RendezvousOwners.Daemon(note.name(), note.address(), note.dataCentre())));
+        note ->
+            others.add(
+                new RendezvousOwners.Daemon(note.name(), note.address(), note.dataCentre())));
     if (owners.see(others, heardLately, System.nanoTime())) {
       limits.ownersChanged();
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -24,12 +24,12 @@
 import org.fawnvale.serving.core.model.ServiceSpec;
 import org.fawnvale.serving.core.model.Settings;
 import org.fawnvale.serving.core.peer.DaemonState;
-import org.fawnvale.serving.core.peer.RendezvousOwners;
-import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.LeaderEligibility;
+import org.fawnvale.serving.core.peer.PeerMessage;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.core.route.RouteTable;
-import org.fawnvale.serving.core.watch.CopyPositions;
 import org.fawnvale.serving.core.watch.CopyDelays;
+import org.fawnvale.serving.core.watch.CopyPositions;
 import org.fawnvale.serving.core.watch.DepartureDetector;
 import org.fawnvale.serving.core.watch.PollIntervals;
 import org.fawnvale.serving.formation.FormationService;
@@ -144,7 +144,9 @@
     this.reactor = reactor;
     this.client = new HttpClient(reactor, timers);
     RendezvousOwners owners =
-        new RendezvousOwners(new RendezvousOwners.Daemon(settings.name(), settings.address(), settings.dataCentre()));
+        new RendezvousOwners(
+            new RendezvousOwners.Daemon(
+                settings.name(), settings.address(), settings.dataCentre()));
     SharedLimits limits = new SharedLimits(owners);
     this.gate = new UpstreamGate(limits);
     OwnerCalls ownerCalls = new OwnerCalls(client, timers, settings.peerPort() + COPY_PORT_OFFSET);
@@ -556,7 +558,8 @@
             dispatcher.refusing(),
             leads ? formation.opened() : List.of(),
             leads ? formation.closed() : List.of());
-    CopyPositions places = new CopyPositions(configurations.newest(), versionInForce(), nodes.newest());
+    CopyPositions places =
+        new CopyPositions(configurations.newest(), versionInForce(), nodes.newest());
     peers.tell(state, places, isNews);
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
@@ -39,7 +39,7 @@
   private static final int SUCCESS = 200;
   private static final int MAX_REJECTIONS = 3;
 
-  /** RendezvousOwners that are asked for leave for one request: each question keeps the caller waiting. */
+  /** Owners that are asked for leave for one request: each question keeps the caller waiting. */
   private static final int MOST_QUESTIONS = 3;
 
   private static final int LOOK_AGAIN_MILLIS = 100;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/DigestCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/DigestCodec.java
@@ -9,7 +9,7 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** DataCentreDigests of data centres as MessagePack, within the datagrams of notes. */
+/** Digests of data centres as MessagePack, within the datagrams of notes. */
 final class DigestCodec {
 
   private DigestCodec() {}
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -17,9 +17,9 @@
 import org.fawnvale.serving.core.peer.DataCentreDigest;
 import org.fawnvale.serving.core.peer.DataCentreDigests;
 import org.fawnvale.serving.core.peer.LeaderElection;
+import org.fawnvale.serving.core.peer.LeaderEligibility;
 import org.fawnvale.serving.core.peer.MessageRouting;
 import org.fawnvale.serving.core.peer.PeerMessage;
-import org.fawnvale.serving.core.peer.LeaderEligibility;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.core.watch.CopyPositions;
 
@@ -220,7 +220,8 @@
     }
     boolean leads = leadership.leader().equals(settings.name());
     Set<String> targets =
-        routing.targets(others, new MessageRouting.Occasion(turn, leads, leadership.leader(), news));
+        routing.targets(
+            others, new MessageRouting.Occasion(turn, leads, leadership.leader(), news));
     boolean relays = MessageRouting.hasRelays(others.size() + 1) && routing.isRelay(others);
     List<QuarantineRecord> records = shared.records(relays);
     List<LimitUpdate> limits = shared.limits(relays);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
@@ -11,8 +11,8 @@
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
-import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
+import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
 import org.fawnvale.serving.http.WholeCall;
@@ -102,7 +102,8 @@
 
   private void take(WholeCall.Answered answer) {
     try {
-      Page<StoredQuarantineRecord> page = platform.keptRecords(platform.era(answer.head()), answer.body());
+      Page<StoredQuarantineRecord> page =
+          platform.keptRecords(platform.era(answer.head()), answer.body());
       List<QuarantineRecord> holding = new ArrayList<>();
       for (Page.Item<StoredQuarantineRecord> item : page.items()) {
         StoredQuarantineRecord kept = item.value();
@@ -163,7 +164,8 @@
     }
     calling = true;
     QuarantineRecord next = waiting.values().iterator().next();
-    StoredQuarantineRecord kept = new StoredQuarantineRecord(next, clockMillis.getAsLong() + KEPT_MILLIS);
+    StoredQuarantineRecord kept =
+        new StoredQuarantineRecord(next, clockMillis.getAsLong() + KEPT_MILLIS);
     WholeCall.send(
         client, timers, store, platform.keep(kept), CALL_MILLIS, reply -> called(next, reply));
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
@@ -343,7 +343,10 @@
   }
 
   private void replied(
-      WholeCall.Reply reply, StorePosition asked, StoreFigures.Reason reason, Consumer<Page<T>> good) {
+      WholeCall.Reply reply,
+      StorePosition asked,
+      StoreFigures.Reason reason,
+      Consumer<Page<T>> good) {
     if (!(reply instanceof WholeCall.Answered answer) || answer.status() != OK) {
       failed(reply, reason);
       return;
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RepeatsThatEndNodesTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RepeatsThatEndNodesTest.java
@@ -114,7 +114,8 @@
     synchronized (running.guard()) {
       gateway
           .repeats()
-          .hear(List.of(new QuarantineRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
+          .hear(
+              List.of(new QuarantineRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
     }
     assertThat(status.get()).isEqualTo(502);
     assertThat(silent.awaitGivenUp()).isTrue();
@@ -126,7 +127,8 @@
     synchronized (running.guard()) {
       gateway
           .repeats()
-          .hear(List.of(new QuarantineRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
+          .hear(
+              List.of(new QuarantineRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
     }
     assertThat(ask("/safe/sheet", "r1", "rose")).isEqualTo(503);
     assertThat(ended()).isZero();
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
@@ -30,7 +30,9 @@
   private final Timers timers = new Timers(new Object());
   private final HttpReactor reactor = HttpReactor.start(16_384);
   private final UpstreamGate gate =
-      new UpstreamGate(new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
+      new UpstreamGate(
+          new SharedLimits(
+              new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
   private final Dispatcher dispatcher = new Dispatcher("a", gate, System::nanoTime);
   private final Gateway gateway;
   private final int port;
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
@@ -21,8 +21,10 @@
 /** What a daemon answers to others that ask it for leave. */
 class DesksTest {
 
-  private static final RendezvousOwners.Daemon SELF = new RendezvousOwners.Daemon("d1", "127.0.0.1", "a");
-  private static final RendezvousOwners.Daemon OTHER = new RendezvousOwners.Daemon("d2", "127.0.0.2", "b");
+  private static final RendezvousOwners.Daemon SELF =
+      new RendezvousOwners.Daemon("d1", "127.0.0.1", "a");
+  private static final RendezvousOwners.Daemon OTHER =
+      new RendezvousOwners.Daemon("d2", "127.0.0.2", "b");
   private static final LimitUpdate LIMIT = new LimitUpdate(new NodeLife("n1", 7), 2, 50, 30);
   private static final Fingerprint SHEET = new Fingerprint(-17);
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
@@ -10,8 +10,8 @@
 import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.model.NodeLife;
 import org.fawnvale.serving.core.peer.DataCentreDigest;
-import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.LeaderEligibility;
+import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.core.watch.CopyPositions;
@@ -52,7 +52,9 @@
                   List.of("n4@2", "n4@2"),
                   List.of("n8", "n9"),
                   true,
-                  List.of(new DataCentreDigest.Member("edge-9", "127.0.0.9", 4, LeaderEligibility.FIT)))),
+                  List.of(
+                      new DataCentreDigest.Member(
+                          "edge-9", "127.0.0.9", 4, LeaderEligibility.FIT)))),
           List.of(
               new QuarantineRecord(
                   new Fingerprint(-17),
