--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
@@ -242,12 +242,12 @@
     for (Node node : candidates) {
       UpstreamState state = state(node.id());
       boolean mayGo = !excluded.contains(node.id()) && !state.isSuspect();
-      SharedLimits.Room room = gate.limits().room(node, now);
-      boolean hasRoom = room != SharedLimits.Room.NONE;
+      SharedLimits.Admission room = gate.limits().admission(node, now);
+      boolean hasRoom = room != SharedLimits.Admission.EXHAUSTED;
       if (mayGo && hasRoom && gate.takesRequests(node.life(), now)) {
         usable.add(node);
         boolean accepts = !state.isBackedOff(now) && !refusingPeers.contains(node.id());
-        if (accepts && room != SharedLimits.Room.ASK) {
+        if (accepts && room != SharedLimits.Admission.ASK_OWNER) {
           accepting.add(node);
         }
       }
@@ -277,7 +277,8 @@
     if (best == null || load(best) >= demand.fullAt()) {
       return new Choice.Refuse("every upstream is full", UpstreamGate.NOW);
     }
-    boolean mustAsk = gate.limits().room(best, steadyNanos.getAsLong()) == SharedLimits.Room.ASK;
+    boolean mustAsk =
+        gate.limits().admission(best, steadyNanos.getAsLong()) == SharedLimits.Admission.ASK_OWNER;
     return new Choice.Send(best, load(best), mustAsk);
   }
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
@@ -137,7 +137,7 @@
    * @return false when it may not be written: the node rests, leaves, or has no room in its limit
    */
   public boolean letThrough(Node node, long nowNanos) {
-    return takesRequests(node.life(), nowNanos) && limits.spend(node, nowNanos);
+    return takesRequests(node.life(), nowNanos) && limits.tryAcquire(node, nowNanos);
   }
 
   /**
@@ -159,7 +159,7 @@
 
   private long nanosToEnd(Node node, long nowNanos) {
     long rest = rests(node.life(), nowNanos) ? restEnds.get(node.life()) - nowNanos : NOW;
-    return Math.max(rest, limits.nanosToNext(node, nowNanos));
+    return Math.max(rest, limits.nanosUntilAvailable(node, nowNanos));
   }
 
   /**
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/KnownLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/KnownLimits.java
@@ -20,39 +20,39 @@
 public final class KnownLimits {
 
   /** The stamp of a life of which nothing is known. */
-  public static final int UNKNOWN = 0;
+  public static final int UNKNOWN_VERSION = 0;
 
   /**
    * Answers without a limit, each to a request that was sent knowing of it, that end it. A node
    * whose need ends for a moment is not sent all that waits at once.
    */
-  private static final int CLEAN_ANSWERS = 2;
+  private static final int ANSWERS_TO_END = 2;
 
   /** Bounds what is kept of nodes that are gone, in entries. */
-  private static final int MOST_LIVES = 16_384;
+  private static final int MAX_ENTRIES = 16_384;
 
   /** How long a limit is believed that no answer has shown again. */
-  private static final long KEPT_NANOS = 600_000_000_000L;
+  private static final long ENTRY_TTL_NANOS = 600_000_000_000L;
 
   /** Pause between two looks for entries to forget, since each goes through all of them. */
-  private static final long LOOK_NANOS = 10_000_000_000L;
+  private static final long EVICTION_INTERVAL_NANOS = 10_000_000_000L;
 
   /** How long what is new is told: notes go out each 150 ms, in large fleets to some only. */
-  private static final long NEWS_NANOS = 2_000_000_000L;
+  private static final long RECENT_NANOS = 2_000_000_000L;
 
   /** Changes told in one note: 32 of some 30 bytes leave it below 2 KB. */
-  private static final int MOST_TOLD = 32;
+  private static final int MAX_CHANGED_SENT = 32;
 
   /** Limits in force that are told on in one note, so that daemons that start learn of them. */
-  private static final int MOST_TOLD_ON = 8;
+  private static final int MAX_UNCHANGED_SENT = 8;
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
   private final Map<NodeLife, Entry> entries = new LinkedHashMap<>();
-  private int inForce;
-  private int turn;
-  private boolean news;
-  private long lookedNanos;
+  private int activeCount;
+  private int rotation;
+  private boolean urgent;
+  private long evictedNanos;
 
   /** What an answer or a note has brought. */
   public enum Change {
@@ -67,15 +67,15 @@
   }
 
   private static final class Entry {
-    double perSecond = LimitUpdate.OVER;
-    int stamp = UNKNOWN;
-    int clean;
-    long shownNanos;
+    double perSecond = LimitUpdate.UNLIMITED;
+    int version = UNKNOWN_VERSION;
+    int unlimitedAnswers;
+    long confirmedNanos;
     long changedNanos;
-    boolean own;
+    boolean observedHere;
 
-    boolean isOver() {
-      return perSecond == LimitUpdate.OVER;
+    boolean isUnlimited() {
+      return perSecond == LimitUpdate.UNLIMITED;
     }
   }
 
@@ -85,12 +85,12 @@
    * @param life the node's life
    * @return requests a second; {@link LimitUpdate#OVER} when it has none
    */
-  public double of(NodeLife life) {
-    if (inForce == 0) {
-      return LimitUpdate.OVER;
+  public double perSecond(NodeLife life) {
+    if (activeCount == 0) {
+      return LimitUpdate.UNLIMITED;
     }
     Entry entry = entries.get(life);
-    return entry == null ? LimitUpdate.OVER : entry.perSecond;
+    return entry == null ? LimitUpdate.UNLIMITED : entry.perSecond;
   }
 
   /**
@@ -99,9 +99,9 @@
    * @param life the node's life
    * @return its stamp; {@link #UNKNOWN} when nothing is known
    */
-  public int stamp(NodeLife life) {
+  public int version(NodeLife life) {
     Entry entry = entries.get(life);
-    return entry == null ? UNKNOWN : entry.stamp;
+    return entry == null ? UNKNOWN_VERSION : entry.version;
   }
 
   /**
@@ -109,8 +109,8 @@
    *
    * @return their number
    */
-  public int inForce() {
-    return inForce;
+  public int activeCount() {
+    return activeCount;
   }
 
   /**
@@ -123,46 +123,46 @@
    * @param nowNanos the steady time
    * @return what was new
    */
-  public Change hear(
+  public Change recordAnswer(
       NodeLife life, @Nullable StatedLimit said, int sentStamp, boolean mayEnd, long nowNanos) {
     Entry entry = entries.get(life);
-    boolean isNewest = entry == null || sentStamp >= entry.stamp;
+    boolean isNewest = entry == null || sentStamp >= entry.version;
     if (said == null) {
-      return entry == null || entry.isOver() || !mayEnd || !isNewest
+      return entry == null || entry.isUnlimited() || !mayEnd || !isNewest
           ? Change.NONE
-          : hearClean(life, entry, nowNanos);
+          : recordUnlimitedAnswer(life, entry, nowNanos);
     }
     if (entry == null) {
-      return change(life, said.perSecond(), UNKNOWN + 1, true, nowNanos);
+      return change(life, said.perSecond(), UNKNOWN_VERSION + 1, true, nowNanos);
     }
-    entry.clean = 0;
-    entry.shownNanos = nowNanos;
+    entry.unlimitedAnswers = 0;
+    entry.confirmedNanos = nowNanos;
     boolean replaces = isNewest || said.perSecond() < entry.perSecond;
     return said.perSecond() != entry.perSecond && replaces
-        ? change(life, said.perSecond(), entry.stamp + 1, true, nowNanos)
+        ? change(life, said.perSecond(), entry.version + 1, true, nowNanos)
         : Change.NONE;
   }
 
-  private Change hearClean(NodeLife life, Entry entry, long nowNanos) {
-    entry.clean++;
-    return entry.clean < CLEAN_ANSWERS
+  private Change recordUnlimitedAnswer(NodeLife life, Entry entry, long nowNanos) {
+    entry.unlimitedAnswers++;
+    return entry.unlimitedAnswers < ANSWERS_TO_END
         ? Change.NONE
-        : change(life, LimitUpdate.OVER, entry.stamp + 1, true, nowNanos);
+        : change(life, LimitUpdate.UNLIMITED, entry.version + 1, true, nowNanos);
   }
 
   private Change change(NodeLife life, double perSecond, int stamp, boolean own, long nowNanos) {
     Entry entry = entries.computeIfAbsent(life, any -> new Entry());
-    boolean was = !entry.isOver();
-    news |= own && perSecond < entry.perSecond;
+    boolean was = !entry.isUnlimited();
+    urgent |= own && perSecond < entry.perSecond;
     entry.perSecond = perSecond;
-    entry.stamp = stamp;
-    entry.clean = 0;
+    entry.version = stamp;
+    entry.unlimitedAnswers = 0;
     entry.changedNanos = nowNanos;
-    entry.shownNanos = nowNanos;
-    entry.own = own;
-    boolean is = !entry.isOver();
-    inForce += (is ? 1 : 0) - (was ? 1 : 0);
-    bound(nowNanos);
+    entry.confirmedNanos = nowNanos;
+    entry.observedHere = own;
+    boolean is = !entry.isUnlimited();
+    activeCount += (is ? 1 : 0) - (was ? 1 : 0);
+    evict(nowNanos);
     if (was) {
       return is ? Change.CHANGED : Change.ENDED;
     }
@@ -177,44 +177,44 @@
    * @param nowNanos the steady time
    * @return what was new
    */
-  public Change learn(LimitUpdate told, long nowNanos) {
+  public Change merge(LimitUpdate told, long nowNanos) {
     long shownNanos = nowNanos - told.ageMillis() * NANOS_PER_MILLI;
-    if (nowNanos - shownNanos > KEPT_NANOS) {
+    if (nowNanos - shownNanos > ENTRY_TTL_NANOS) {
       return Change.NONE;
     }
     Entry entry = entries.get(told.life());
-    int stamp = entry == null ? UNKNOWN : entry.stamp;
-    double known = entry == null ? LimitUpdate.OVER : entry.perSecond;
-    boolean isStricter = told.stamp() == stamp && told.perSecond() < known;
-    if (told.stamp() <= stamp && !isStricter) {
-      if (entry != null && told.stamp() == stamp && shownNanos - entry.shownNanos > 0) {
-        entry.shownNanos = shownNanos;
+    int stamp = entry == null ? UNKNOWN_VERSION : entry.version;
+    double known = entry == null ? LimitUpdate.UNLIMITED : entry.perSecond;
+    boolean isStricter = told.version() == stamp && told.perSecond() < known;
+    if (told.version() <= stamp && !isStricter) {
+      if (entry != null && told.version() == stamp && shownNanos - entry.confirmedNanos > 0) {
+        entry.confirmedNanos = shownNanos;
       }
       return Change.NONE;
     }
-    Change change = change(told.life(), told.perSecond(), told.stamp(), false, nowNanos);
+    Change change = change(told.life(), told.perSecond(), told.version(), false, nowNanos);
     Entry changed = entries.get(told.life());
     if (changed != null) {
-      changed.shownNanos = shownNanos;
+      changed.confirmedNanos = shownNanos;
     }
     return change;
   }
 
   /** Entries that no answer has shown for long go, now and then; of too many the first one goes. */
-  private void bound(long nowNanos) {
-    if (nowNanos - lookedNanos > LOOK_NANOS) {
-      lookedNanos = nowNanos;
-      entries.values().removeIf(entry -> isForgotten(entry, nowNanos));
+  private void evict(long nowNanos) {
+    if (nowNanos - evictedNanos > EVICTION_INTERVAL_NANOS) {
+      evictedNanos = nowNanos;
+      entries.values().removeIf(entry -> isExpired(entry, nowNanos));
     }
-    if (entries.size() > MOST_LIVES) {
+    if (entries.size() > MAX_ENTRIES) {
       Entry first = entries.remove(entries.keySet().iterator().next());
-      inForce -= first.isOver() ? 0 : 1;
+      activeCount -= first.isUnlimited() ? 0 : 1;
     }
   }
 
-  private boolean isForgotten(Entry entry, long nowNanos) {
-    boolean old = nowNanos - entry.shownNanos > KEPT_NANOS;
-    inForce -= old && !entry.isOver() ? 1 : 0;
+  private boolean isExpired(Entry entry, long nowNanos) {
+    boolean old = nowNanos - entry.confirmedNanos > ENTRY_TTL_NANOS;
+    activeCount -= old && !entry.isUnlimited() ? 1 : 0;
     return old;
   }
 
@@ -224,9 +224,9 @@
    *
    * @return true when one has, since this was asked last
    */
-  public boolean takeNews() {
-    boolean had = news;
-    news = false;
+  public boolean takeUrgent() {
+    boolean had = urgent;
+    urgent = false;
     return had;
   }
 
@@ -238,24 +238,24 @@
    * @param nowNanos the steady time
    * @return a note for each of some lives
    */
-  public List<LimitUpdate> toTell(boolean forOthers, long nowNanos) {
+  public List<LimitUpdate> updatesToSend(boolean forOthers, long nowNanos) {
     if (entries.isEmpty()) {
       return List.of();
     }
-    turn++;
+    rotation++;
     List<LimitUpdate> changed = new ArrayList<>();
     List<LimitUpdate> standing = new ArrayList<>();
     entries.forEach(
         (life, entry) -> {
-          boolean isNew = nowNanos - entry.changedNanos < NEWS_NANOS;
-          if (isNew && (entry.own || forOthers)) {
-            changed.add(note(life, entry, nowNanos));
-          } else if (!entry.isOver()) {
-            standing.add(note(life, entry, nowNanos));
+          boolean isNew = nowNanos - entry.changedNanos < RECENT_NANOS;
+          if (isNew && (entry.observedHere || forOthers)) {
+            changed.add(update(life, entry, nowNanos));
+          } else if (!entry.isUnlimited()) {
+            standing.add(update(life, entry, nowNanos));
           }
         });
-    List<LimitUpdate> told = new ArrayList<>(inTurn(changed, MOST_TOLD));
-    told.addAll(inTurn(standing, MOST_TOLD_ON));
+    List<LimitUpdate> told = new ArrayList<>(rotate(changed, MAX_CHANGED_SENT));
+    told.addAll(rotate(standing, MAX_UNCHANGED_SENT));
     return told;
   }
 
@@ -266,23 +266,23 @@
    * @param nowNanos the steady time
    * @return a note; null when nothing is known
    */
-  public @Nullable LimitUpdate noteOf(NodeLife life, long nowNanos) {
+  public @Nullable LimitUpdate updateFor(NodeLife life, long nowNanos) {
     Entry entry = entries.get(life);
-    return entry == null ? null : note(life, entry, nowNanos);
+    return entry == null ? null : update(life, entry, nowNanos);
   }
 
-  private static LimitUpdate note(NodeLife life, Entry entry, long nowNanos) {
-    long age = Math.max(0, nowNanos - entry.shownNanos) / NANOS_PER_MILLI;
-    return new LimitUpdate(life, entry.stamp, entry.perSecond, age);
+  private static LimitUpdate update(NodeLife life, Entry entry, long nowNanos) {
+    long age = Math.max(0, nowNanos - entry.confirmedNanos) / NANOS_PER_MILLI;
+    return new LimitUpdate(life, entry.version, entry.perSecond, age);
   }
 
-  private Collection<LimitUpdate> inTurn(List<LimitUpdate> notes, int most) {
+  private Collection<LimitUpdate> rotate(List<LimitUpdate> notes, int most) {
     if (notes.size() <= most) {
       return notes;
     }
     List<LimitUpdate> some = new ArrayList<>();
     for (int place = 0; place < most; place++) {
-      some.add(notes.get(Math.floorMod(turn * most + place, notes.size())));
+      some.add(notes.get(Math.floorMod(rotation * most + place, notes.size())));
     }
     return some;
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/LimitUpdate.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/LimitUpdate.java
@@ -12,17 +12,17 @@
  *     #OVER} when it names no limit any more
  * @param ageMillis how long ago a daemon last got an answer that shows it, in milliseconds
  */
-public record LimitUpdate(NodeLife life, int stamp, double perSecond, long ageMillis) {
+public record LimitUpdate(NodeLife life, int version, double perSecond, long ageMillis) {
 
   /** The limit of a node that names none any more. */
-  public static final double OVER = Double.POSITIVE_INFINITY;
+  public static final double UNLIMITED = Double.POSITIVE_INFINITY;
 
   /**
    * Tells whether the node takes as much as there is.
    *
    * @return true when it names no limit any more
    */
-  public boolean isOver() {
-    return perSecond == OVER;
+  public boolean isUnlimited() {
+    return perSecond == UNLIMITED;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
@@ -18,31 +18,31 @@
 public final class SharedLimits {
 
   /** How long leave for a request holds that is not used at once, in nanoseconds. */
-  private static final long LEAVE_NANOS = 500_000_000L;
+  private static final long PERMIT_TTL_NANOS = 500_000_000L;
 
   private static final int SUCCESS = 200;
   private static final int REDIRECT = 300;
 
-  private final KnownLimits known = new KnownLimits();
+  private final KnownLimits knownLimits = new KnownLimits();
   private final RendezvousOwners owners;
-  private final Map<NodeLife, Owned> buckets = new HashMap<>();
-  private final Map<NodeLife, Leave> leaves = new HashMap<>();
-  private final Map<NodeLife, Long> askAgain = new HashMap<>();
+  private final Map<NodeLife, OwnedBucket> buckets = new HashMap<>();
+  private final Map<NodeLife, Permits> heldPermits = new HashMap<>();
+  private final Map<NodeLife, Long> retryAtNanos = new HashMap<>();
 
-  private record Owned(String dataCentre, TokenBucket bucket) {}
+  private record OwnedBucket(String dataCentre, TokenBucket bucket) {}
 
-  private record Leave(int requests, long untilNanos) {}
+  private record Permits(int count, long expiresNanos) {}
 
   /** Whether a request may go to a node. */
-  public enum Room {
+  public enum Admission {
     /** The node names no limit. */
-    FREE,
+    UNLIMITED,
     /** There is room within the limit, and this daemon may use it. */
-    HERE,
+    PERMITTED,
     /** The limit's owner has to be asked. */
-    ASK,
+    ASK_OWNER,
     /** There is none now. */
-    NONE
+    EXHAUSTED
   }
 
   /** What came of asking the owner. */
@@ -75,8 +75,8 @@
    *
    * @return the limits by life
    */
-  public KnownLimits known() {
-    return known;
+  public KnownLimits knownLimits() {
+    return knownLimits;
   }
 
   /**
@@ -90,10 +90,12 @@
    * @param nowNanos the steady time
    * @return what was new
    */
-  public KnownLimits.Change hear(
+  public KnownLimits.Change recordAnswer(
       NodeLife life, NodeAnswer said, int sentStamp, boolean isCallers, long nowNanos) {
     boolean success = said.status() >= SUCCESS && said.status() < REDIRECT;
-    return settle(life, known.hear(life, said.limit(), sentStamp, isCallers && success, nowNanos));
+    return apply(
+        life,
+        knownLimits.recordAnswer(life, said.limit(), sentStamp, isCallers && success, nowNanos));
   }
 
   /**
@@ -103,17 +105,17 @@
    * @param nowNanos the steady time
    * @return what was new
    */
-  public KnownLimits.Change learn(LimitUpdate told, long nowNanos) {
-    return settle(told.life(), known.learn(told, nowNanos));
+  public KnownLimits.Change merge(LimitUpdate told, long nowNanos) {
+    return apply(told.life(), knownLimits.merge(told, nowNanos));
   }
 
-  private KnownLimits.Change settle(NodeLife life, KnownLimits.Change change) {
+  private KnownLimits.Change apply(NodeLife life, KnownLimits.Change change) {
     if (change == KnownLimits.Change.ENDED) {
       buckets.remove(life);
-      leaves.remove(life);
-      askAgain.remove(life);
+      heldPermits.remove(life);
+      retryAtNanos.remove(life);
     } else if (change == KnownLimits.Change.CHANGED) {
-      askAgain.remove(life);
+      retryAtNanos.remove(life);
     }
     return change;
   }
@@ -123,12 +125,13 @@
    * here no more, and those of lives that are forgotten by nobody.
    */
   public void ownersChanged() {
-    buckets.entrySet().removeIf(one -> !isSpentHere(one.getKey(), one.getValue()));
-    askAgain.clear();
+    buckets.entrySet().removeIf(one -> !isStillOwned(one.getKey(), one.getValue()));
+    retryAtNanos.clear();
   }
 
-  private boolean isSpentHere(NodeLife life, Owned owned) {
-    return known.of(life) != LimitUpdate.OVER && owners.isOwn(life.id(), owned.dataCentre());
+  private boolean isStillOwned(NodeLife life, OwnedBucket owned) {
+    return knownLimits.perSecond(life) != LimitUpdate.UNLIMITED
+        && owners.isOwner(life.id(), owned.dataCentre());
   }
 
   /**
@@ -138,33 +141,34 @@
    * @param nowNanos the steady time
    * @return whether there is room within its limit
    */
-  public Room room(Node node, long nowNanos) {
-    if (known.of(node.life()) == LimitUpdate.OVER) {
-      return Room.FREE;
+  public Admission admission(Node node, long nowNanos) {
+    if (knownLimits.perSecond(node.life()) == LimitUpdate.UNLIMITED) {
+      return Admission.UNLIMITED;
     }
-    if (holdsLeave(node.life(), nowNanos)) {
-      return Room.HERE;
+    if (holdsPermit(node.life(), nowNanos)) {
+      return Admission.PERMITTED;
     }
-    if (nanosToNext(node, nowNanos) > 0) {
-      return Room.NONE;
+    if (nanosUntilAvailable(node, nowNanos) > 0) {
+      return Admission.EXHAUSTED;
     }
-    return owners.isOwn(node.id(), node.dataCentre()) ? Room.HERE : Room.ASK;
+    return owners.isOwner(node.id(), node.dataCentre()) ? Admission.PERMITTED : Admission.ASK_OWNER;
   }
 
   private TokenBucket bucket(NodeLife life, String dataCentre, long nowNanos) {
     return buckets
         .computeIfAbsent(
-            life, any -> new Owned(dataCentre, new TokenBucket(owners.decidesFromNanos(nowNanos))))
+            life,
+            any -> new OwnedBucket(dataCentre, new TokenBucket(owners.ownedFromNanos(nowNanos))))
         .bucket();
   }
 
-  private boolean holdsLeave(NodeLife life, long nowNanos) {
-    Leave leave = leaves.get(life);
-    return leave != null && leave.untilNanos() - nowNanos > 0;
+  private boolean holdsPermit(NodeLife life, long nowNanos) {
+    Permits leave = heldPermits.get(life);
+    return leave != null && leave.expiresNanos() - nowNanos > 0;
   }
 
-  private long waitsToAsk(NodeLife life, long nowNanos) {
-    Long again = askAgain.get(life);
+  private long nanosUntilRetry(NodeLife life, long nowNanos) {
+    Long again = retryAtNanos.get(life);
     return again == null ? 0 : Math.max(0, again - nowNanos);
   }
 
@@ -175,24 +179,25 @@
    * @param nowNanos the steady time
    * @return whether it may be written; false when there is no room within the node's limit
    */
-  public boolean spend(Node node, long nowNanos) {
-    double limit = known.of(node.life());
-    if (limit == LimitUpdate.OVER) {
+  public boolean tryAcquire(Node node, long nowNanos) {
+    double limit = knownLimits.perSecond(node.life());
+    if (limit == LimitUpdate.UNLIMITED) {
       return true;
     }
-    if (holdsLeave(node.life(), nowNanos)) {
-      useLeave(node.life());
+    if (holdsPermit(node.life(), nowNanos)) {
+      usePermit(node.life());
       return true;
     }
-    return owners.isOwn(node.id(), node.dataCentre())
-        && bucket(node.life(), node.dataCentre(), nowNanos).take(limit, owners.share(), nowNanos);
+    return owners.isOwner(node.id(), node.dataCentre())
+        && bucket(node.life(), node.dataCentre(), nowNanos)
+            .tryAcquire(limit, owners.share(), nowNanos);
   }
 
-  private void useLeave(NodeLife life) {
-    leaves.computeIfPresent(
+  private void usePermit(NodeLife life) {
+    heldPermits.computeIfPresent(
         life,
         (any, leave) ->
-            leave.requests() > 1 ? new Leave(leave.requests() - 1, leave.untilNanos()) : null);
+            leave.count() > 1 ? new Permits(leave.count() - 1, leave.expiresNanos()) : null);
   }
 
   /**
@@ -213,15 +218,15 @@
    * @param nowNanos the steady time
    * @return the reply
    */
-  public Reply ask(NodeLife life, String dataCentre, long nowNanos) {
-    double limit = known.of(life);
-    if (limit == LimitUpdate.OVER || !owners.isOwn(life.id(), dataCentre)) {
+  public Reply requestPermit(NodeLife life, String dataCentre, long nowNanos) {
+    double limit = knownLimits.perSecond(life);
+    if (limit == LimitUpdate.UNLIMITED || !owners.isOwner(life.id(), dataCentre)) {
       return new NotOwned();
     }
     TokenBucket bucket = bucket(life, dataCentre, nowNanos);
-    return bucket.take(limit, owners.share(), nowNanos)
+    return bucket.tryAcquire(limit, owners.share(), nowNanos)
         ? new Granted()
-        : new Denied(bucket.nanosToTell(limit, owners.share(), nowNanos));
+        : new Denied(bucket.nanosUntilRetry(limit, owners.share(), nowNanos));
   }
 
   /**
@@ -230,10 +235,10 @@
    * @param life the node's life
    * @param nowNanos the steady time
    */
-  public void granted(NodeLife life, long nowNanos) {
-    leaves.values().removeIf(leave -> leave.untilNanos() - nowNanos <= 0);
-    int before = holdsLeave(life, nowNanos) ? leaves.get(life).requests() : 0;
-    leaves.put(life, new Leave(before + 1, nowNanos + LEAVE_NANOS));
+  public void permitGranted(NodeLife life, long nowNanos) {
+    heldPermits.values().removeIf(leave -> leave.expiresNanos() - nowNanos <= 0);
+    int before = holdsPermit(life, nowNanos) ? heldPermits.get(life).count() : 0;
+    heldPermits.put(life, new Permits(before + 1, nowNanos + PERMIT_TTL_NANOS));
   }
 
   /**
@@ -243,9 +248,9 @@
    * @param nanos when to ask again, in nanoseconds from now
    * @param nowNanos the steady time
    */
-  public void denied(NodeLife life, long nanos, long nowNanos) {
-    askAgain.values().removeIf(again -> again - nowNanos <= 0);
-    askAgain.put(life, nowNanos + nanos);
+  public void permitDenied(NodeLife life, long nanos, long nowNanos) {
+    retryAtNanos.values().removeIf(again -> again - nowNanos <= 0);
+    retryAtNanos.put(life, nowNanos + nanos);
   }
 
   /**
@@ -255,16 +260,16 @@
    * @param nowNanos the steady time
    * @return nanoseconds from now; 0 when it names none, or when there may be room now
    */
-  public long nanosToNext(Node node, long nowNanos) {
-    double limit = known.of(node.life());
-    if (limit == LimitUpdate.OVER) {
+  public long nanosUntilAvailable(Node node, long nowNanos) {
+    double limit = knownLimits.perSecond(node.life());
+    if (limit == LimitUpdate.UNLIMITED) {
       return 0;
     }
-    if (owners.isOwn(node.id(), node.dataCentre())) {
+    if (owners.isOwner(node.id(), node.dataCentre())) {
       return bucket(node.life(), node.dataCentre(), nowNanos)
-          .nanosToNext(limit, owners.share(), nowNanos);
+          .nanosUntilAvailable(limit, owners.share(), nowNanos);
     }
-    return waitsToAsk(node.life(), nowNanos);
+    return nanosUntilRetry(node.life(), nowNanos);
   }
 
   /**
@@ -274,8 +279,8 @@
    * @param nowNanos the steady time
    * @return a note for each of some lives
    */
-  public List<LimitUpdate> toTell(boolean forOthers, long nowNanos) {
-    return known.toTell(forOthers, nowNanos);
+  public List<LimitUpdate> updatesToSend(boolean forOthers, long nowNanos) {
+    return knownLimits.updatesToSend(forOthers, nowNanos);
   }
 
   /**
@@ -285,7 +290,7 @@
    * @param nowNanos the steady time
    * @return a note; null when nothing is known
    */
-  public @Nullable LimitUpdate noteOf(NodeLife life, long nowNanos) {
-    return known.noteOf(life, nowNanos);
+  public @Nullable LimitUpdate updateFor(NodeLife life, long nowNanos) {
+    return knownLimits.updateFor(life, nowNanos);
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/TokenBucket.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/TokenBucket.java
@@ -8,22 +8,22 @@
 final class TokenBucket {
 
   /** Requests that may go at once after a pause. */
-  static final double MOST_SAVED = 2;
+  static final double BURST = 2;
 
   /**
    * The least rate, in requests a second: a node that takes less, or none, is still asked now and
    * then, since nothing but its answers shows that its need has ended. One is saved up at the most.
    */
-  static final double LEAST_PER_SECOND = 0.25;
+  static final double MIN_PER_SECOND = 0.25;
 
   /** The longest time to come back that is told, in nanoseconds. */
-  private static final long LONGEST_WAIT_NANOS = 4_000_000_000L;
+  private static final long MAX_RETRY_NANOS = 4_000_000_000L;
 
   private static final double NANOS_PER_SECOND = 1e9;
 
-  private double saved;
-  private long countedNanos;
-  private long toldNanos;
+  private double tokens;
+  private long refilledNanos;
+  private long assignedRetryNanos;
 
   /**
    * Creates an empty bucket.
@@ -31,22 +31,22 @@
    * @param fromNanos the steady time from which on it fills
    */
   TokenBucket(long fromNanos) {
-    countedNanos = fromNanos;
-    toldNanos = fromNanos;
+    refilledNanos = fromNanos;
+    assignedRetryNanos = fromNanos;
   }
 
-  private void fill(double limit, double share, long nowNanos) {
-    if (nowNanos - countedNanos <= 0) {
+  private void refill(double limit, double share, long nowNanos) {
+    if (nowNanos - refilledNanos <= 0) {
       return;
     }
-    double most = limit < LEAST_PER_SECOND ? 1 : MOST_SAVED;
-    double gained = rate(limit, share) * (nowNanos - countedNanos) / NANOS_PER_SECOND;
-    saved = Math.min(most, saved + gained);
-    countedNanos = nowNanos;
+    double most = limit < MIN_PER_SECOND ? 1 : BURST;
+    double gained = rate(limit, share) * (nowNanos - refilledNanos) / NANOS_PER_SECOND;
+    tokens = Math.min(most, tokens + gained);
+    refilledNanos = nowNanos;
   }
 
   private static double rate(double limit, double share) {
-    return share * Math.max(limit, LEAST_PER_SECOND);
+    return share * Math.max(limit, MIN_PER_SECOND);
   }
 
   /**
@@ -57,12 +57,12 @@
    * @param nowNanos the steady time
    * @return whether it may go
    */
-  boolean take(double limit, double share, long nowNanos) {
-    fill(limit, share, nowNanos);
-    if (saved < 1) {
+  boolean tryAcquire(double limit, double share, long nowNanos) {
+    refill(limit, share, nowNanos);
+    if (tokens < 1) {
       return false;
     }
-    saved--;
+    tokens--;
     return true;
   }
 
@@ -74,13 +74,13 @@
    * @param nowNanos the steady time
    * @return nanoseconds from now; 0 when there is room now
    */
-  long nanosToNext(double limit, double share, long nowNanos) {
-    fill(limit, share, nowNanos);
-    if (saved >= 1) {
+  long nanosUntilAvailable(double limit, double share, long nowNanos) {
+    refill(limit, share, nowNanos);
+    if (tokens >= 1) {
       return 0;
     }
-    long fills = Math.max(0, countedNanos - nowNanos);
-    return fills + (long) Math.ceil((1 - saved) / rate(limit, share) * NANOS_PER_SECOND);
+    long fills = Math.max(0, refilledNanos - nowNanos);
+    return fills + (long) Math.ceil((1 - tokens) / rate(limit, share) * NANOS_PER_SECOND);
   }
 
   /**
@@ -92,13 +92,13 @@
    * @param nowNanos the steady time
    * @return nanoseconds from now
    */
-  long nanosToTell(double limit, double share, long nowNanos) {
-    long next = nowNanos + nanosToNext(limit, share, nowNanos);
+  long nanosUntilRetry(double limit, double share, long nowNanos) {
+    long next = nowNanos + nanosUntilAvailable(limit, share, nowNanos);
     long apart = (long) (NANOS_PER_SECOND / rate(limit, share));
-    toldNanos = toldNanos + apart - next > 0 ? toldNanos + apart : next;
-    if (toldNanos - nowNanos > LONGEST_WAIT_NANOS) {
-      toldNanos = next;
+    assignedRetryNanos = assignedRetryNanos + apart - next > 0 ? assignedRetryNanos + apart : next;
+    if (assignedRetryNanos - nowNanos > MAX_RETRY_NANOS) {
+      assignedRetryNanos = next;
     }
-    return toldNanos - nowNanos;
+    return assignedRetryNanos - nowNanos;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/DaemonState.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/DaemonState.java
@@ -16,7 +16,7 @@
  * @param closed heads whose groups it takes apart, when it leads
  */
 public record DaemonState(
-    LeaderEligibility standing,
+    LeaderEligibility eligibility,
     boolean served,
     Map<String, Integer> inFlight,
     Map<String, Double> offeredWork,
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/DataCentreDigest.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/DataCentreDigest.java
@@ -36,5 +36,6 @@
    * @param incarnation drawn anew at each start
    * @param standing how fit it is to lead
    */
-  public record Member(String name, String address, long incarnation, LeaderEligibility standing) {}
+  public record Member(
+      String name, String address, long incarnation, LeaderEligibility eligibility) {}
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/DataCentreDigests.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/DataCentreDigests.java
@@ -15,15 +15,15 @@
    * How long a digest counts. It is made every 150 ms and takes two hops; a relay that died is
    * replaced after 500 ms.
    */
-  private static final long FRESH_NANOS = 1_200_000_000L;
+  private static final long DIGEST_TTL_NANOS = 1_200_000_000L;
 
   /** Witnesses that are told apart: two are enough to believe. */
-  private static final int WITNESSES_TOLD = 2;
+  private static final int MAX_WITNESSES = 2;
 
   private final String dataCentre;
-  private final Map<String, Heard> heard = new HashMap<>();
+  private final Map<String, Received> latest = new HashMap<>();
 
-  private record Heard(DataCentreDigest digest, long atNanos) {}
+  private record Received(DataCentreDigest digest, long atNanos) {}
 
   /**
    * Creates the view of one daemon.
@@ -42,7 +42,7 @@
    * @param sequence rises with each digest of that daemon
    * @return the digest
    */
-  public DataCentreDigest make(Collection<PeerMessage> notes, String relay, long sequence) {
+  public DataCentreDigest summarize(Collection<PeerMessage> notes, String relay, long sequence) {
     Map<String, Integer> inFlight = new HashMap<>();
     Map<String, Double> work = new HashMap<>();
     Map<String, Integer> witnesses = new HashMap<>();
@@ -56,13 +56,13 @@
       refusing.addAll(note.refusing());
       members.add(
           new DataCentreDigest.Member(
-              note.name(), note.address(), note.incarnation(), note.standing()));
+              note.name(), note.address(), note.incarnation(), note.eligibility()));
       served |= note.served();
     }
     List<String> suspects = new ArrayList<>();
     witnesses.forEach(
         (head, count) -> {
-          for (int told = 0; told < Math.min(count, WITNESSES_TOLD); told++) {
+          for (int told = 0; told < Math.min(count, MAX_WITNESSES); told++) {
             suspects.add(head);
           }
         });
@@ -85,17 +85,17 @@
    * @param nowNanos the steady time
    * @return true when it is news
    */
-  public boolean hear(DataCentreDigest digest, long nowNanos) {
-    Heard before = heard.get(digest.dataCentre());
+  public boolean receive(DataCentreDigest digest, long nowNanos) {
+    Received before = latest.get(digest.dataCentre());
     boolean older =
         before != null
             && before.digest().relay().equals(digest.relay())
             && before.digest().sequence() >= digest.sequence()
-            && nowNanos - before.atNanos() < FRESH_NANOS;
+            && nowNanos - before.atNanos() < DIGEST_TTL_NANOS;
     if (older || digest.dataCentre().equals(dataCentre)) {
       return false;
     }
-    heard.put(digest.dataCentre(), new Heard(digest, nowNanos));
+    latest.put(digest.dataCentre(), new Received(digest, nowNanos));
     return true;
   }
 
@@ -107,9 +107,9 @@
    */
   public Map<String, DataCentreDigest> fresh(long nowNanos) {
     Map<String, DataCentreDigest> fresh = new HashMap<>();
-    heard.forEach(
+    latest.forEach(
         (name, last) -> {
-          if (nowNanos - last.atNanos() < FRESH_NANOS) {
+          if (nowNanos - last.atNanos() < DIGEST_TTL_NANOS) {
             fresh.put(name, last.digest());
           }
         });
@@ -121,8 +121,8 @@
    *
    * @return false when no last digest, fresh or not, names one
    */
-  public boolean tellOfSuspects() {
-    for (Heard last : heard.values()) {
+  public boolean anySuspects() {
+    for (Received last : latest.values()) {
       if (!last.digest().suspects().isEmpty()) {
         return true;
       }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/LeaderElection.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/LeaderElection.java
@@ -18,25 +18,25 @@
 public final class LeaderElection {
 
   /** Notes that may be missed before their sender counts as gone. */
-  private static final long SILENCE_NANOS = 500_000_000L;
+  private static final long TIMEOUT_NANOS = 500_000_000L;
 
-  private static final long CLAIM_STEP_NANOS = 120_000_000L;
-  private static final long KNOWN_NANOS = 40_000_000_000L;
-  private static final long QUIET_NANOS = 4_000_000_000L;
+  private static final long CLAIM_DELAY_STEP_NANOS = 120_000_000L;
+  private static final long MEMBERSHIP_NANOS = 40_000_000_000L;
+  private static final long BACKOFF_NANOS = 4_000_000_000L;
   private static final long NEVER = Long.MIN_VALUE;
 
   private final String self;
   private final String dataCentre;
-  private final Map<String, Heard> heard = new HashMap<>();
+  private final Map<String, Received> received = new HashMap<>();
   private long term;
   private String leader = "";
   private long highestClaim;
   private long ownClaim;
-  private LeaderEligibility own = LeaderEligibility.UNFIT;
+  private LeaderEligibility ownEligibility = LeaderEligibility.INELIGIBLE;
   private long leaderlessSince = NEVER;
-  private long quietUntil = NEVER;
+  private long backoffUntil = NEVER;
 
-  private record Heard(PeerMessage note, long atNanos) {}
+  private record Received(PeerMessage message, long atNanos) {}
 
   /**
    * Creates the view of one daemon.
@@ -55,17 +55,17 @@
    * @param note the note
    * @param nowNanos the steady time
    */
-  public void hear(PeerMessage note, long nowNanos) {
-    Heard before = heard.get(note.name());
-    if (isOfFormerLife(before, note.incarnation(), nowNanos)) {
+  public void receive(PeerMessage note, long nowNanos) {
+    Received before = received.get(note.name());
+    if (isFromPreviousIncarnation(before, note.incarnation(), nowNanos)) {
       return;
     }
-    heard.put(note.name(), new Heard(note, nowNanos));
+    received.put(note.name(), new Received(note, nowNanos));
     if (note.term() > term) {
-      enter(note.term());
+      enterTerm(note.term());
     }
     if (note.term() == term) {
-      hearClaim(note, nowNanos);
+      receiveClaim(note, nowNanos);
     }
   }
 
@@ -74,13 +74,14 @@
    * not for ever an earlier one. What a former life sent arrives within milliseconds of its end; a
    * daemon that was silent for longer, and is heard with a lower number, has started again.
    */
-  private static boolean isOfFormerLife(@Nullable Heard before, long incarnation, long nowNanos) {
+  private static boolean isFromPreviousIncarnation(
+      @Nullable Received before, long incarnation, long nowNanos) {
     return before != null
-        && before.note().incarnation() > incarnation
-        && nowNanos - before.atNanos() < SILENCE_NANOS;
+        && before.message().incarnation() > incarnation
+        && nowNanos - before.atNanos() < TIMEOUT_NANOS;
   }
 
-  private void hearClaim(PeerMessage note, long nowNanos) {
+  private void receiveClaim(PeerMessage note, long nowNanos) {
     highestClaim = Math.max(highestClaim, note.claim());
     String candidate = note.leader();
     boolean isNews = !candidate.isEmpty() && !candidate.equals(leader);
@@ -97,17 +98,18 @@
    * @param dataCentreOfMember its data centre
    * @param nowNanos the steady time
    */
-  public void hearOf(DataCentreDigest.Member member, String dataCentreOfMember, long nowNanos) {
-    Heard before = heard.get(member.name());
-    if (isOfFormerLife(before, member.incarnation(), nowNanos)) {
+  public void receiveMember(
+      DataCentreDigest.Member member, String dataCentreOfMember, long nowNanos) {
+    Received before = received.get(member.name());
+    if (isFromPreviousIncarnation(before, member.incarnation(), nowNanos)) {
       return;
     }
-    boolean sameLife = before != null && before.note().incarnation() == member.incarnation();
+    boolean sameLife = before != null && before.message().incarnation() == member.incarnation();
     PeerMessage note =
         sameLife && before != null
-            ? before.note().withStanding(member.standing())
+            ? before.message().withEligibility(member.eligibility())
             : PeerMessage.ofMember(member, dataCentreOfMember);
-    heard.put(member.name(), new Heard(note, nowNanos));
+    received.put(member.name(), new Received(note, nowNanos));
   }
 
   /**
@@ -116,8 +118,10 @@
    * one that has lost the store to one that has it.
    */
   private boolean isPreferred(String candidate, long nowNanos) {
-    LeaderEligibility ofCandidate = candidate.equals(self) ? own : standingOf(candidate, nowNanos);
-    LeaderEligibility ofLeader = leader.equals(self) ? own : standingOf(leader, nowNanos);
+    LeaderEligibility ofCandidate =
+        candidate.equals(self) ? ownEligibility : eligibilityOf(candidate, nowNanos);
+    LeaderEligibility ofLeader =
+        leader.equals(self) ? ownEligibility : eligibilityOf(leader, nowNanos);
     if (leader.isEmpty() || ofCandidate != ofLeader) {
       return leader.isEmpty() || ofCandidate.compareTo(ofLeader) > 0;
     }
@@ -133,10 +137,10 @@
    * @return true when this daemon leads
    */
   public boolean decide(LeaderEligibility standing, long nowNanos) {
-    own = standing;
-    LeaderEligibility best = bestStanding(standing, nowNanos);
-    LeaderEligibility ofLeader = leader.equals(self) ? standing : standingOf(leader, nowNanos);
-    if (best == LeaderEligibility.UNFIT || ofLeader == best) {
+    ownEligibility = standing;
+    LeaderEligibility best = bestEligibility(standing, nowNanos);
+    LeaderEligibility ofLeader = leader.equals(self) ? standing : eligibilityOf(leader, nowNanos);
+    if (best == LeaderEligibility.INELIGIBLE || ofLeader == best) {
       leaderlessSince = NEVER;
     } else if (leaderlessSince == NEVER) {
       leaderlessSince = nowNanos;
@@ -144,11 +148,11 @@
     boolean due =
         leaderlessSince != NEVER
             && standing == best
-            && nowNanos - leaderlessSince >= rank(best, nowNanos) * CLAIM_STEP_NANOS;
+            && nowNanos - leaderlessSince >= rank(best, nowNanos) * CLAIM_DELAY_STEP_NANOS;
     if (due) {
       leaderlessSince = NEVER;
       if (!inMinority(nowNanos)) {
-        enter(term + 1);
+        enterTerm(term + 1);
       }
       leader = self;
       claim();
@@ -156,7 +160,9 @@
     if (leader.equals(self) && highestClaim > ownClaim) {
       claim();
     }
-    return standing != LeaderEligibility.UNFIT && leader.equals(self) && nowNanos >= quietUntil;
+    return standing != LeaderEligibility.INELIGIBLE
+        && leader.equals(self)
+        && nowNanos >= backoffUntil;
   }
 
   /**
@@ -166,22 +172,22 @@
    *
    * @param nowNanos the steady time
    */
-  public void refused(long nowNanos) {
+  public void fenceRejected(long nowNanos) {
     if (inMinority(nowNanos)) {
-      quietUntil = nowNanos + QUIET_NANOS;
+      backoffUntil = nowNanos + BACKOFF_NANOS;
       highestClaim = Math.max(highestClaim, ownClaim + 1);
     } else {
-      enter(term + 1);
+      enterTerm(term + 1);
     }
   }
 
   /** Tells whether most of the daemons that were heard of lately are not heard now. */
   private boolean inMinority(long nowNanos) {
     int alive = 1;
-    for (Heard last : heard.values()) {
+    for (Received last : received.values()) {
       alive += isAlive(last, nowNanos) ? 1 : 0;
     }
-    return 2 * alive <= heardLately(nowNanos);
+    return 2 * alive <= recentlySeenCount(nowNanos);
   }
 
   /**
@@ -190,15 +196,15 @@
    * @param nowNanos the steady time
    * @return their number
    */
-  public int heardLately(long nowNanos) {
+  public int recentlySeenCount(long nowNanos) {
     int known = 1;
-    for (Heard last : heard.values()) {
-      known += nowNanos - last.atNanos() < KNOWN_NANOS ? 1 : 0;
+    for (Received last : received.values()) {
+      known += nowNanos - last.atNanos() < MEMBERSHIP_NANOS ? 1 : 0;
     }
     return known;
   }
 
-  private void enter(long newTerm) {
+  private void enterTerm(long newTerm) {
     term = newTerm;
     leader = "";
     highestClaim = 0;
@@ -211,31 +217,31 @@
     ownClaim = highestClaim;
   }
 
-  private LeaderEligibility standingOf(String name, long nowNanos) {
-    Heard last = heard.get(name);
+  private LeaderEligibility eligibilityOf(String name, long nowNanos) {
+    Received last = received.get(name);
     boolean alive = last != null && isAlive(last, nowNanos);
-    return alive ? last.note().standing() : LeaderEligibility.UNFIT;
+    return alive ? last.message().eligibility() : LeaderEligibility.INELIGIBLE;
   }
 
   /** The leader tells its own data centre each of its notes. */
-  private boolean isAlive(Heard last, long nowNanos) {
-    boolean isNear = last.note().dataCentre().equals(dataCentre);
-    boolean tellsEachNote = isNear && last.note().name().equals(leader);
-    return nowNanos - last.atNanos() < (tellsEachNote ? SILENCE_NANOS : silence());
+  private boolean isAlive(Received last, long nowNanos) {
+    boolean isNear = last.message().dataCentre().equals(dataCentre);
+    boolean tellsEachNote = isNear && last.message().name().equals(leader);
+    return nowNanos - last.atNanos() < (tellsEachNote ? TIMEOUT_NANOS : timeoutNanos());
   }
 
   /**
    * In a large fleet near daemons tell each other every other note, and of far ones one hears by
    * digests, which take two hops.
    */
-  private long silence() {
-    return MessageRouting.hasRelays(heard.size() + 1) ? 2 * SILENCE_NANOS : SILENCE_NANOS;
+  private long timeoutNanos() {
+    return MessageRouting.hasRelays(received.size() + 1) ? 2 * TIMEOUT_NANOS : TIMEOUT_NANOS;
   }
 
-  private LeaderEligibility bestStanding(LeaderEligibility own, long nowNanos) {
+  private LeaderEligibility bestEligibility(LeaderEligibility own, long nowNanos) {
     LeaderEligibility best = own;
-    for (String name : heard.keySet()) {
-      LeaderEligibility other = standingOf(name, nowNanos);
+    for (String name : received.keySet()) {
+      LeaderEligibility other = eligibilityOf(name, nowNanos);
       best = other.compareTo(best) > 0 ? other : best;
     }
     return best;
@@ -244,8 +250,8 @@
   /** Counts the daemons of the best standing whose names come first. */
   private int rank(LeaderEligibility best, long nowNanos) {
     int rank = 0;
-    for (String name : heard.keySet()) {
-      if (name.compareTo(self) < 0 && standingOf(name, nowNanos) == best) {
+    for (String name : received.keySet()) {
+      if (name.compareTo(self) < 0 && eligibilityOf(name, nowNanos) == best) {
         rank++;
       }
     }
@@ -260,10 +266,10 @@
    */
   public Map<String, PeerMessage> live(long nowNanos) {
     Map<String, PeerMessage> live = new HashMap<>();
-    heard.forEach(
+    received.forEach(
         (name, last) -> {
           if (isAlive(last, nowNanos)) {
-            live.put(name, last.note());
+            live.put(name, last.message());
           }
         });
     return live;
@@ -274,9 +280,9 @@
    *
    * @return false when none does
    */
-  public boolean hearsOfSuspects() {
-    for (Heard last : heard.values()) {
-      if (!last.note().suspects().isEmpty()) {
+  public boolean anySuspects() {
+    for (Received last : received.values()) {
+      if (!last.message().suspects().isEmpty()) {
         return true;
       }
     }
@@ -289,11 +295,11 @@
    * @param nowNanos the steady time
    * @return the data centres, without this daemon's own unless others live there
    */
-  public Set<String> dataCentresHeard(long nowNanos) {
+  public Set<String> reachableDataCentres(long nowNanos) {
     Set<String> dataCentres = new HashSet<>();
-    for (Heard last : heard.values()) {
-      if (nowNanos - last.atNanos() < silence()) {
-        dataCentres.add(last.note().dataCentre());
+    for (Received last : received.values()) {
+      if (nowNanos - last.atNanos() < timeoutNanos()) {
+        dataCentres.add(last.message().dataCentre());
       }
     }
     return dataCentres;
@@ -307,13 +313,13 @@
    * @param nowNanos the steady time
    * @return the number of live daemons that come before it
    */
-  public int placeInDataCentre(LeaderEligibility standing, long nowNanos) {
+  public int rankInDataCentre(LeaderEligibility standing, long nowNanos) {
     int before = 0;
-    for (Heard last : heard.values()) {
-      PeerMessage note = last.note();
+    for (Received last : received.values()) {
+      PeerMessage note = last.message();
       boolean near = note.dataCentre().equals(dataCentre) && isAlive(last, nowNanos);
-      boolean fitter = note.standing().compareTo(standing) > 0;
-      boolean first = note.standing() == standing && note.name().compareTo(self) < 0;
+      boolean fitter = note.eligibility().compareTo(standing) > 0;
+      boolean first = note.eligibility() == standing && note.name().compareTo(self) < 0;
       before += near && (fitter || first) ? 1 : 0;
     }
     return before;
@@ -324,9 +330,9 @@
    *
    * @return the note; null when this daemon leads or nothing was heard
    */
-  public @Nullable PeerMessage leaderNote() {
-    Heard last = heard.get(leader);
-    return last == null ? null : last.note();
+  public @Nullable PeerMessage leaderMessage() {
+    Received last = received.get(leader);
+    return last == null ? null : last.message();
   }
 
   /**
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/MessageRouting.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/MessageRouting.java
@@ -22,7 +22,7 @@
    * what a daemon does at rest: with 20 daemons a data centre it sent and heard 130 a second each;
    * now 60 daemons send 1,266 datagrams for two notes each instead of 2,292 (counted in a test).
    */
-  private static final int NEAR_SPACING = 2;
+  private static final int LOCAL_SPACING = 2;
 
   private final String self;
   private final String dataCentre;
@@ -55,7 +55,7 @@
    * @param leader the name of the leader
    * @param news whether it holds what the leader and the relays should know at once
    */
-  public record Occasion(int turn, boolean leads, String leader, boolean news) {}
+  public record SendContext(int sequence, boolean isLeader, String leader, boolean urgent) {}
 
   /**
    * Tells whether a fleet has relays.
@@ -64,7 +64,7 @@
    * @return true when notes don't go to every daemon
    */
   public static boolean hasRelays(int daemons) {
-    return MessageSpacing.across(daemons) > 1;
+    return MessageSpacing.remoteInterval(daemons) > 1;
   }
 
   /**
@@ -86,18 +86,18 @@
    * @param occasion what it is sent for
    * @return their addresses
    */
-  public Set<String> targets(Collection<Peer> live, Occasion occasion) {
+  public Set<String> targets(Collection<Peer> live, SendContext occasion) {
     boolean direct = !hasRelays(live.size() + 1);
     boolean leaderToAll =
-        occasion.leads() && (occasion.news() || occasion.turn() % LEADER_SPACING == 0);
-    boolean toRelays = isRelay(live) || occasion.leads() || occasion.news();
-    boolean toAllNear = direct || toRelays || occasion.turn() % NEAR_SPACING == 0;
+        occasion.isLeader() && (occasion.urgent() || occasion.sequence() % LEADER_SPACING == 0);
+    boolean toRelays = isRelay(live) || occasion.isLeader() || occasion.urgent();
+    boolean toAllNear = direct || toRelays || occasion.sequence() % LOCAL_SPACING == 0;
     Map<String, Peer> relays = new HashMap<>();
     Map<String, Peer> nearRelay = new HashMap<>();
     Set<String> targets = new HashSet<>();
     for (Peer peer : live) {
       boolean near = peer.dataCentre().equals(dataCentre);
-      boolean leads = occasion.news() && peer.name().equals(occasion.leader());
+      boolean leads = occasion.urgent() && peer.name().equals(occasion.leader());
       if (direct || near && toAllNear || leaderToAll || leads) {
         targets.add(peer.address());
       } else {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/MessageSpacing.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/MessageSpacing.java
@@ -8,8 +8,8 @@
  */
 public final class MessageSpacing {
 
-  private static final int DAEMONS_A_STEP = 20;
-  private static final int WIDEST = 4;
+  private static final int DAEMONS_PER_STEP = 20;
+  private static final int MAX_INTERVAL = 4;
 
   private MessageSpacing() {}
 
@@ -19,8 +19,8 @@
    * @param daemons daemons that are known, this one included
    * @return 1 for every note, 2 for every second one, and so on
    */
-  public static int across(int daemons) {
-    return Math.min(WIDEST, 1 + daemons / DAEMONS_A_STEP);
+  public static int remoteInterval(int daemons) {
+    return Math.min(MAX_INTERVAL, 1 + daemons / DAEMONS_PER_STEP);
   }
 
   /**
@@ -32,7 +32,7 @@
    * @return true when it is this daemon's turn
    */
   public static boolean isDue(int turn, String address, int daemons) {
-    int every = across(daemons);
+    int every = remoteInterval(daemons);
     return Math.floorMod(turn + address.hashCode(), every) == 0;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/PeerMessage.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/PeerMessage.java
@@ -30,7 +30,7 @@
     long term,
     String leader,
     long claim,
-    LeaderEligibility standing,
+    LeaderEligibility eligibility,
     boolean served,
     Map<String, Integer> inFlight,
     Map<String, Double> offeredWork,
@@ -55,7 +55,7 @@
         0,
         "",
         0,
-        member.standing(),
+        member.eligibility(),
         false,
         Map.of(),
         Map.of(),
@@ -71,7 +71,7 @@
    * @param newer the standing
    * @return the note
    */
-  PeerMessage withStanding(LeaderEligibility newer) {
+  PeerMessage withEligibility(LeaderEligibility newer) {
     return new PeerMessage(
         name,
         address,
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/RendezvousOwners.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/RendezvousOwners.java
@@ -25,18 +25,18 @@
    * How long after the daemons in touch have changed a new owner begins, in nanoseconds: the former
    * one has stopped by then, since it hears of the change within three notes.
    */
-  private static final long SETTLE_NANOS = 1_500_000_000L;
+  private static final long HANDOVER_NANOS = 1_500_000_000L;
 
   /** Matters whose owners are remembered; more are looked up again. */
-  private static final int MOST_MATTERS = 16_384;
+  private static final int MAX_CACHED_KEYS = 16_384;
 
-  private static final Comparator<Ranked> FIRST =
-      Comparator.comparingLong(Ranked::rank).thenComparing(ranked -> ranked.daemon().name());
+  private static final Comparator<Ranked> BY_RANK =
+      Comparator.comparingLong(Ranked::hash).thenComparing(ranked -> ranked.daemon().name());
 
   private final Daemon self;
   private final Map<String, Daemon> owners = new HashMap<>();
-  private List<Daemon> inTouch;
-  private Set<String> names;
+  private List<Daemon> reachable;
+  private Set<String> reachableNames;
   private double share = 1;
   private long changedNanos;
   private boolean hasChanged;
@@ -50,7 +50,7 @@
    */
   public record Daemon(String name, String address, String dataCentre) {}
 
-  private record Ranked(Daemon daemon, long rank) {}
+  private record Ranked(Daemon daemon, long hash) {}
 
   /**
    * Creates the view of a daemon that knows no other.
@@ -59,8 +59,8 @@
    */
   public RendezvousOwners(Daemon self) {
     this.self = self;
-    this.inTouch = List.of(self);
-    this.names = Set.of(self.name());
+    this.reachable = List.of(self);
+    this.reachableNames = Set.of(self.name());
   }
 
   /**
@@ -71,17 +71,17 @@
    * @param nowNanos the steady time
    * @return whether another daemon may decide on a matter from now on
    */
-  public boolean see(Collection<Daemon> others, int known, long nowNanos) {
+  public boolean updateReachable(Collection<Daemon> others, int known, long nowNanos) {
     share = (others.size() + 1) / (double) Math.max(known, others.size() + 1);
-    if (others.size() + 1 == names.size() && isSame(others)) {
+    if (others.size() + 1 == reachableNames.size() && isSame(others)) {
       return false;
     }
     Set<String> seen = new HashSet<>();
     others.forEach(other -> seen.add(other.name()));
     seen.add(self.name());
-    names = seen;
-    inTouch = new ArrayList<>(others);
-    inTouch.add(self);
+    reachableNames = seen;
+    reachable = new ArrayList<>(others);
+    reachable.add(self);
     owners.clear();
     changedNanos = nowNanos;
     hasChanged = true;
@@ -89,7 +89,7 @@
   }
 
   private boolean isSame(Collection<Daemon> others) {
-    return others.stream().allMatch(other -> names.contains(other.name()));
+    return others.stream().allMatch(other -> reachableNames.contains(other.name()));
   }
 
   /**
@@ -100,7 +100,7 @@
    * @return the daemon, which may be this one
    */
   public Daemon ownerOf(String matter, String dataCentre) {
-    if (owners.size() > MOST_MATTERS) {
+    if (owners.size() > MAX_CACHED_KEYS) {
       owners.clear();
     }
     return owners.computeIfAbsent(matter, any -> choose(matter, dataCentre));
@@ -113,23 +113,23 @@
    * @param dataCentre the data centre that it belongs to; one without daemons if to none
    * @return true when it does
    */
-  public boolean isOwn(String matter, String dataCentre) {
+  public boolean isOwner(String matter, String dataCentre) {
     return ownerOf(matter, dataCentre).equals(self);
   }
 
   private Daemon choose(String matter, String dataCentre) {
     List<Daemon> near =
-        inTouch.stream().filter(daemon -> daemon.dataCentre().equals(dataCentre)).toList();
-    List<Daemon> candidates = near.isEmpty() ? inTouch : near;
+        reachable.stream().filter(daemon -> daemon.dataCentre().equals(dataCentre)).toList();
+    List<Daemon> candidates = near.isEmpty() ? reachable : near;
     return candidates.stream()
-        .map(daemon -> new Ranked(daemon, rank(daemon, matter)))
-        .min(FIRST)
+        .map(daemon -> new Ranked(daemon, hash(daemon, matter)))
+        .min(BY_RANK)
         .map(Ranked::daemon)
         .orElse(self);
   }
 
   /** A mix of both names in which each bit of either changes half of the bits. */
-  private static long rank(Daemon daemon, String matter) {
+  private static long hash(Daemon daemon, String matter) {
     long mixed = ((long) daemon.name().hashCode() << 32) ^ matter.hashCode();
     mixed = (mixed ^ (mixed >>> 33)) * 0xff51afd7ed558ccdL;
     mixed = (mixed ^ (mixed >>> 33)) * 0xc4ceb9fe1a85ec53L;
@@ -152,8 +152,8 @@
    * @return the steady time, in nanoseconds; now, where the daemons in touch have long been the
    *     same
    */
-  public long decidesFromNanos(long nowNanos) {
-    long settled = changedNanos + SETTLE_NANOS;
+  public long ownedFromNanos(long nowNanos) {
+    long settled = changedNanos + HANDOVER_NANOS;
     return hasChanged && settled - nowNanos > 0 ? settled : nowNanos;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/Quarantine.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/Quarantine.java
@@ -26,52 +26,52 @@
    * caller has two or three attempts, so a harmless request seldom meets three ends, and has one
    * try left when it does.
    */
-  public static final int MOST_ENDS = 3;
+  public static final int MAX_FAILURES = 3;
 
   /** From so many ends on a record is told again and again, so that those who start learn of it. */
-  private static final int ENDS_TOLD_ON = 2;
+  private static final int RESEND_MIN_FAILURES = 2;
 
   /** Some 100 bytes each: 0.4 MB. A domain's loss brings a few hundred. */
-  private static final int MOST_RECORDS = 4_096;
+  private static final int MAX_RECORDS = 4_096;
 
   /** Records told in one note: 24 of some 60 bytes leave it below 2 KB. */
-  private static final int MOST_TOLD = 24;
+  private static final int MAX_RECENT_SENT = 24;
 
   /** Records told on in one note. */
-  private static final int MOST_TOLD_ON = 2;
+  private static final int MAX_RESENT = 2;
 
   /** How long what is new is told: notes go out each 150 ms, in large fleets to some only. */
-  private static final long NEWS_NANOS = 2_000_000_000L;
+  private static final long RECENT_NANOS = 2_000_000_000L;
 
   /**
    * How long a barred request is sent to none, until one caller's attempt is tried once more.
    * Callers are told to come back then. A harmless request may have run where three nodes ended for
    * another one's sake, and only an answer can show it.
    */
-  public static final long TRIAL_AFTER_NANOS = 60_000_000_000L;
+  public static final long TRIAL_DELAY_NANOS = 60_000_000_000L;
 
   /** Trials that leave is given for in all. */
-  private static final int MOST_TRIALS = 3;
+  private static final int MAX_TRIALS = 3;
 
   /** A caller that has not asked for so long is not expected back. */
-  private static final long KEPT_NANOS = 1_800_000_000_000L;
+  private static final long RECORD_TTL_NANOS = 1_800_000_000_000L;
 
   private final Map<Fingerprint, Entry> entries = new LinkedHashMap<>();
-  private int turn;
-  private boolean news;
-  private boolean mayTry = true;
+  private int rotation;
+  private boolean urgent;
+  private boolean trialsAllowed = true;
 
   /** A record, and since when it says so. */
   private static final class Entry {
     QuarantineRecord record;
     long changedNanos;
-    long seenNanos;
-    long barredNanos;
-    boolean own;
-    boolean tried;
-    boolean mayTryOnce;
-    int trialsGiven;
-    long trialGivenNanos;
+    long usedNanos;
+    long quarantinedNanos;
+    boolean observedHere;
+    boolean trialSent;
+    boolean trialAccepted;
+    int trialsGranted;
+    long trialGrantedNanos;
 
     Entry(Fingerprint fingerprint) {
       record = new QuarantineRecord(fingerprint, Set.of(), Set.of());
@@ -93,8 +93,8 @@
    *
    * @param allowed whether this daemon may
    */
-  public void mayTry(boolean allowed) {
-    mayTry = allowed;
+  public void allowTrials(boolean allowed) {
+    trialsAllowed = allowed;
   }
 
   /**
@@ -104,24 +104,24 @@
    * @param nowNanos the steady time
    * @return true once it has ended as many nodes as it may, unless its one trial is due here
    */
-  public boolean isBarred(Fingerprint fingerprint, long nowNanos) {
+  public boolean isQuarantined(Fingerprint fingerprint, long nowNanos) {
     Entry entry = entries.get(fingerprint);
     if (entry == null) {
       return false;
     }
-    entry.seenNanos = nowNanos;
-    return entry.record.count() >= MOST_ENDS && !isTrialDue(entry, nowNanos);
+    entry.usedNanos = nowNanos;
+    return entry.record.failureCount() >= MAX_FAILURES && !isTrialDue(entry, nowNanos);
   }
 
   /** A trial that ends a node as well makes one end too many for another. */
   private boolean isTrialDue(Entry entry, long nowNanos) {
-    boolean allowed = mayTry || entry.mayTryOnce;
-    return allowed && !entry.tried && isBarredForLong(entry, nowNanos);
+    boolean allowed = trialsAllowed || entry.trialAccepted;
+    return allowed && !entry.trialSent && isTrialDelayOver(entry, nowNanos);
   }
 
-  private static boolean isBarredForLong(Entry entry, long nowNanos) {
-    boolean mayBeHarmless = entry.record.count() == MOST_ENDS;
-    return mayBeHarmless && nowNanos - entry.barredNanos >= TRIAL_AFTER_NANOS;
+  private static boolean isTrialDelayOver(Entry entry, long nowNanos) {
+    boolean mayBeHarmless = entry.record.failureCount() == MAX_FAILURES;
+    return mayBeHarmless && nowNanos - entry.quarantinedNanos >= TRIAL_DELAY_NANOS;
   }
 
   /**
@@ -131,9 +131,9 @@
    * @param nowNanos the steady time
    * @return true when it was barred long enough ago and has not been tried here
    */
-  public boolean isWorthATrial(Fingerprint fingerprint, long nowNanos) {
+  public boolean mayRequestTrial(Fingerprint fingerprint, long nowNanos) {
     Entry entry = entries.get(fingerprint);
-    return entry != null && !entry.tried && isBarredForLong(entry, nowNanos);
+    return entry != null && !entry.trialSent && isTrialDelayOver(entry, nowNanos);
   }
 
   /**
@@ -145,16 +145,16 @@
    * @param nowNanos the steady time
    * @return whether it may be tried
    */
-  public boolean giveTrial(Fingerprint fingerprint, long nowNanos) {
+  public boolean grantTrial(Fingerprint fingerprint, long nowNanos) {
     Entry entry = entries.get(fingerprint);
     if (entry == null
-        || !isBarredForLong(entry, nowNanos)
-        || entry.trialsGiven == MOST_TRIALS
-        || entry.trialsGiven > 0 && nowNanos - entry.trialGivenNanos < TRIAL_AFTER_NANOS) {
+        || !isTrialDelayOver(entry, nowNanos)
+        || entry.trialsGranted == MAX_TRIALS
+        || entry.trialsGranted > 0 && nowNanos - entry.trialGrantedNanos < TRIAL_DELAY_NANOS) {
       return false;
     }
-    entry.trialsGiven++;
-    entry.trialGivenNanos = nowNanos;
+    entry.trialsGranted++;
+    entry.trialGrantedNanos = nowNanos;
     return true;
   }
 
@@ -163,10 +163,10 @@
    *
    * @param fingerprint the request
    */
-  public void mayTryOnce(Fingerprint fingerprint) {
+  public void acceptTrial(Fingerprint fingerprint) {
     Entry entry = entries.get(fingerprint);
     if (entry != null) {
-      entry.mayTryOnce = true;
+      entry.trialAccepted = true;
     }
   }
 
@@ -175,10 +175,10 @@
    *
    * @param fingerprint the request
    */
-  public void sent(Fingerprint fingerprint) {
+  public void recordSent(Fingerprint fingerprint) {
     Entry entry = entries.get(fingerprint);
     if (entry != null) {
-      entry.tried |= entry.record.count() >= MOST_ENDS;
+      entry.trialSent |= entry.record.failureCount() >= MAX_FAILURES;
     }
   }
 
@@ -188,9 +188,9 @@
    * @param fingerprint the request
    * @return their number
    */
-  public int count(Fingerprint fingerprint) {
+  public int failureCount(Fingerprint fingerprint) {
     Entry entry = entries.get(fingerprint);
-    return entry == null ? 0 : entry.record.count();
+    return entry == null ? 0 : entry.record.failureCount();
   }
 
   /**
@@ -201,8 +201,8 @@
    * @param nowNanos the steady time
    * @return how many ends are held against the request now
    */
-  public int ended(Fingerprint fingerprint, NodeLife life, long nowNanos) {
-    return learn(new QuarantineRecord(fingerprint, Set.of(life), Set.of()), true, nowNanos);
+  public int recordFailure(Fingerprint fingerprint, NodeLife life, long nowNanos) {
+    return merge(new QuarantineRecord(fingerprint, Set.of(life), Set.of()), true, nowNanos);
   }
 
   /**
@@ -212,10 +212,10 @@
    * @param fingerprint the request
    * @param nowNanos the steady time
    */
-  public void answered(Fingerprint fingerprint, long nowNanos) {
+  public void recordAnswer(Fingerprint fingerprint, long nowNanos) {
     Entry entry = entries.get(fingerprint);
-    if (entry != null && entry.record.count() > 0) {
-      learn(new QuarantineRecord(fingerprint, Set.of(), entry.record.ended()), true, nowNanos);
+    if (entry != null && entry.record.failureCount() > 0) {
+      merge(new QuarantineRecord(fingerprint, Set.of(), entry.record.failures()), true, nowNanos);
     }
   }
 
@@ -226,32 +226,33 @@
    * @param nowNanos the steady time
    * @return requests that are barred from now on
    */
-  public List<Fingerprint> hear(Collection<QuarantineRecord> records, long nowNanos) {
+  public List<Fingerprint> mergeFromPeer(Collection<QuarantineRecord> records, long nowNanos) {
     List<Fingerprint> barred = new ArrayList<>();
     for (QuarantineRecord told : records) {
-      int before = count(told.fingerprint());
-      int after = learn(told, false, nowNanos);
-      if (before < MOST_ENDS && after >= MOST_ENDS) {
+      int before = failureCount(told.fingerprint());
+      int after = merge(told, false, nowNanos);
+      if (before < MAX_FAILURES && after >= MAX_FAILURES) {
         barred.add(told.fingerprint());
       }
     }
     return barred;
   }
 
-  private int learn(QuarantineRecord told, boolean own, long nowNanos) {
+  private int merge(QuarantineRecord told, boolean own, long nowNanos) {
     Entry entry = entries.computeIfAbsent(told.fingerprint(), Entry::new);
     QuarantineRecord before = entry.record;
-    entry.record = before.with(told);
-    entry.seenNanos = nowNanos;
+    entry.record = before.merge(told);
+    entry.usedNanos = nowNanos;
     if (!entry.record.equals(before)) {
-      boolean begins = before.count() < MOST_ENDS && entry.record.count() >= MOST_ENDS;
-      entry.barredNanos = begins ? nowNanos : entry.barredNanos;
+      boolean begins =
+          before.failureCount() < MAX_FAILURES && entry.record.failureCount() >= MAX_FAILURES;
+      entry.quarantinedNanos = begins ? nowNanos : entry.quarantinedNanos;
       entry.changedNanos = nowNanos;
-      entry.own = own;
-      news |= own;
+      entry.observedHere = own;
+      urgent |= own;
     }
-    bound(nowNanos);
-    return entry.record.count();
+    evict(nowNanos);
+    return entry.record.failureCount();
   }
 
   /**
@@ -260,9 +261,9 @@
    *
    * @return true when it has
    */
-  public boolean takeNews() {
-    boolean had = news;
-    news = false;
+  public boolean takeUrgent() {
+    boolean had = urgent;
+    urgent = false;
     return had;
   }
 
@@ -274,50 +275,50 @@
    * @param nowNanos the steady time
    * @return the records
    */
-  public List<QuarantineRecord> toTell(boolean forOthers, long nowNanos) {
-    turn++;
+  public List<QuarantineRecord> recordsToSend(boolean forOthers, long nowNanos) {
+    rotation++;
     List<QuarantineRecord> fresh = new ArrayList<>();
     List<QuarantineRecord> heavy = new ArrayList<>();
     for (Entry entry : entries.values()) {
-      boolean isNew = nowNanos - entry.changedNanos < NEWS_NANOS;
-      if (isNew && (entry.own || forOthers)) {
+      boolean isNew = nowNanos - entry.changedNanos < RECENT_NANOS;
+      if (isNew && (entry.observedHere || forOthers)) {
         fresh.add(entry.record);
-      } else if (entry.record.count() >= ENDS_TOLD_ON) {
+      } else if (entry.record.failureCount() >= RESEND_MIN_FAILURES) {
         heavy.add(entry.record);
       }
     }
-    List<QuarantineRecord> told = new ArrayList<>(inTurn(fresh, MOST_TOLD));
-    told.addAll(inTurn(heavy, MOST_TOLD_ON));
+    List<QuarantineRecord> told = new ArrayList<>(rotate(fresh, MAX_RECENT_SENT));
+    told.addAll(rotate(heavy, MAX_RESENT));
     return told;
   }
 
-  private List<QuarantineRecord> inTurn(List<QuarantineRecord> records, int most) {
+  private List<QuarantineRecord> rotate(List<QuarantineRecord> records, int most) {
     if (records.size() <= most) {
       return records;
     }
     List<QuarantineRecord> some = new ArrayList<>();
     for (int place = 0; place < most; place++) {
-      some.add(records.get(Math.floorMod(turn * most + place, records.size())));
+      some.add(records.get(Math.floorMod(rotation * most + place, records.size())));
     }
     return some;
   }
 
   /** Records of which nothing was heard for long go; of too many the lightest, oldest one goes. */
-  private void bound(long nowNanos) {
+  private void evict(long nowNanos) {
     Entry first = entries.values().iterator().next();
-    if (nowNanos - first.seenNanos > KEPT_NANOS) {
+    if (nowNanos - first.usedNanos > RECORD_TTL_NANOS) {
       entries.remove(first.record.fingerprint());
     }
-    if (entries.size() > MOST_RECORDS) {
-      Fingerprint lightest = lightest();
+    if (entries.size() > MAX_RECORDS) {
+      Fingerprint lightest = fewestFailures();
       entries.remove(lightest);
     }
   }
 
-  private @Nullable Fingerprint lightest() {
+  private @Nullable Fingerprint fewestFailures() {
     Entry lightest = null;
     for (Entry entry : entries.values()) {
-      if (lightest == null || entry.record.count() < lightest.record.count()) {
+      if (lightest == null || entry.record.failureCount() < lightest.record.failureCount()) {
         lightest = entry;
       }
     }
@@ -340,10 +341,10 @@
    *
    * @return their records
    */
-  public List<QuarantineRecord> barredRecords() {
+  public List<QuarantineRecord> quarantinedRecords() {
     List<QuarantineRecord> barred = new ArrayList<>();
     for (Entry entry : entries.values()) {
-      if (entry.record.count() >= MOST_ENDS) {
+      if (entry.record.failureCount() >= MAX_FAILURES) {
         barred.add(entry.record);
       }
     }
@@ -355,8 +356,8 @@
    *
    * @return their number
    */
-  public int barred() {
-    return barredRecords().size();
+  public int quarantinedCount() {
+    return quarantinedRecords().size();
   }
 
   /**
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/QuarantineRecord.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/QuarantineRecord.java
@@ -13,16 +13,16 @@
  * @param excused those of them that are not held against it, since it has been answered later
  */
 public record QuarantineRecord(
-    Fingerprint fingerprint, Set<NodeLife> ended, Set<NodeLife> excused) {
+    Fingerprint fingerprint, Set<NodeLife> failures, Set<NodeLife> excused) {
 
   /**
    * Nodes whose end is held against the request.
    *
    * @return their number
    */
-  public int count() {
+  public int failureCount() {
     int count = 0;
-    for (NodeLife life : ended) {
+    for (NodeLife life : failures) {
       count += excused.contains(life) ? 0 : 1;
     }
     return count;
@@ -34,9 +34,9 @@
    * @param other the other record
    * @return what both tell
    */
-  QuarantineRecord with(QuarantineRecord other) {
+  QuarantineRecord merge(QuarantineRecord other) {
     return new QuarantineRecord(
-        fingerprint, union(ended, other.ended), union(excused, other.excused));
+        fingerprint, union(failures, other.failures), union(excused, other.excused));
   }
 
   private static Set<NodeLife> union(Set<NodeLife> one, Set<NodeLife> other) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/StoredQuarantineRecord.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/StoredQuarantineRecord.java
@@ -3,7 +3,7 @@
 /**
  * A record as the platform's store keeps it, which outlives all daemons.
  *
- * @param told the record
- * @param untilMillis until when it holds, in milliseconds of Unix time
+ * @param quarantineRecord the record
+ * @param expiresAtMillis until when it holds, in milliseconds of Unix time
  */
-public record StoredQuarantineRecord(QuarantineRecord told, long untilMillis) {}
+public record StoredQuarantineRecord(QuarantineRecord quarantineRecord, long expiresAtMillis) {}
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/CopyDelays.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/CopyDelays.java
@@ -10,7 +10,7 @@
  * @param farPatienceMillis how long one that does not waits for a peer of its data centre before it
  *     takes the copy of a far one, in milliseconds
  */
-public record CopyDelays(int pauseMillis, int watcherPatienceMillis, int farPatienceMillis) {
+public record CopyDelays(int minIntervalMillis, int watcherDelayMillis, int remoteDelayMillis) {
 
   /**
    * The times for the configuration. The pause is that between two notes. A watcher waits long
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/DepartureDetector.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/DepartureDetector.java
@@ -13,7 +13,7 @@
  */
 public final class DepartureDetector {
 
-  private Set<String> staying = Set.of();
+  private Set<String> active = Set.of();
 
   /**
    * Takes a list in.
@@ -21,7 +21,7 @@
    * @param listed the nodes that are listed now
    * @return ids of those that were listed as staying and leave now, or are not listed any more
    */
-  public Set<String> learn(Collection<Node> listed) {
+  public Set<String> update(Collection<Node> listed) {
     Set<String> staysNow = new HashSet<>();
     for (Node node : listed) {
       if (!node.draining()) {
@@ -29,12 +29,12 @@
       }
     }
     Set<String> leaving = new TreeSet<>();
-    for (String id : staying) {
+    for (String id : active) {
       if (!staysNow.contains(id)) {
         leaving.add(id);
       }
     }
-    staying = staysNow;
+    active = staysNow;
     return leaving;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/EraFilter.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/EraFilter.java
@@ -13,20 +13,20 @@
    * How long answers of an earlier history are held to be late ones. A store that tells nothing
    * else for so long has been set up anew, and what it shows holds.
    */
-  public static final long EARLIER_NANOS = 5_000_000_000L;
+  public static final long STALE_ANSWER_NANOS = 5_000_000_000L;
 
-  private static final long NOT_SINCE = Long.MIN_VALUE;
+  private static final long NEVER = Long.MIN_VALUE;
 
-  private long earlierSinceNanos = NOT_SINCE;
+  private long staleSinceNanos = NEVER;
 
   /** What is to be done with an answer. */
-  public enum Verdict {
+  public enum Action {
     /** It is taken in. */
-    TAKE,
+    APPLY,
     /** All is listed anew. */
-    LIST_ANEW,
+    RELIST,
     /** It changes nothing. */
-    DROP
+    DISCARD
   }
 
   /**
@@ -40,21 +40,21 @@
    * @param nowNanos the steady time
    * @return what is to be done with it
    */
-  public Verdict judge(StoreEra told, StorePosition shown, StorePosition asked, long nowNanos) {
+  public Action evaluate(StoreEra told, StorePosition shown, StorePosition asked, long nowNanos) {
     boolean isList = !asked.isKnown();
     if (!shown.isKnown() || shown.era().equals(told)) {
-      earlierSinceNanos = NOT_SINCE;
-      return isList || asked.era().equals(told) ? Verdict.TAKE : Verdict.LIST_ANEW;
+      staleSinceNanos = NEVER;
+      return isList || asked.era().equals(told) ? Action.APPLY : Action.RELIST;
     }
-    if (shown.era().isAfter(told) && mayBeLate(nowNanos)) {
-      return Verdict.DROP;
+    if (shown.era().isAfter(told) && mayBeDelayed(nowNanos)) {
+      return Action.DISCARD;
     }
-    earlierSinceNanos = told.isAfter(shown.era()) ? NOT_SINCE : earlierSinceNanos;
-    return isList ? Verdict.TAKE : Verdict.LIST_ANEW;
+    staleSinceNanos = told.isAfter(shown.era()) ? NEVER : staleSinceNanos;
+    return isList ? Action.APPLY : Action.RELIST;
   }
 
-  private boolean mayBeLate(long nowNanos) {
-    earlierSinceNanos = earlierSinceNanos == NOT_SINCE ? nowNanos : earlierSinceNanos;
-    return nowNanos - earlierSinceNanos < EARLIER_NANOS;
+  private boolean mayBeDelayed(long nowNanos) {
+    staleSinceNanos = staleSinceNanos == NEVER ? nowNanos : staleSinceNanos;
+    return nowNanos - staleSinceNanos < STALE_ANSWER_NANOS;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/PollIntervals.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/PollIntervals.java
@@ -14,32 +14,32 @@
 public final class PollIntervals {
 
   /** A rest shorter than this brings the same change in no fewer calls. */
-  private static final int SHORTEST_REST_MILLIS = 300;
+  private static final int MIN_INTERVAL_MILLIS = 300;
 
   /** The list also shows which groups are whole; nobody should wait for it longer than a second. */
-  private static final int LONGEST_REST_MILLIS = 1_000;
+  private static final int MAX_INTERVAL_MILLIS = 1_000;
 
   /** About the time between two notes; peers tell of nothing newer in between. */
-  private static final int SHORTEST_PAUSE_MILLIS = 150;
+  private static final int MIN_COPY_INTERVAL_MILLIS = 150;
 
   /** Every other near note goes to the relay alone, so a daemon hears another each 300 ms. */
-  private static final int NOTES_MILLIS = 300;
+  private static final int MESSAGES_MILLIS = 300;
 
   /** Parts of the promised time that a watcher may rest. */
-  private static final int WATCHER_SHARE = 4;
+  private static final int WATCHER_FRACTION = 4;
 
   /** Parts of the promised time between two copies that a daemon takes from peers. */
-  private static final int COPY_SHARE = 8;
+  private static final int COPY_FRACTION = 8;
 
   /**
    * Orders' outcomes tell the leader most of what the list would; losses of idle nodes may wait.
    */
-  private static final int LEADER_REST_MILLIS = 250;
+  private static final int LEADER_INTERVAL_MILLIS = 250;
 
   /** While groups are on their way the list tells which members are ready. */
-  private static final int FORMING_REST_MILLIS = 120;
+  private static final int FORMING_INTERVAL_MILLIS = 120;
 
-  private final int leavingMillis;
+  private final int drainMillis;
 
   /**
    * Creates the cadence.
@@ -48,7 +48,7 @@
    *     milliseconds
    */
   public PollIntervals(int leavingMillis) {
-    this.leavingMillis = leavingMillis;
+    this.drainMillis = leavingMillis;
   }
 
   /**
@@ -56,9 +56,9 @@
    *
    * @return the rest, in milliseconds
    */
-  public int restMillis() {
-    int rest = Math.min(LONGEST_REST_MILLIS, leavingMillis / WATCHER_SHARE);
-    return Math.max(SHORTEST_REST_MILLIS, rest);
+  public int intervalMillis() {
+    int rest = Math.min(MAX_INTERVAL_MILLIS, drainMillis / WATCHER_FRACTION);
+    return Math.max(MIN_INTERVAL_MILLIS, rest);
   }
 
   /**
@@ -67,8 +67,8 @@
    * @param forms whether groups are on their way
    * @return the rest, in milliseconds
    */
-  public int leaderRestMillis(boolean forms) {
-    return forms ? FORMING_REST_MILLIS : LEADER_REST_MILLIS;
+  public int leaderIntervalMillis(boolean forms) {
+    return forms ? FORMING_INTERVAL_MILLIS : LEADER_INTERVAL_MILLIS;
   }
 
   /**
@@ -77,9 +77,9 @@
    *
    * @return the times
    */
-  public CopyDelays copyTimes() {
-    int pause = Math.max(SHORTEST_PAUSE_MILLIS, leavingMillis / COPY_SHARE);
-    int rest = restMillis();
-    return new CopyDelays(pause, rest + NOTES_MILLIS, rest + NOTES_MILLIS);
+  public CopyDelays copyDelays() {
+    int pause = Math.max(MIN_COPY_INTERVAL_MILLIS, drainMillis / COPY_FRACTION);
+    int rest = intervalMillis();
+    return new CopyDelays(pause, rest + MESSAGES_MILLIS, rest + MESSAGES_MILLIS);
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreEra.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreEra.java
@@ -5,12 +5,12 @@
  * copy: what it had acknowledged since that copy was made is gone, and its revisions are given out
  * again.
  *
- * @param number rises by one with each history; {@link #UNTOLD} when the store does not tell
+ * @param number rises by one with each history; {@link #UNKNOWN} when the store does not tell
  */
 public record StoreEra(long number) {
 
   /** The only era of a store that tells of none, or whose word can't be read. */
-  public static final StoreEra UNTOLD = new StoreEra(0);
+  public static final StoreEra UNKNOWN = new StoreEra(0);
 
   /**
    * Tells whether this history began after another.
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreOutages.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreOutages.java
@@ -9,22 +9,22 @@
 public final class StoreOutages {
 
   /** Three heartbeats of 1.2 s, of which the first may have been due just before the outage. */
-  private static final long SHORTEST_LAPSE_NANOS = 2_400_000_000L;
+  private static final long MIN_EXPIRY_NANOS = 2_400_000_000L;
 
   /** Entries that lapsed are found missing with the first answers after an outage. */
-  private static final long FOUND_MISSING_NANOS = 2_000_000_000L;
+  private static final long RECOVERY_NANOS = 2_000_000_000L;
 
   /**
    * Parts of an outage during which others had the store. Who is cut off hears at once that others
    * have it; in an outage of all they lose it soon after, and find it again up to a second earlier.
    */
-  private static final double MOSTLY = 0.75;
+  private static final double LOCAL_OUTAGE_RATIO = 0.75;
 
   private long answeredNanos;
-  private int looks;
-  private int looksWithOthers;
-  private boolean away;
-  private boolean wasForAll;
+  private int observations;
+  private int observationsWithOthers;
+  private boolean unavailable;
+  private boolean wasFleetWide;
   private long returnedNanos = Long.MIN_VALUE / 2;
 
   /**
@@ -35,31 +35,31 @@
    * @param lastAnswerNanos the steady time of its last answer here
    * @param nowNanos the steady time
    */
-  public void look(
+  public void observe(
       boolean answersHere, boolean answersOthers, long lastAnswerNanos, long nowNanos) {
     if (!answersHere) {
-      if (!away) {
+      if (!unavailable) {
         begin(lastAnswerNanos);
       }
-      looks++;
-      looksWithOthers += answersOthers ? 1 : 0;
-    } else if (away) {
-      wasForAll = isForAll(nowNanos);
+      observations++;
+      observationsWithOthers += answersOthers ? 1 : 0;
+    } else if (unavailable) {
+      wasFleetWide = isFleetWide(nowNanos);
       returnedNanos = nowNanos;
-      away = false;
+      unavailable = false;
     }
   }
 
   private void begin(long lastAnswerNanos) {
-    away = true;
+    unavailable = true;
     answeredNanos = lastAnswerNanos;
-    looks = 0;
-    looksWithOthers = 0;
+    observations = 0;
+    observationsWithOthers = 0;
   }
 
-  private boolean isForAll(long nowNanos) {
-    boolean longEnough = nowNanos - answeredNanos >= SHORTEST_LAPSE_NANOS;
-    return longEnough && looksWithOthers < MOSTLY * looks;
+  private boolean isFleetWide(long nowNanos) {
+    boolean longEnough = nowNanos - answeredNanos >= MIN_EXPIRY_NANOS;
+    return longEnough && observationsWithOthers < LOCAL_OUTAGE_RATIO * observations;
   }
 
   /**
@@ -68,7 +68,9 @@
    * @param nowNanos the steady time
    * @return false when it has gone because its node left or died
    */
-  public boolean mayHaveLapsed(long nowNanos) {
-    return away ? isForAll(nowNanos) : wasForAll && nowNanos - returnedNanos < FOUND_MISSING_NANOS;
+  public boolean mayHaveExpired(long nowNanos) {
+    return unavailable
+        ? isFleetWide(nowNanos)
+        : wasFleetWide && nowNanos - returnedNanos < RECOVERY_NANOS;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StorePosition.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StorePosition.java
@@ -11,7 +11,7 @@
 public record StorePosition(StoreEra era, long revision) {
 
   /** Before anything is known. */
-  public static final StorePosition NONE = new StorePosition(StoreEra.UNTOLD, -1);
+  public static final StorePosition NONE = new StorePosition(StoreEra.UNKNOWN, -1);
 
   /**
    * Tells whether this is a place at all.
@@ -41,7 +41,7 @@
    * @param other the other one
    * @return false when one of them is of another history, or no place at all
    */
-  public boolean sharesEraOf(StorePosition other) {
+  public boolean isSameEra(StorePosition other) {
     return isKnown() && other.isKnown() && era.equals(other.era);
   }
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreSuspicion.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreSuspicion.java
@@ -8,7 +8,7 @@
  */
 public final class StoreSuspicion {
 
-  private boolean peerHadLost;
+  private boolean peerHasLostStore;
   private long sinceNanos = Long.MIN_VALUE / 2;
 
   /**
@@ -18,9 +18,9 @@
    * @param nowNanos the steady time
    * @return true when a call of one's own is due, to find out
    */
-  public boolean learn(boolean peerHasLost, long nowNanos) {
-    boolean begins = peerHasLost && !peerHadLost;
-    peerHadLost = peerHasLost;
+  public boolean updatePeers(boolean peerHasLost, long nowNanos) {
+    boolean begins = peerHasLost && !peerHasLostStore;
+    peerHasLostStore = peerHasLost;
     if (begins) {
       sinceNanos = nowNanos;
     }
@@ -33,7 +33,7 @@
    * @param answeredAtNanos when it last answered this daemon, by the steady clock
    * @return false from the loss that a near daemon told of until the next answer
    */
-  public boolean isOver(long answeredAtNanos) {
-    return !peerHadLost || answeredAtNanos > sinceNanos;
+  public boolean isCleared(long answeredAtNanos) {
+    return !peerHasLostStore || answeredAtNanos > sinceNanos;
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/PlanPacingTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/PlanPacingTest.java
@@ -15,7 +15,7 @@
   private final PlanPacing pacing = new PlanPacing();
 
   private static StorePosition at(long revision) {
-    return new StorePosition(StoreEra.UNTOLD, revision);
+    return new StorePosition(StoreEra.UNKNOWN, revision);
   }
 
   private int plans(int ticks, boolean busy) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/KnownLimitsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/KnownLimitsTest.java
@@ -20,113 +20,113 @@
   private final KnownLimits known = new KnownLimits();
 
   private Change names(double limit, int sentStamp) {
-    return known.hear(NODE, StatedLimit.of(limit, "told"), sentStamp, true, SECOND);
+    return known.recordAnswer(NODE, StatedLimit.of(limit, "told"), sentStamp, true, SECOND);
   }
 
   private Change namesNone(int sentStamp, boolean mayEnd) {
-    return known.hear(NODE, null, sentStamp, mayEnd, SECOND);
+    return known.recordAnswer(NODE, null, sentStamp, mayEnd, SECOND);
   }
 
   private static void exchange(KnownLimits from, KnownLimits to) {
-    from.toTell(true, SECOND).forEach(note -> to.learn(note, SECOND));
+    from.updatesToSend(true, SECOND).forEach(note -> to.merge(note, SECOND));
   }
 
   @Test
   void aLimitHoldsFromTheFirstAnswerThatNamesIt() {
-    assertThat(names(1.6, KnownLimits.UNKNOWN)).isEqualTo(Change.NAMED);
-    assertThat(names(1.6, KnownLimits.UNKNOWN)).isEqualTo(Change.NONE);
-    assertThat(known.of(NODE)).isEqualTo(1.6);
-    assertThat(known.of(NodeLife.only("n2"))).isEqualTo(LimitUpdate.OVER);
+    assertThat(names(1.6, KnownLimits.UNKNOWN_VERSION)).isEqualTo(Change.NAMED);
+    assertThat(names(1.6, KnownLimits.UNKNOWN_VERSION)).isEqualTo(Change.NONE);
+    assertThat(known.perSecond(NODE)).isEqualTo(1.6);
+    assertThat(known.perSecond(NodeLife.only("n2"))).isEqualTo(LimitUpdate.UNLIMITED);
   }
 
   @Test
   void twoAnswersWithoutItThatWereAskedForKnowingOfItEndIt() {
-    names(2, KnownLimits.UNKNOWN);
-    int stamp = known.stamp(NODE);
+    names(2, KnownLimits.UNKNOWN_VERSION);
+    int stamp = known.version(NODE);
     assertThat(namesNone(stamp, true)).isEqualTo(Change.NONE);
     assertThat(namesNone(stamp, true)).isEqualTo(Change.ENDED);
-    assertThat(known.inForce()).isZero();
+    assertThat(known.activeCount()).isZero();
   }
 
   @Test
   void anAnswerFromBeforeItNeitherEndsNorRaisesIt() {
-    names(2, KnownLimits.UNKNOWN);
+    names(2, KnownLimits.UNKNOWN_VERSION);
     for (int answer = 0; answer < 10; answer++) {
-      namesNone(KnownLimits.UNKNOWN, true);
-      names(50, KnownLimits.UNKNOWN);
+      namesNone(KnownLimits.UNKNOWN_VERSION, true);
+      names(50, KnownLimits.UNKNOWN_VERSION);
     }
-    assertThat(known.of(NODE)).isEqualTo(2);
-    assertThat(names(1, KnownLimits.UNKNOWN)).isEqualTo(Change.CHANGED);
-    assertThat(known.of(NODE)).isEqualTo(1);
+    assertThat(known.perSecond(NODE)).isEqualTo(2);
+    assertThat(names(1, KnownLimits.UNKNOWN_VERSION)).isEqualTo(Change.CHANGED);
+    assertThat(known.perSecond(NODE)).isEqualTo(1);
   }
 
   @Test
   void answersToOrdersAndRefusalsDoNotEndIt() {
-    names(2, KnownLimits.UNKNOWN);
+    names(2, KnownLimits.UNKNOWN_VERSION);
     for (int answer = 0; answer < 10; answer++) {
-      namesNone(known.stamp(NODE), false);
+      namesNone(known.version(NODE), false);
     }
-    assertThat(known.of(NODE)).isEqualTo(2);
+    assertThat(known.perSecond(NODE)).isEqualTo(2);
   }
 
   @Test
   void anAnswerBetweenTheTwoThatNamesItKeepsIt() {
-    names(2, KnownLimits.UNKNOWN);
-    int stamp = known.stamp(NODE);
+    names(2, KnownLimits.UNKNOWN_VERSION);
+    int stamp = known.version(NODE);
     namesNone(stamp, true);
     names(2, stamp);
     namesNone(stamp, true);
-    assertThat(known.of(NODE)).isEqualTo(2);
+    assertThat(known.perSecond(NODE)).isEqualTo(2);
   }
 
   @Test
   void aHigherLimitReplacesALowerOneThatItKnewOf() {
-    names(1, KnownLimits.UNKNOWN);
-    assertThat(names(8, known.stamp(NODE))).isEqualTo(Change.CHANGED);
-    assertThat(known.of(NODE)).isEqualTo(8);
+    names(1, KnownLimits.UNKNOWN_VERSION);
+    assertThat(names(8, known.version(NODE))).isEqualTo(Change.CHANGED);
+    assertThat(known.perSecond(NODE)).isEqualTo(8);
   }
 
   /** A limit that differs in each answer must not make each answer a note to all. */
   @Test
   void onlyWhatLetsLessThroughIsToldAtOnce() {
-    names(4, KnownLimits.UNKNOWN);
-    assertThat(known.takeNews()).isTrue();
-    names(8, known.stamp(NODE));
-    assertThat(known.takeNews()).isFalse();
-    names(2, known.stamp(NODE));
-    assertThat(known.takeNews()).isTrue();
-    namesNone(known.stamp(NODE), true);
-    namesNone(known.stamp(NODE), true);
-    assertThat(known.takeNews()).isFalse();
-    assertThat(known.toTell(false, SECOND)).hasSize(1);
+    names(4, KnownLimits.UNKNOWN_VERSION);
+    assertThat(known.takeUrgent()).isTrue();
+    names(8, known.version(NODE));
+    assertThat(known.takeUrgent()).isFalse();
+    names(2, known.version(NODE));
+    assertThat(known.takeUrgent()).isTrue();
+    namesNone(known.version(NODE), true);
+    namesNone(known.version(NODE), true);
+    assertThat(known.takeUrgent()).isFalse();
+    assertThat(known.updatesToSend(false, SECOND)).hasSize(1);
   }
 
   @Test
   void aNewLifeHasNone() {
-    names(1, KnownLimits.UNKNOWN);
-    assertThat(known.of(new NodeLife(NODE.id(), 7))).isEqualTo(LimitUpdate.OVER);
+    names(1, KnownLimits.UNKNOWN_VERSION);
+    assertThat(known.perSecond(new NodeLife(NODE.id(), 7))).isEqualTo(LimitUpdate.UNLIMITED);
   }
 
   @Test
   void aDaemonThatStartsLearnsOfALimitLongAfterItWasNamed() {
-    names(3, KnownLimits.UNKNOWN);
+    names(3, KnownLimits.UNKNOWN_VERSION);
     KnownLimits other = new KnownLimits();
-    known.toTell(false, 60 * SECOND).forEach(note -> other.learn(note, 60 * SECOND));
-    assertThat(other.of(NODE)).isEqualTo(3);
+    known.updatesToSend(false, 60 * SECOND).forEach(note -> other.merge(note, 60 * SECOND));
+    assertThat(other.perSecond(NODE)).isEqualTo(3);
   }
 
   @Test
   void whatOthersToldLongAgoDoesNotLiveForEver() {
-    names(3, KnownLimits.UNKNOWN);
+    names(3, KnownLimits.UNKNOWN_VERSION);
     KnownLimits other = new KnownLimits();
     for (long now = SECOND; now < 2_000 * SECOND; now += SECOND) {
       long at = now;
-      known.toTell(true, at).forEach(note -> other.learn(note, at));
-      other.toTell(true, at).forEach(note -> known.learn(note, at));
+      known.updatesToSend(true, at).forEach(note -> other.merge(note, at));
+      other.updatesToSend(true, at).forEach(note -> known.merge(note, at));
     }
     KnownLimits late = new KnownLimits();
-    known.toTell(true, 2_000 * SECOND).forEach(note -> late.learn(note, 2_000 * SECOND));
-    assertThat(late.inForce()).isZero();
+    known.updatesToSend(true, 2_000 * SECOND).forEach(note -> late.merge(note, 2_000 * SECOND));
+    assertThat(late.activeCount()).isZero();
   }
 
   /** Changes that two daemons made without knowing of each other, told in any order. */
@@ -141,18 +141,23 @@
       for (int step = 0; step < 30; step++) {
         KnownLimits one = daemons.get(random.nextInt(3));
         KnownLimits other = daemons.get(random.nextInt(3));
-        int stamp = random.nextInt(one.stamp(NODE) + 1);
+        int stamp = random.nextInt(one.version(NODE) + 1);
         switch (random.nextInt(4)) {
-          case 0 -> one.hear(NODE, StatedLimit.of(random.nextInt(4), "t"), stamp, true, SECOND);
-          case 1 -> one.hear(NODE, null, stamp, true, SECOND);
+          case 0 ->
+              one.recordAnswer(NODE, StatedLimit.of(random.nextInt(4), "t"), stamp, true, SECOND);
+          case 1 -> one.recordAnswer(NODE, null, stamp, true, SECOND);
           default -> exchange(one, other);
         }
       }
       for (int round = 0; round < 2; round++) {
         daemons.forEach(one -> daemons.forEach(other -> exchange(one, other)));
       }
-      assertThat(daemons.get(1).of(NODE)).as("seed %d", seed).isEqualTo(daemons.get(0).of(NODE));
-      assertThat(daemons.get(2).of(NODE)).as("seed %d", seed).isEqualTo(daemons.get(0).of(NODE));
+      assertThat(daemons.get(1).perSecond(NODE))
+          .as("seed %d", seed)
+          .isEqualTo(daemons.get(0).perSecond(NODE));
+      assertThat(daemons.get(2).perSecond(NODE))
+          .as("seed %d", seed)
+          .isEqualTo(daemons.get(0).perSecond(NODE));
       Collections.shuffle(daemons, random);
     }
   }
@@ -161,11 +166,11 @@
   void limitsWithoutEndFillNeitherMemoryNorNotes() {
     for (int number = 0; number < 20_000; number++) {
       NodeLife life = NodeLife.only("n" + number);
-      known.hear(life, StatedLimit.of(1, "1"), KnownLimits.UNKNOWN, true, SECOND);
+      known.recordAnswer(life, StatedLimit.of(1, "1"), KnownLimits.UNKNOWN_VERSION, true, SECOND);
       if (number % 1_000 == 0) {
-        assertThat(known.toTell(true, SECOND)).hasSizeLessThanOrEqualTo(40);
+        assertThat(known.updatesToSend(true, SECOND)).hasSizeLessThanOrEqualTo(40);
       }
     }
-    assertThat(known.inForce()).isLessThanOrEqualTo(16_384);
+    assertThat(known.activeCount()).isLessThanOrEqualTo(16_384);
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulation.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulation.java
@@ -25,16 +25,16 @@
   private static final long SECOND = 1_000 * MILLI;
   private static final long WINDOW_NANOS = 4 * SECOND;
   private static final long ANSWER_NANOS = 100 * MILLI;
-  private static final long NOTE_NANOS = 150 * MILLI;
-  private static final long SILENCE_NANOS = 500 * MILLI;
+  private static final long MESSAGE_NANOS = 150 * MILLI;
+  private static final long TIMEOUT_NANOS = 500 * MILLI;
   private static final int DATA_CENTRES = 3;
 
-  private final Load load;
-  private final Way way;
+  private final Scenario scenario;
+  private final Strategy strategy;
   private final Random random;
   private final List<Daemon> daemons = new ArrayList<>();
   private final List<Long> arrivals = new ArrayList<>();
-  private final Queue<Due> dues =
+  private final Queue<Event> events =
       new PriorityQueue<>((one, other) -> Long.compare(one.at(), other.at()));
   private final Node node =
       new Node(
@@ -62,17 +62,17 @@
    *     never
    * @param together for how long they do, in seconds
    */
-  record Load(
+  record Scenario(
       int daemons,
       double limit,
       double demand,
       int seconds,
       int killedAt,
-      int partedAt,
-      int together) {
+      int partitionedAt,
+      int partitionSeconds) {
 
-    static Load steady(int daemons, double limit, double demand) {
-      return new Load(daemons, limit, demand, 40, 0, 0, 0);
+    static Scenario steady(int daemons, double limit, double demand) {
+      return new Scenario(daemons, limit, demand, 40, 0, 0, 0);
     }
   }
 
@@ -85,18 +85,18 @@
   record Outcome(int worstWindow, double used) {}
 
   /** How daemons keep a limit. */
-  enum Way {
+  enum Strategy {
     /** Each keeps the whole limit by itself. */
-    ALONE,
+    INDEPENDENT,
     /** Each has an equal share and saves up to two requests. */
     EQUAL_SHARES,
     /** One daemon spends the limit, the others send nothing. */
     OWNER_ONLY,
     /** One daemon spends the limit and gives the others leave. */
-    LEAVE
+    PERMITS
   }
 
-  private record Due(long at, Runnable what) {}
+  private record Event(long at, Runnable action) {}
 
   private static final class Daemon {
     final RendezvousOwners.Daemon self;
@@ -113,41 +113,43 @@
     }
   }
 
-  private SharedLimitSimulation(Load load, Way way, long seed) {
-    this.load = load;
-    this.way = way;
+  private SharedLimitSimulation(Scenario load, Strategy way, long seed) {
+    this.scenario = load;
+    this.strategy = way;
     this.random = new Random(seed);
   }
 
-  static Outcome play(Load load, Way way, long seed) {
+  static Outcome run(Scenario load, Strategy way, long seed) {
     return new SharedLimitSimulation(load, way, seed).run();
   }
 
   private Outcome run() {
-    for (int number = 0; number < load.daemons(); number++) {
+    for (int number = 0; number < scenario.daemons(); number++) {
       daemons.add(new Daemon(number));
     }
-    see();
-    at(60 * SECOND, this::ask);
-    at(60 * SECOND, this::tell);
-    if (load.killedAt() > 0) {
-      at((60 + load.killedAt()) * SECOND, this::killOwner);
+    updateReachable();
+    schedule(60 * SECOND, this::arrive);
+    schedule(60 * SECOND, this::exchange);
+    if (scenario.killedAt() > 0) {
+      schedule((60 + scenario.killedAt()) * SECOND, this::killOwner);
     }
-    if (load.partedAt() > 0) {
-      at((60 + load.partedAt()) * SECOND, () -> part(true));
-      at((60 + load.partedAt() + load.together()) * SECOND, () -> part(false));
+    if (scenario.partitionedAt() > 0) {
+      schedule((60 + scenario.partitionedAt()) * SECOND, () -> setPartition(true));
+      schedule(
+          (60 + scenario.partitionedAt() + scenario.partitionSeconds()) * SECOND,
+          () -> setPartition(false));
     }
-    long end = (60 + load.seconds()) * SECOND;
-    while (!dues.isEmpty() && dues.peek().at() < end) {
-      Due due = dues.poll();
+    long end = (60 + scenario.seconds()) * SECOND;
+    while (!events.isEmpty() && events.peek().at() < end) {
+      Event due = events.poll();
       now = due.at();
-      due.what().run();
+      due.action().run();
     }
     return outcome(63 * SECOND, end);
   }
 
-  private void at(long time, Runnable what) {
-    dues.add(new Due(time, what));
+  private void schedule(long time, Runnable what) {
+    events.add(new Event(time, what));
   }
 
   private Outcome outcome(long from, long end) {
@@ -160,11 +162,11 @@
       }
       worst = Math.max(worst, last - first + 1);
     }
-    double allowed = load.limit() * (end - from) / SECOND;
+    double allowed = scenario.limit() * (end - from) / SECOND;
     return new Outcome(worst, counted.size() / allowed);
   }
 
-  private void see() {
+  private void updateReachable() {
     int alive = (int) daemons.stream().filter(daemon -> daemon.alive).count();
     for (Daemon daemon : daemons) {
       List<RendezvousOwners.Daemon> others = new ArrayList<>();
@@ -173,7 +175,7 @@
           others.add(other.self);
         }
       }
-      if (daemon.owners.see(others, Math.max(alive, load.daemons()), now)) {
+      if (daemon.owners.updateReachable(others, Math.max(alive, scenario.daemons()), now)) {
         daemon.limits.ownersChanged();
       }
     }
@@ -182,93 +184,98 @@
   private void killOwner() {
     String owner = daemons.get(0).limits.ownerOf(node).name();
     daemons.forEach(daemon -> daemon.alive &= !daemon.self.name().equals(owner));
-    at(now + SILENCE_NANOS + NOTE_NANOS, this::see);
+    schedule(now + TIMEOUT_NANOS + MESSAGE_NANOS, this::updateReachable);
   }
 
   /** The sides of a cut don't hear each other; both still reach the node. */
-  private void part(boolean cut) {
+  private void setPartition(boolean cut) {
     for (int number = 0; number < daemons.size(); number++) {
       daemons.get(number).side = cut && number % DATA_CENTRES == 1 ? 1 : 0;
     }
-    at(now + (cut ? SILENCE_NANOS : NOTE_NANOS), this::see);
+    schedule(now + (cut ? TIMEOUT_NANOS : MESSAGE_NANOS), this::updateReachable);
   }
 
   /** A daemon that has news tells the others at once, and then again with each note. */
-  private void tell() {
-    at(now + NOTE_NANOS, this::tell);
+  private void exchange() {
+    schedule(now + MESSAGE_NANOS, this::exchange);
     Set<Daemon> told = new HashSet<>(daemons);
     told.removeIf(daemon -> !daemon.alive);
     for (Daemon from : told) {
-      List<LimitUpdate> notes = from.limits.toTell(false, now);
+      List<LimitUpdate> notes = from.limits.updatesToSend(false, now);
       if (!notes.isEmpty() && random.nextInt(10) == 0) {
-        told.stream().filter(to -> to.side == from.side).forEach(to -> learn(to, notes));
+        told.stream().filter(to -> to.side == from.side).forEach(to -> deliver(to, notes));
       }
     }
   }
 
-  private void learn(Daemon to, List<LimitUpdate> notes) {
-    notes.forEach(note -> to.limits.learn(note, now));
+  private void deliver(Daemon to, List<LimitUpdate> notes) {
+    notes.forEach(note -> to.limits.merge(note, now));
   }
 
-  private void ask() {
-    at(now + (long) (-Math.log(1 - random.nextDouble()) / load.demand() * SECOND), this::ask);
+  private void arrive() {
+    schedule(
+        now + (long) (-Math.log(1 - random.nextDouble()) / scenario.demand() * SECOND),
+        this::arrive);
     Daemon daemon = daemons.get(random.nextInt(daemons.size()));
     if (!daemon.alive) {
       return;
     }
-    switch (way) {
-      case ALONE -> sendIf(daemon, isUnknown(daemon) || daemon.own.take(load.limit(), 1, now));
+    switch (strategy) {
+      case INDEPENDENT ->
+          sendIf(daemon, isUnknown(daemon) || daemon.own.tryAcquire(scenario.limit(), 1, now));
       case EQUAL_SHARES ->
           sendIf(
               daemon,
-              isUnknown(daemon) || daemon.own.take(load.limit(), 1.0 / load.daemons(), now));
-      default -> sendWithin(daemon);
+              isUnknown(daemon)
+                  || daemon.own.tryAcquire(scenario.limit(), 1.0 / scenario.daemons(), now));
+      default -> sendIfAdmitted(daemon);
     }
   }
 
   private boolean isUnknown(Daemon daemon) {
-    return daemon.limits.known().of(node.life()) == LimitUpdate.OVER;
+    return daemon.limits.knownLimits().perSecond(node.life()) == LimitUpdate.UNLIMITED;
   }
 
-  private void sendWithin(Daemon daemon) {
-    switch (daemon.limits.room(node, now)) {
-      case FREE, HERE -> sendIf(daemon, daemon.limits.spend(node, now));
-      case ASK -> {
-        if (way == Way.LEAVE) {
-          askForLeave(daemon);
+  private void sendIfAdmitted(Daemon daemon) {
+    switch (daemon.limits.admission(node, now)) {
+      case UNLIMITED, PERMITTED -> sendIf(daemon, daemon.limits.tryAcquire(node, now));
+      case ASK_OWNER -> {
+        if (strategy == Strategy.PERMITS) {
+          requestPermit(daemon);
         }
       }
-      case NONE -> {
+      case EXHAUSTED -> {
         // The caller is refused.
       }
     }
   }
 
-  private void askForLeave(Daemon daemon) {
+  private void requestPermit(Daemon daemon) {
     String name = daemon.limits.ownerOf(node).name();
     Daemon owner = daemons.get(Integer.parseInt(name.substring(1)));
-    LimitUpdate known = daemon.limits.noteOf(node.life(), now);
+    LimitUpdate known = daemon.limits.updateFor(node.life(), now);
     long way1 = (1 + random.nextInt(4)) * MILLI;
     if (!owner.alive || owner.side != daemon.side || known == null) {
-      daemon.limits.denied(node.life(), 300 * MILLI, now);
+      daemon.limits.permitDenied(node.life(), 300 * MILLI, now);
       return;
     }
-    at(
+    schedule(
         now + way1,
         () -> {
-          owner.limits.learn(known, now);
-          SharedLimits.Reply reply = owner.limits.ask(node.life(), node.dataCentre(), now);
-          at(now + way1, () -> take(daemon, reply));
+          owner.limits.merge(known, now);
+          SharedLimits.Reply reply =
+              owner.limits.requestPermit(node.life(), node.dataCentre(), now);
+          schedule(now + way1, () -> receiveReply(daemon, reply));
         });
   }
 
-  private void take(Daemon daemon, SharedLimits.Reply reply) {
+  private void receiveReply(Daemon daemon, SharedLimits.Reply reply) {
     if (reply instanceof SharedLimits.Granted) {
-      daemon.limits.granted(node.life(), now);
-      sendIf(daemon, daemon.limits.spend(node, now));
+      daemon.limits.permitGranted(node.life(), now);
+      sendIf(daemon, daemon.limits.tryAcquire(node, now));
     } else {
       long wait = reply instanceof SharedLimits.Denied denied ? denied.nanos() : 300 * MILLI;
-      daemon.limits.denied(node.life(), wait, now);
+      daemon.limits.permitDenied(node.life(), wait, now);
     }
   }
 
@@ -277,9 +284,11 @@
       return;
     }
     arrivals.add(now);
-    int stamp = daemon.limits.known().stamp(node.life());
+    int stamp = daemon.limits.knownLimits().version(node.life());
     NodeAnswer answer =
-        new NodeAnswer(200, false, false, 0, null, StatedLimit.of(load.limit(), "named"));
-    at(now + ANSWER_NANOS, () -> daemon.limits.hear(node.life(), answer, stamp, true, now));
+        new NodeAnswer(200, false, false, 0, null, StatedLimit.of(scenario.limit(), "named"));
+    schedule(
+        now + ANSWER_NANOS,
+        () -> daemon.limits.recordAnswer(node.life(), answer, stamp, true, now));
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulationTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulationTest.java
@@ -20,11 +20,11 @@
   }
 
   private static SharedLimitSimulation.Outcome worst(
-      SharedLimitSimulation.Load load, SharedLimitSimulation.Way way) {
+      SharedLimitSimulation.Scenario load, SharedLimitSimulation.Strategy way) {
     int worst = 0;
     double used = 0;
     for (int seed = 1; seed <= SEEDS; seed++) {
-      SharedLimitSimulation.Outcome one = SharedLimitSimulation.play(load, way, seed);
+      SharedLimitSimulation.Outcome one = SharedLimitSimulation.run(load, way, seed);
       worst = Math.max(worst, one.worstWindow());
       used += one.used() / SEEDS;
     }
@@ -35,9 +35,9 @@
   void theSumIsKeptAndUsedWhereCallersWait() {
     for (int daemons : FLEETS) {
       for (double limit : new double[] {0.5, 1.6, 10, 50}) {
-        SharedLimitSimulation.Load load =
-            SharedLimitSimulation.Load.steady(daemons, limit, 5 * limit);
-        SharedLimitSimulation.Outcome outcome = worst(load, SharedLimitSimulation.Way.LEAVE);
+        SharedLimitSimulation.Scenario load =
+            SharedLimitSimulation.Scenario.steady(daemons, limit, 5 * limit);
+        SharedLimitSimulation.Outcome outcome = worst(load, SharedLimitSimulation.Strategy.PERMITS);
         assertThat(outcome.worstWindow()).as("%s", load).isLessThanOrEqualTo(goal(limit));
         assertThat(outcome.used()).as("%s", load).isGreaterThan(0.9);
       }
@@ -46,23 +46,24 @@
 
   @Test
   void eachForItselfBreaksThePromise() {
-    SharedLimitSimulation.Load load = SharedLimitSimulation.Load.steady(9, 1.6, 16);
-    assertThat(worst(load, SharedLimitSimulation.Way.ALONE).worstWindow())
+    SharedLimitSimulation.Scenario load = SharedLimitSimulation.Scenario.steady(9, 1.6, 16);
+    assertThat(worst(load, SharedLimitSimulation.Strategy.INDEPENDENT).worstWindow())
         .isGreaterThan(promise(1.6));
   }
 
   /** Shares of a daemon are so small that many save a request each and spend them together. */
   @Test
   void equalSharesGoTogetherAfterAPause() {
-    SharedLimitSimulation.Load load = SharedLimitSimulation.Load.steady(78, 1.6, 8);
-    SharedLimitSimulation.Outcome outcome = worst(load, SharedLimitSimulation.Way.EQUAL_SHARES);
+    SharedLimitSimulation.Scenario load = SharedLimitSimulation.Scenario.steady(78, 1.6, 8);
+    SharedLimitSimulation.Outcome outcome =
+        worst(load, SharedLimitSimulation.Strategy.EQUAL_SHARES);
     assertThat(outcome.worstWindow()).isGreaterThan(goal(1.6));
   }
 
   @Test
   void oneDaemonAloneLeavesMostOfTheLimitUnused() {
-    SharedLimitSimulation.Load load = SharedLimitSimulation.Load.steady(78, 1.6, 8);
-    assertThat(worst(load, SharedLimitSimulation.Way.OWNER_ONLY).used()).isLessThan(0.5);
+    SharedLimitSimulation.Scenario load = SharedLimitSimulation.Scenario.steady(78, 1.6, 8);
+    assertThat(worst(load, SharedLimitSimulation.Strategy.OWNER_ONLY).used()).isLessThan(0.5);
   }
 
   /**
@@ -72,9 +73,9 @@
   void theSumIsKeptWhileItsOwnerEndsAndDaemonsAreParted() {
     for (int daemons : FLEETS) {
       for (double limit : new double[] {0.5, 1.6, 10}) {
-        SharedLimitSimulation.Load load =
-            new SharedLimitSimulation.Load(daemons, limit, 5 * limit, 40, 8, 16, 10);
-        SharedLimitSimulation.Outcome outcome = worst(load, SharedLimitSimulation.Way.LEAVE);
+        SharedLimitSimulation.Scenario load =
+            new SharedLimitSimulation.Scenario(daemons, limit, 5 * limit, 40, 8, 16, 10);
+        SharedLimitSimulation.Outcome outcome = worst(load, SharedLimitSimulation.Strategy.PERMITS);
         assertThat(outcome.worstWindow()).as("%s", load).isLessThanOrEqualTo(promise(limit));
       }
     }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/DataCentreDigestsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/DataCentreDigestsTest.java
@@ -23,7 +23,7 @@
         1,
         "",
         0,
-        LeaderEligibility.FIT,
+        LeaderEligibility.ELIGIBLE,
         true,
         inFlight,
         Map.of("large", 0.5),
@@ -39,7 +39,7 @@
 
   private static DataCentreDigest south(String relay, long sequence) {
     return new DataCentreDigests("south")
-        .make(
+        .summarize(
             List.of(
                 note("a", Map.of("h", 2), List.of("h@1")),
                 note("b", Map.of("h", 3, "i", 1), List.of("h@1")),
@@ -68,23 +68,23 @@
 
   @Test
   void anOlderDigestThatComesLateIsNoNews() {
-    assertThat(digests.hear(south(10), 0)).isTrue();
-    assertThat(digests.hear(south(9), SECOND / 10)).isFalse();
-    assertThat(digests.hear(south(11), SECOND / 5)).isTrue();
+    assertThat(digests.receive(south(10), 0)).isTrue();
+    assertThat(digests.receive(south(9), SECOND / 10)).isFalse();
+    assertThat(digests.receive(south(11), SECOND / 5)).isTrue();
   }
 
   @Test
   void aRelayThatTakesOverIsHeardAtOnceAndARestartedOneSoon() {
-    digests.hear(south("a", 1_000), 0);
-    assertThat(digests.hear(south("b", 10), SECOND / 10)).isTrue();
-    digests.hear(south("a", 1_001), SECOND / 5);
-    assertThat(digests.hear(south("a", 1), SECOND)).isFalse();
-    assertThat(digests.hear(south("a", 2), 2 * SECOND)).isTrue();
+    digests.receive(south("a", 1_000), 0);
+    assertThat(digests.receive(south("b", 10), SECOND / 10)).isTrue();
+    digests.receive(south("a", 1_001), SECOND / 5);
+    assertThat(digests.receive(south("a", 1), SECOND)).isFalse();
+    assertThat(digests.receive(south("a", 2), 2 * SECOND)).isTrue();
   }
 
   @Test
   void anOldDigestDoesNotCount() {
-    digests.hear(south(1), 0);
+    digests.receive(south(1), 0);
     assertThat(digests.fresh(SECOND)).containsKey("south");
     assertThat(digests.fresh(2 * SECOND)).isEmpty();
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/LeaderElectionTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/LeaderElectionTest.java
@@ -22,7 +22,7 @@
   private void start(String... names) {
     for (String name : names) {
       daemons.put(name, new LeaderElection(name, "here"));
-      standings.put(name, LeaderEligibility.FIT);
+      standings.put(name, LeaderEligibility.ELIGIBLE);
     }
   }
 
@@ -56,7 +56,7 @@
     daemons.forEach(
         (to, other) -> {
           if (!to.equals(from)) {
-            other.hear(note, now);
+            other.receive(note, now);
           }
         });
   }
@@ -67,7 +67,7 @@
     long end = now + millis * MILLI;
     while (now < end) {
       run(50);
-      alone.decide(LeaderEligibility.FIT, now);
+      alone.decide(LeaderEligibility.ELIGIBLE, now);
     }
     return alone;
   }
@@ -136,10 +136,10 @@
     LeaderElection other = daemons.get("c");
     long term = other.term();
     run(1_500);
-    assertThat(other.decide(LeaderEligibility.FIT, now)).isTrue();
+    assertThat(other.decide(LeaderEligibility.ELIGIBLE, now)).isTrue();
     assertThat(other.term()).isEqualTo(term);
-    other.refused(now);
-    assertThat(other.decide(LeaderEligibility.FIT, now)).isFalse();
+    other.fenceRejected(now);
+    assertThat(other.decide(LeaderEligibility.ELIGIBLE, now)).isFalse();
     assertThat(other.term()).isEqualTo(term);
     assertThat(cutOff.term()).isEqualTo(term);
   }
@@ -229,16 +229,15 @@
     run(1_500);
     LeaderElection alone = daemons.get("c");
     long refused = alone.fence();
-    alone.refused(now);
+    alone.fenceRejected(now);
     run(5_000);
-    assertThat(alone.decide(LeaderEligibility.FIT, now)).isTrue();
+    assertThat(alone.decide(LeaderEligibility.ELIGIBLE, now)).isTrue();
     assertThat(alone.fence()).isGreaterThan(refused);
   }
 
   private List<String> watching() {
     return daemons.entrySet().stream()
-        .filter(
-            entry -> entry.getValue().placeInDataCentre(standings.get(entry.getKey()), now) == 0)
+        .filter(entry -> entry.getValue().rankInDataCentre(standings.get(entry.getKey()), now) == 0)
         .map(Map.Entry::getKey)
         .toList();
   }
@@ -250,19 +249,19 @@
   @Test
   void aDaemonThatStartsAgainWhileItsTimeOfDayStandsBackIsHeard() {
     LeaderElection here = new LeaderElection("b", "here");
-    here.hear(note("a", 5_000), now);
+    here.receive(note("a", 5_000), now);
     now += 600 * MILLI;
-    here.hear(note("a", 2_600), now);
+    here.receive(note("a", 2_600), now);
     assertThat(here.live(now).get("a").incarnation()).isEqualTo(2_600);
   }
 
   @Test
   void aNoteOfAFormerLifeThatArrivesLateIsNotHeard() {
     LeaderElection here = new LeaderElection("b", "here");
-    here.hear(note("a", 2_600), now);
-    here.hear(note("a", 5_000), now);
+    here.receive(note("a", 2_600), now);
+    here.receive(note("a", 5_000), now);
     now += 100 * MILLI;
-    here.hear(note("a", 2_600), now);
+    here.receive(note("a", 2_600), now);
     assertThat(here.live(now).get("a").incarnation()).isEqualTo(5_000);
   }
 
@@ -278,16 +277,16 @@
     long itsClock = now;
     run(3_000);
     itsClock += 50 * MILLI;
-    assertThat(suspended.decide(LeaderEligibility.FIT, itsClock)).isTrue();
+    assertThat(suspended.decide(LeaderEligibility.ELIGIBLE, itsClock)).isTrue();
     daemons.put("a", suspended);
     tell("b", daemons.get("b"));
-    assertThat(suspended.decide(LeaderEligibility.FIT, itsClock)).isFalse();
+    assertThat(suspended.decide(LeaderEligibility.ELIGIBLE, itsClock)).isFalse();
     assertThat(suspended.leader()).isEqualTo("b");
   }
 
   private static PeerMessage note(String from, long incarnation) {
     DataCentreDigest.Member member =
-        new DataCentreDigest.Member(from, from, incarnation, LeaderEligibility.FIT);
+        new DataCentreDigest.Member(from, from, incarnation, LeaderEligibility.ELIGIBLE);
     return PeerMessage.ofMember(member, "here");
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/MessageRoutingTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/MessageRoutingTest.java
@@ -9,12 +9,12 @@
 /** Who is sent a note of a daemon of the north, in small and large fleets. */
 class MessageRoutingTest {
 
-  private static final MessageRouting.Occasion USUAL =
-      new MessageRouting.Occasion(2, false, "south-05", false);
-  private static final MessageRouting.Occasion NEXT =
-      new MessageRouting.Occasion(3, false, "south-05", false);
-  private static final MessageRouting.Occasion NEWS =
-      new MessageRouting.Occasion(1, false, "south-05", true);
+  private static final MessageRouting.SendContext USUAL =
+      new MessageRouting.SendContext(2, false, "south-05", false);
+  private static final MessageRouting.SendContext NEXT =
+      new MessageRouting.SendContext(3, false, "south-05", false);
+  private static final MessageRouting.SendContext NEWS =
+      new MessageRouting.SendContext(1, false, "south-05", true);
 
   private static List<MessageRouting.Peer> others(int each, String self) {
     List<MessageRouting.Peer> others = new ArrayList<>();
@@ -54,7 +54,7 @@
     MessageRouting relay = new MessageRouting("north-00", "north");
     assertThat(relay.targets(others(10, "north-00"), NEXT)).hasSize(11);
     MessageRouting leader = new MessageRouting("north-07", "north");
-    MessageRouting.Occasion leads = new MessageRouting.Occasion(3, true, "north-07", false);
+    MessageRouting.SendContext leads = new MessageRouting.SendContext(3, true, "north-07", false);
     assertThat(leader.targets(others(10, "north-07"), leads)).hasSize(11);
   }
 
@@ -78,7 +78,7 @@
   @Test
   void theLeaderTellsItsNewsToAll() {
     MessageRouting routing = new MessageRouting("north-07", "north");
-    MessageRouting.Occasion news = new MessageRouting.Occasion(1, true, "north-07", true);
+    MessageRouting.SendContext news = new MessageRouting.SendContext(1, true, "north-07", true);
     assertThat(routing.targets(others(10, "north-07"), news)).hasSize(29);
   }
 
@@ -95,7 +95,7 @@
   @Test
   void sixtyDaemonsSendLittleMoreThanHalfTheNotes() {
     int datagrams = 0;
-    for (MessageRouting.Occasion occasion : List.of(USUAL, NEXT)) {
+    for (MessageRouting.SendContext occasion : List.of(USUAL, NEXT)) {
       for (String dataCentre : List.of("north", "south", "west")) {
         for (int index = 0; index < 20; index++) {
           String name = dataCentre + String.format("-%02d", index);
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/MessageSpacingTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/MessageSpacingTest.java
@@ -9,13 +9,13 @@
 
   @Test
   void aSmallFleetTellsEveryNoteToAll() {
-    assertThat(MessageSpacing.across(9)).isEqualTo(1);
+    assertThat(MessageSpacing.remoteInterval(9)).isEqualTo(1);
     assertThat(MessageSpacing.isDue(7, "10.0.0.1", 9)).isTrue();
   }
 
   @Test
   void aDaemonOfALargeFleetHasItsTurnOnceInEachRound() {
-    int every = MessageSpacing.across(60);
+    int every = MessageSpacing.remoteInterval(60);
     assertThat(every).isGreaterThan(1);
     int due = 0;
     for (int turn = 0; turn < every; turn++) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/PartitionedDataCentreTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/PartitionedDataCentreTest.java
@@ -39,7 +39,7 @@
     final StoreSuspicion doubt = new StoreSuspicion();
     long callBegun = -1;
     long failedAt = Long.MIN_VALUE / 2;
-    LeaderEligibility standing = LeaderEligibility.FIT;
+    LeaderEligibility standing = LeaderEligibility.ELIGIBLE;
 
     Daemon(int number) {
       name = String.format("d%02d", number);
@@ -81,10 +81,10 @@
   private void step(Daemon daemon, boolean doubts) {
     boolean peerHasLost =
         daemon.leadership.live(now).values().stream()
-            .anyMatch(note -> note.standing() == LeaderEligibility.WITHOUT_STORE);
-    daemon.doubt.learn(peerHasLost, now);
-    boolean answers = !daemon.failedLately(now) && (!doubts || daemon.doubt.isOver(-1));
-    daemon.standing = answers ? LeaderEligibility.FIT : LeaderEligibility.WITHOUT_STORE;
+            .anyMatch(note -> note.eligibility() == LeaderEligibility.WITHOUT_STORE);
+    daemon.doubt.updatePeers(peerHasLost, now);
+    boolean answers = !daemon.failedLately(now) && (!doubts || daemon.doubt.isCleared(-1));
+    daemon.standing = answers ? LeaderEligibility.ELIGIBLE : LeaderEligibility.WITHOUT_STORE;
     boolean leads = daemon.leadership.decide(daemon.standing, now);
     daemon.call(leads && isCut, now);
     if (leads) {
@@ -112,7 +112,7 @@
             List.of());
     for (Daemon to : daemons) {
       if (to != from) {
-        to.leadership.hear(note, now);
+        to.leadership.receive(note, now);
       }
     }
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineFalsePositiveTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineFalsePositiveTest.java
@@ -90,7 +90,7 @@
     private boolean answered(Running request, int now) {
       boolean done = now - request.begunMillis >= RUN_MILLIS;
       if (done) {
-        quarantine.answered(request.fingerprint, now * MILLI);
+        quarantine.recordAnswer(request.fingerprint, now * MILLI);
       }
       return done;
     }
@@ -108,7 +108,7 @@
     }
 
     private boolean isBarred(Fingerprint fingerprint) {
-      return quarantine.count(fingerprint) >= mostEnds;
+      return quarantine.failureCount(fingerprint) >= mostEnds;
     }
 
     private void begin(Fingerprint fingerprint, int now) {
@@ -129,7 +129,7 @@
       NodeLife life = NodeLife.only("n" + lives);
       for (Running request : List.copyOf(running)) {
         if (request.head == head) {
-          quarantine.ended(request.fingerprint, life, now * MILLI);
+          quarantine.recordFailure(request.fingerprint, life, now * MILLI);
           moveOn(request, now);
         }
       }
@@ -160,7 +160,7 @@
   /** The aim is none; 43 of 1,250,000 are refused their fourth try in a row. */
   @Test
   void nextToNoHarmlessRequestIsHeldGuiltyWhileNodesAreLostForOtherReasons() {
-    play(Quarantine.MOST_ENDS, false);
+    play(Quarantine.MAX_FAILURES, false);
     assertThat(harmless).isEqualTo(1_250_000);
     assertThat(harmlessRefused).isLessThanOrEqualTo(MOST_REFUSED);
   }
@@ -168,8 +168,8 @@
   /** 2,995 heads in 1,000 runs, and 35 harmless requests refused. */
   @Test
   void theGuiltyOneEndsThreeHeadsAndTakesNextToNoOtherWithIt() {
-    play(Quarantine.MOST_ENDS, true);
-    assertThat(endedByGuilty).isLessThanOrEqualTo(Quarantine.MOST_ENDS * RUNS);
+    play(Quarantine.MAX_FAILURES, true);
+    assertThat(endedByGuilty).isLessThanOrEqualTo(Quarantine.MAX_FAILURES * RUNS);
     assertThat(harmlessRefused).isLessThanOrEqualTo(MOST_REFUSED);
   }
 
@@ -179,7 +179,7 @@
    */
   @Test
   void barringWithTheSecondEndWouldHitManyMore() {
-    play(Quarantine.MOST_ENDS - 1, true);
+    play(Quarantine.MAX_FAILURES - 1, true);
     assertThat(harmlessRefused).isGreaterThan(20 * MOST_REFUSED);
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantinePropagationTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantinePropagationTest.java
@@ -61,22 +61,22 @@
     daemons.stream().filter(daemon -> daemon != from).forEach(daemon -> others.add(daemon.self));
     from.notes++;
     boolean relays = MessageRouting.hasRelays(daemons.size()) && from.routing.isRelay(others);
-    List<QuarantineRecord> records = from.quarantine.toTell(relays, now);
-    MessageRouting.Occasion occasion =
-        new MessageRouting.Occasion(from.notes, LEADER.equals(from.self.name()), LEADER, news);
+    List<QuarantineRecord> records = from.quarantine.recordsToSend(relays, now);
+    MessageRouting.SendContext occasion =
+        new MessageRouting.SendContext(from.notes, LEADER.equals(from.self.name()), LEADER, news);
     Set<String> targets = from.routing.targets(others, occasion);
     for (Daemon to : daemons) {
       if (targets.contains(to.self.address()) && random.nextDouble() >= lost) {
-        to.quarantine.hear(records, now);
+        to.quarantine.mergeFromPeer(records, now);
       }
     }
   }
 
   private long millisUntilAllRefuse(double lost) {
-    while (!daemons.stream().allMatch(daemon -> daemon.quarantine.isBarred(SHEET, now))) {
+    while (!daemons.stream().allMatch(daemon -> daemon.quarantine.isQuarantined(SHEET, now))) {
       now += TICK_MILLIS * MILLI;
       for (Daemon daemon : daemons) {
-        boolean news = daemon.quarantine.takeNews();
+        boolean news = daemon.quarantine.takeUrgent();
         daemon.ticks++;
         if (news || daemon.ticks % NOTE_TICKS == 0) {
           tell(daemon, news, lost);
@@ -91,9 +91,9 @@
     long longest = 0;
     for (int run = 0; run < 50; run++) {
       start(count, run);
-      for (int end = 0; end < Quarantine.MOST_ENDS; end++) {
+      for (int end = 0; end < Quarantine.MAX_FAILURES; end++) {
         Daemon witness = daemons.get(count - 1 - end);
-        witness.quarantine.ended(SHEET, NodeLife.only("n" + end), now);
+        witness.quarantine.recordFailure(SHEET, NodeLife.only("n" + end), now);
       }
       longest = Math.max(longest, millisUntilAllRefuse(lost));
     }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTest.java
@@ -24,45 +24,45 @@
 
   @Test
   void aRequestIsBarredWithTheThirdNodeThatEnds() {
-    assertThat(quarantine.ended(SHEET, life(1), 0)).isEqualTo(1);
-    assertThat(quarantine.ended(SHEET, life(2), 0)).isEqualTo(2);
-    assertThat(quarantine.isBarred(SHEET, 0)).isFalse();
-    assertThat(quarantine.ended(SHEET, life(3), 0)).isEqualTo(3);
-    assertThat(quarantine.isBarred(SHEET, 0)).isTrue();
+    assertThat(quarantine.recordFailure(SHEET, life(1), 0)).isEqualTo(1);
+    assertThat(quarantine.recordFailure(SHEET, life(2), 0)).isEqualTo(2);
+    assertThat(quarantine.isQuarantined(SHEET, 0)).isFalse();
+    assertThat(quarantine.recordFailure(SHEET, life(3), 0)).isEqualTo(3);
+    assertThat(quarantine.isQuarantined(SHEET, 0)).isTrue();
   }
 
   @Test
   void oneEndSeenByManyDaemonsCountsOnce() {
     for (int daemon = 0; daemon < 9; daemon++) {
       QuarantineRecord told = new QuarantineRecord(SHEET, Set.of(life(1)), Set.of());
-      assertThat(quarantine.hear(List.of(told), 0)).isEmpty();
+      assertThat(quarantine.mergeFromPeer(List.of(told), 0)).isEmpty();
     }
-    assertThat(quarantine.isBarred(SHEET, 0)).isFalse();
+    assertThat(quarantine.isQuarantined(SHEET, 0)).isFalse();
   }
 
   @Test
   void aNodeThatHasStartedAgainUnderItsIdEndsAnew() {
     for (long started = 1; started <= 3; started++) {
-      quarantine.ended(SHEET, new NodeLife("n1", started), 0);
+      quarantine.recordFailure(SHEET, new NodeLife("n1", started), 0);
     }
-    assertThat(quarantine.isBarred(SHEET, 0)).isTrue();
+    assertThat(quarantine.isQuarantined(SHEET, 0)).isTrue();
   }
 
   @Test
   void endsThatThreeDaemonsSawAreAddedUp() {
-    quarantine.ended(SHEET, life(1), 0);
+    quarantine.recordFailure(SHEET, life(1), 0);
     QuarantineRecord second = new QuarantineRecord(SHEET, Set.of(life(2)), Set.of());
     QuarantineRecord third = new QuarantineRecord(SHEET, Set.of(life(3)), Set.of());
-    assertThat(quarantine.hear(List.of(second, third), 0)).containsExactly(SHEET);
-    assertThat(quarantine.hear(List.of(second, third), 0)).isEmpty();
+    assertThat(quarantine.mergeFromPeer(List.of(second, third), 0)).containsExactly(SHEET);
+    assertThat(quarantine.mergeFromPeer(List.of(second, third), 0)).isEmpty();
   }
 
   @Test
   void anAnswerClearsARequest() {
-    quarantine.ended(SHEET, life(1), 0);
-    quarantine.ended(SHEET, life(2), 0);
-    quarantine.answered(SHEET, 0);
-    assertThat(quarantine.ended(SHEET, life(3), 0)).isEqualTo(1);
+    quarantine.recordFailure(SHEET, life(1), 0);
+    quarantine.recordFailure(SHEET, life(2), 0);
+    quarantine.recordAnswer(SHEET, 0);
+    assertThat(quarantine.recordFailure(SHEET, life(3), 0)).isEqualTo(1);
   }
 
   @Test
@@ -75,41 +75,44 @@
     for (int run = 0; run < 100; run++) {
       Quarantine other = new Quarantine();
       Collections.shuffle(told, random);
-      other.hear(told, 0);
-      other.hear(told.subList(0, 3), 0);
-      assertThat(other.toTell(true, 0)).extracting(QuarantineRecord::count).containsExactly(3);
-      assertThat(other.isBarred(SHEET, 0)).isTrue();
+      other.mergeFromPeer(told, 0);
+      other.mergeFromPeer(told.subList(0, 3), 0);
+      assertThat(other.recordsToSend(true, 0))
+          .extracting(QuarantineRecord::failureCount)
+          .containsExactly(3);
+      assertThat(other.isQuarantined(SHEET, 0)).isTrue();
     }
   }
 
   @Test
   void aDaemonThatStartsLearnsOfABarredRequestWithTheNextNote() {
     for (int number = 1; number <= 3; number++) {
-      quarantine.ended(SHEET, life(number), 0);
+      quarantine.recordFailure(SHEET, life(number), 0);
     }
     Quarantine started = new Quarantine();
-    List<Fingerprint> barred = started.hear(quarantine.toTell(false, 600 * SECOND), 600 * SECOND);
+    List<Fingerprint> barred =
+        started.mergeFromPeer(quarantine.recordsToSend(false, 600 * SECOND), 600 * SECOND);
     assertThat(barred).containsExactly(SHEET);
   }
 
   @Test
   void onlyWhatIsNewOrHeavyIsTold() {
-    quarantine.ended(SHEET, life(1), 0);
-    assertThat(quarantine.takeNews()).isTrue();
-    assertThat(quarantine.takeNews()).isFalse();
-    assertThat(quarantine.toTell(false, SECOND)).hasSize(1);
-    assertThat(quarantine.toTell(false, 5 * SECOND)).isEmpty();
+    quarantine.recordFailure(SHEET, life(1), 0);
+    assertThat(quarantine.takeUrgent()).isTrue();
+    assertThat(quarantine.takeUrgent()).isFalse();
+    assertThat(quarantine.recordsToSend(false, SECOND)).hasSize(1);
+    assertThat(quarantine.recordsToSend(false, 5 * SECOND)).isEmpty();
   }
 
   @Test
   void aFloodOfOtherRequestsHidesNoBarredOne() {
     for (int number = 1; number <= 3; number++) {
-      quarantine.ended(SHEET, life(number), 0);
+      quarantine.recordFailure(SHEET, life(number), 0);
     }
     for (int other = 2; other < 20_000; other++) {
-      quarantine.ended(new Fingerprint(other), life(other), SECOND);
+      quarantine.recordFailure(new Fingerprint(other), life(other), SECOND);
     }
-    assertThat(quarantine.isBarred(SHEET, SECOND)).isTrue();
+    assertThat(quarantine.isQuarantined(SHEET, SECOND)).isTrue();
     assertThat(quarantine.size()).isLessThan(5_000);
   }
 
@@ -122,63 +125,63 @@
   @Test
   void aRequestThatComesBackWhenItWasToldToIsTriedOnceMore() {
     for (int number = 1; number <= 3; number++) {
-      quarantine.ended(SHEET, life(number), 0);
+      quarantine.recordFailure(SHEET, life(number), 0);
     }
-    assertThat(quarantine.isBarred(SHEET, 60 * SECOND)).isFalse();
+    assertThat(quarantine.isQuarantined(SHEET, 60 * SECOND)).isFalse();
   }
 
   private void bar() {
     for (int number = 1; number <= 3; number++) {
-      quarantine.ended(SHEET, life(number), 0);
+      quarantine.recordFailure(SHEET, life(number), 0);
     }
   }
 
   @Test
   void itIsTriedOnceOnlyAndNotBeforeItsCallersWereToldToComeBack() {
     bar();
-    assertThat(quarantine.isBarred(SHEET, 59 * SECOND)).isTrue();
-    quarantine.sent(SHEET);
-    assertThat(quarantine.isBarred(SHEET, 60 * SECOND)).isTrue();
+    assertThat(quarantine.isQuarantined(SHEET, 59 * SECOND)).isTrue();
+    quarantine.recordSent(SHEET);
+    assertThat(quarantine.isQuarantined(SHEET, 60 * SECOND)).isTrue();
   }
 
   @Test
   void aTrialThatIsNotSentStaysDue() {
     bar();
-    assertThat(quarantine.isBarred(SHEET, 60 * SECOND)).isFalse();
-    assertThat(quarantine.isBarred(SHEET, 61 * SECOND)).isFalse();
-    quarantine.sent(SHEET);
-    assertThat(quarantine.isBarred(SHEET, 62 * SECOND)).isTrue();
-    assertThat(quarantine.isBarred(SHEET, 900 * SECOND)).isTrue();
+    assertThat(quarantine.isQuarantined(SHEET, 60 * SECOND)).isFalse();
+    assertThat(quarantine.isQuarantined(SHEET, 61 * SECOND)).isFalse();
+    quarantine.recordSent(SHEET);
+    assertThat(quarantine.isQuarantined(SHEET, 62 * SECOND)).isTrue();
+    assertThat(quarantine.isQuarantined(SHEET, 900 * SECOND)).isTrue();
   }
 
   @Test
   void oneDaemonOnlyTriesIt() {
     bar();
-    quarantine.mayTry(false);
-    assertThat(quarantine.isBarred(SHEET, 60 * SECOND)).isTrue();
+    quarantine.allowTrials(false);
+    assertThat(quarantine.isQuarantined(SHEET, 60 * SECOND)).isTrue();
   }
 
   @Test
   void aTrialThatIsAnsweredClearsItHereAndElsewhere() {
     bar();
     Quarantine other = new Quarantine();
-    other.hear(quarantine.toTell(true, 0), 0);
-    other.mayTry(false);
-    assertThat(other.isBarred(SHEET, 61 * SECOND)).isTrue();
-    quarantine.sent(SHEET);
-    quarantine.answered(SHEET, 61 * SECOND);
-    other.hear(quarantine.toTell(true, 61 * SECOND), 61 * SECOND);
-    assertThat(other.isBarred(SHEET, 62 * SECOND)).isFalse();
+    other.mergeFromPeer(quarantine.recordsToSend(true, 0), 0);
+    other.allowTrials(false);
+    assertThat(other.isQuarantined(SHEET, 61 * SECOND)).isTrue();
+    quarantine.recordSent(SHEET);
+    quarantine.recordAnswer(SHEET, 61 * SECOND);
+    other.mergeFromPeer(quarantine.recordsToSend(true, 61 * SECOND), 61 * SECOND);
+    assertThat(other.isQuarantined(SHEET, 62 * SECOND)).isFalse();
   }
 
   @Test
   void aTrialThatEndsANodeIsTheLastEverywhere() {
     bar();
-    quarantine.sent(SHEET);
-    quarantine.ended(SHEET, life(4), 61 * SECOND);
+    quarantine.recordSent(SHEET);
+    quarantine.recordFailure(SHEET, life(4), 61 * SECOND);
     Quarantine next = new Quarantine();
-    next.hear(quarantine.toTell(true, 61 * SECOND), 61 * SECOND);
-    assertThat(next.isBarred(SHEET, 1_000 * SECOND)).isTrue();
-    assertThat(quarantine.isBarred(SHEET, 1_000 * SECOND)).isTrue();
+    next.mergeFromPeer(quarantine.recordsToSend(true, 61 * SECOND), 61 * SECOND);
+    assertThat(next.isQuarantined(SHEET, 1_000 * SECOND)).isTrue();
+    assertThat(quarantine.isQuarantined(SHEET, 1_000 * SECOND)).isTrue();
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTrialTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTrialTest.java
@@ -37,12 +37,12 @@
     views.clear();
     for (int number = 0; number < DAEMONS; number++) {
       Quarantine quarantine = new Quarantine();
-      quarantine.mayTry(false);
+      quarantine.allowTrials(false);
       daemons.add(quarantine);
     }
     inTouch(0, DAEMONS);
-    for (int end = 1; end <= Quarantine.MOST_ENDS; end++) {
-      daemons.get(end).ended(SHEET, NodeLife.only("n" + end), 0);
+    for (int end = 1; end <= Quarantine.MAX_FAILURES; end++) {
+      daemons.get(end).recordFailure(SHEET, NodeLife.only("n" + end), 0);
       tellAll(daemons.get(end), 0);
     }
   }
@@ -57,7 +57,7 @@
         }
       }
       RendezvousOwners view = new RendezvousOwners(named(number));
-      view.see(others, DAEMONS, 0);
+      view.updateReachable(others, DAEMONS, 0);
       views.add(view);
     }
   }
@@ -67,8 +67,10 @@
   }
 
   private void tellAll(Quarantine from, long nowNanos) {
-    List<QuarantineRecord> told = from.toTell(true, nowNanos);
-    daemons.stream().filter(other -> other != from).forEach(other -> other.hear(told, nowNanos));
+    List<QuarantineRecord> told = from.recordsToSend(true, nowNanos);
+    daemons.stream()
+        .filter(other -> other != from)
+        .forEach(other -> other.mergeFromPeer(told, nowNanos));
   }
 
   /** One caller asks each second, at any one daemon. */
@@ -94,12 +96,12 @@
   @Test
   void aGuiltyOneEndsOneNodeMore() {
     assertThat(trialsUntil(120 * SECOND, ALL)).isEqualTo(1);
-    daemons.get(5).ended(SHEET, NodeLife.only("n4"), 61 * SECOND);
+    daemons.get(5).recordFailure(SHEET, NodeLife.only("n4"), 61 * SECOND);
     tellAll(daemons.get(5), 61 * SECOND);
     for (Quarantine daemon : daemons) {
-      assertThat(daemon.isWorthATrial(SHEET, 900 * SECOND)).isFalse();
-      assertThat(daemon.giveTrial(SHEET, 900 * SECOND)).isFalse();
-      assertThat(daemon.isBarred(SHEET, 900 * SECOND)).isTrue();
+      assertThat(daemon.mayRequestTrial(SHEET, 900 * SECOND)).isFalse();
+      assertThat(daemon.grantTrial(SHEET, 900 * SECOND)).isFalse();
+      assertThat(daemon.isQuarantined(SHEET, 900 * SECOND)).isTrue();
     }
   }
 
@@ -109,7 +111,7 @@
     Quarantine owner = daemons.get(0);
     int given = 0;
     for (long now = SECOND; now < 900 * SECOND; now += SECOND) {
-      given += owner.giveTrial(SHEET, now) ? 1 : 0;
+      given += owner.grantTrial(SHEET, now) ? 1 : 0;
     }
     assertThat(given).isEqualTo(3);
   }
@@ -121,8 +123,8 @@
       for (int number : asked) {
         Quarantine daemon = daemons.get(number);
         askForLeave(number, now);
-        if (!daemon.isBarred(SHEET, now)) {
-          daemon.sent(SHEET);
+        if (!daemon.isQuarantined(SHEET, now)) {
+          daemon.recordSent(SHEET);
           trials++;
         }
       }
@@ -132,12 +134,12 @@
 
   private void askForLeave(int number, long now) {
     Quarantine daemon = daemons.get(number);
-    if (!daemon.isWorthATrial(SHEET, now)) {
+    if (!daemon.mayRequestTrial(SHEET, now)) {
       return;
     }
     String owner = views.get(number).ownerOf("sheet", "").name();
-    if (daemons.get(Integer.parseInt(owner.substring(1))).giveTrial(SHEET, now)) {
-      daemon.mayTryOnce(SHEET);
+    if (daemons.get(Integer.parseInt(owner.substring(1))).grantTrial(SHEET, now)) {
+      daemon.acceptTrial(SHEET);
     }
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/DepartureDetectorTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/DepartureDetectorTest.java
@@ -20,21 +20,21 @@
 
   @Test
   void aNodeThatLeavesIsNewsOnce() {
-    assertThat(news.learn(List.of(node("n1"), node("n2")))).isEmpty();
-    assertThat(news.learn(List.of(node("n1"), node("n2").asDraining()))).containsExactly("n2");
-    assertThat(news.learn(List.of(node("n1"), node("n2").asDraining()))).isEmpty();
+    assertThat(news.update(List.of(node("n1"), node("n2")))).isEmpty();
+    assertThat(news.update(List.of(node("n1"), node("n2").asDraining()))).containsExactly("n2");
+    assertThat(news.update(List.of(node("n1"), node("n2").asDraining()))).isEmpty();
   }
 
   @Test
   void aNodeThatIsNotListedAnyMoreIsNewsUnlessItHadSaidThatItLeaves() {
-    news.learn(List.of(node("n1"), node("n2").asDraining()));
-    assertThat(news.learn(List.of(node("n1")))).isEmpty();
-    assertThat(news.learn(List.of())).containsExactly("n1");
+    news.update(List.of(node("n1"), node("n2").asDraining()));
+    assertThat(news.update(List.of(node("n1")))).isEmpty();
+    assertThat(news.update(List.of())).containsExactly("n1");
   }
 
   @Test
   void aNodeThatComesIsNone() {
-    assertThat(news.learn(List.of(node("n1")))).isEmpty();
-    assertThat(news.learn(List.of(node("n1"), node("n2")))).isEmpty();
+    assertThat(news.update(List.of(node("n1")))).isEmpty();
+    assertThat(news.update(List.of(node("n1"), node("n2")))).isEmpty();
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/PollIntervalsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/PollIntervalsTest.java
@@ -27,9 +27,9 @@
   void theLastDaemonKnowsOfALeavingNodeWellBeforeItMust(int promisedMillis) {
     PollIntervals cadence = new PollIntervals(promisedMillis);
     int known =
-        cadence.restMillis()
+        cadence.intervalMillis()
             + NOTES_MILLIS
-            + cadence.copyTimes().pauseMillis()
+            + cadence.copyDelays().minIntervalMillis()
             + COPY_MILLIS
             + TICK_MILLIS;
     assertThat(known).isLessThan(promisedMillis * 3 / 4);
@@ -41,11 +41,11 @@
   void theLastDaemonKnowsInTimeAlsoWhenTheWatcherIsLost(int promisedMillis) {
     PollIntervals cadence = new PollIntervals(promisedMillis);
     int known =
-        cadence.restMillis()
+        cadence.intervalMillis()
             + SILENCE_MILLIS
             + TICK_MILLIS
             + NOTE_MILLIS
-            + cadence.copyTimes().pauseMillis()
+            + cadence.copyDelays().minIntervalMillis()
             + COPY_MILLIS
             + TICK_MILLIS
             + 2 * STARVED_MILLIS;
@@ -56,7 +56,8 @@
   @ValueSource(ints = {2_000, 3_000, 4_000})
   void fiveWatchersAndALeaderMakeAThirdOfTheCallsOfFixedRests(int promisedMillis) {
     PollIntervals cadence = new PollIntervals(promisedMillis);
-    double calls = 5 * 1_000.0 / cadence.restMillis() + 1_000.0 / cadence.leaderRestMillis(false);
+    double calls =
+        5 * 1_000.0 / cadence.intervalMillis() + 1_000.0 / cadence.leaderIntervalMillis(false);
     double ofFixedRests = 5 * 1_000.0 / 300 + 1_000.0 / 120;
     assertThat(calls / ofFixedRests).isLessThan(promisedMillis == 4_000 ? 0.37 : 0.57);
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/StoreOutagesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/StoreOutagesTest.java
@@ -26,12 +26,12 @@
     int lastAnswer = now;
     for (int until = now + millis; now < until; now += STEP) {
       lastAnswer = here ? now : lastAnswer;
-      outages.look(here, others, lastAnswer * MILLI, now * MILLI);
+      outages.observe(here, others, lastAnswer * MILLI, now * MILLI);
     }
   }
 
   private boolean mayHaveLapsed() {
-    return outages.mayHaveLapsed(now * MILLI);
+    return outages.mayHaveExpired(now * MILLI);
   }
 
   @Test
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/StorePositionTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/StorePositionTest.java
@@ -22,7 +22,7 @@
   void aLaterHistoryIsAfterAnEarlierOneWhateverItsRevisions() {
     assertThat(place(2, 1).isAfter(place(1, 900))).isTrue();
     assertThat(place(1, 900).isAfter(place(2, 1))).isFalse();
-    assertThat(place(2, 1).sharesEraOf(place(1, 1))).isFalse();
+    assertThat(place(2, 1).isSameEra(place(1, 1))).isFalse();
   }
 
   @Test
@@ -30,7 +30,7 @@
     assertThat(place(0, 0).isAfter(StorePosition.NONE)).isTrue();
     assertThat(StorePosition.NONE.isAfter(place(0, 0))).isFalse();
     assertThat(StorePosition.NONE.isAfter(StorePosition.NONE)).isFalse();
-    assertThat(StorePosition.NONE.sharesEraOf(StorePosition.NONE)).isFalse();
+    assertThat(StorePosition.NONE.isSameEra(StorePosition.NONE)).isFalse();
     assertThat(StorePosition.NONE.orLater(place(3, 4))).isEqualTo(place(3, 4));
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/BarredRequests.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/BarredRequests.java
@@ -14,7 +14,7 @@
   private final RepeatGuard repeats;
   private final QuarantineStore store;
   private boolean leads;
-  private StoreEra keptIn = StoreEra.UNTOLD;
+  private StoreEra keptIn = StoreEra.UNKNOWN;
 
   /**
    * Creates the keeper; it does nothing before {@link #begin}.
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/NewsForPeers.java
@@ -30,7 +30,7 @@
   /** Tells whether there is what the others should know at once. */
   boolean takeNews() {
     boolean ofRepeats = repeats.takeNews();
-    return limits.known().takeNews() || ofRepeats;
+    return limits.knownLimits().takeUrgent() || ofRepeats;
   }
 
   @Override
@@ -40,7 +40,7 @@
 
   @Override
   public List<LimitUpdate> limits(boolean forOthers) {
-    return limits.toTell(forOthers, System.nanoTime());
+    return limits.updatesToSend(forOthers, System.nanoTime());
   }
 
   @Override
@@ -58,7 +58,7 @@
         note ->
             others.add(
                 new RendezvousOwners.Daemon(note.name(), note.address(), note.dataCentre())));
-    if (owners.see(others, heardLately, System.nanoTime())) {
+    if (owners.updateReachable(others, heardLately, System.nanoTime())) {
       limits.ownersChanged();
     }
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -207,7 +207,7 @@
             System::currentTimeMillis,
             gateway.repeats()::hear);
     this.barred = new BarredRequests(gateway.repeats(), quarantine);
-    this.nodeCopies = copiesOf(nodes, "/copies/nodes", Node.class, cadence.copyTimes());
+    this.nodeCopies = copiesOf(nodes, "/copies/nodes", Node.class, cadence.copyDelays());
   }
 
   private <T> PeerCopies<T> copiesOf(
@@ -280,7 +280,7 @@
   }
 
   private int nodesRestMillis() {
-    return leads ? cadence.leaderRestMillis(formation.isForming()) : cadence.restMillis();
+    return leads ? cadence.leaderIntervalMillis(formation.isForming()) : cadence.intervalMillis();
   }
 
   /** One daemon of each data centre asks often, and its notes tell the others what is new. */
@@ -320,7 +320,7 @@
    * of them, and while groups form there is a change every few milliseconds.
    */
   private void nodesChanged() {
-    Set<String> leaving = leavingNews.learn(nodes.objects().values());
+    Set<String> leaving = leavingNews.update(nodes.objects().values());
     if (!leaving.isEmpty()) {
       LOG.info(
           "leaving={} place={} by={}", leaving, nodes.place(), nodes.isActive() ? "store" : "peer");
@@ -355,7 +355,7 @@
     if (leads) {
       return new Announced(formation.opened(), formation.closed());
     }
-    PeerMessage leader = peers.leadership().leaderNote();
+    PeerMessage leader = peers.leadership().leaderMessage();
     return leader == null ? Announced.NOTHING : new Announced(leader.groups(), leader.closed());
   }
 
@@ -529,13 +529,13 @@
   private LeaderEligibility standing() {
     boolean settled = System.nanoTime() - startedNanos > SETTLE_NANOS;
     if (!settled || stopping || !nodes.place().isKnown() || configuration == null) {
-      return LeaderEligibility.UNFIT;
+      return LeaderEligibility.INELIGIBLE;
     }
     if (sight.storeAnswers()) {
-      return LeaderEligibility.FIT;
+      return LeaderEligibility.ELIGIBLE;
     }
     boolean alone = peers.daemons() > 1 && peers.live().isEmpty();
-    return alone ? LeaderEligibility.UNFIT : LeaderEligibility.WITHOUT_STORE;
+    return alone ? LeaderEligibility.INELIGIBLE : LeaderEligibility.WITHOUT_STORE;
   }
 
   private void tellPeers(boolean isNews) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreReturns.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreReturns.java
@@ -61,7 +61,7 @@
 
   /** Returns that went unseen cost nothing more: a list of the newest history is whole. */
   private static void tellJump(Platform.Kind kind, StoreEra before, StoreEra now) {
-    if (!before.equals(StoreEra.UNTOLD) && Math.abs(now.number() - before.number()) > 1) {
+    if (!before.equals(StoreEra.UNKNOWN) && Math.abs(now.number() - before.number()) > 1) {
       LOG.warn(
           "kind={} era={} before={} outcome=era_jumped. Eras should rise by one; look whether the"
               + " store went back unseen or was set up anew.",
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreSight.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreSight.java
@@ -93,19 +93,19 @@
 
   /** An entry that has gone for any other reason must not be held on to: its node leaves. */
   private boolean missingMayComeBack(long now) {
-    return outages.mayHaveLapsed(now) || now - wentBackAtNanos < WRITTEN_AGAIN_NANOS;
+    return outages.mayHaveExpired(now) || now - wentBackAtNanos < WRITTEN_AGAIN_NANOS;
   }
 
   /** Tells whether the store answers this daemon. */
   boolean storeAnswers() {
-    boolean certain = nodes.isActive() || doubt.isOver(configurations.answeredAtNanos());
+    boolean certain = nodes.isActive() || doubt.isCleared(configurations.answeredAtNanos());
     return certain && answers(configurations) && answers(nodes);
   }
 
   /** Takes note of who has the store; asks it once a near daemon has lost it. */
   void learnFromPeers() {
     lookForOutage();
-    if (doubt.learn(peers.nearPeerLostStore(), System.nanoTime())) {
+    if (doubt.updatePeers(peers.nearPeerLostStore(), System.nanoTime())) {
       configurations.probe();
     }
   }
@@ -113,7 +113,7 @@
   private void lookForOutage() {
     boolean here = configurations.reachable() && (!nodes.isActive() || nodes.reachable());
     long lastAnswer = Math.max(configurations.answeredAtNanos(), nodes.answeredAtNanos());
-    outages.look(here, peers.storeAnswersAny(), lastAnswer, System.nanoTime());
+    outages.observe(here, peers.storeAnswersAny(), lastAnswer, System.nanoTime());
   }
 
   /** A daemon that rests after a failed call may find the store again, but not at once. */
@@ -125,7 +125,7 @@
   /** Data centres of daemons that are heard, and of upstreams that answered a moment ago. */
   Set<String> dataCentres(Dispatcher dispatcher) {
     long now = System.nanoTime();
-    Set<String> inSight = peers.leadership().dataCentresHeard(now);
+    Set<String> inSight = peers.leadership().reachableDataCentres(now);
     inSight.add(settings.dataCentre());
     dispatcher
         .states()
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
@@ -175,7 +175,7 @@
         outcome == GroupOrder.Outcome.FENCED && order.fence() == peers.leadership().fence();
     if (fencedByOther) {
       LOG.warn("fence={} node={} outcome=refused_as_too_low", order.fence(), order.node().id());
-      peers.leadership().refused(now);
+      peers.leadership().fenceRejected(now);
     }
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/GatewayFigures.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/GatewayFigures.java
@@ -48,7 +48,7 @@
 
   void quarantine(Quarantine quarantine) {
     registry.gauge("fawnvale.quarantine.records", quarantine, Quarantine::size);
-    registry.gauge("fawnvale.quarantine.barred", quarantine, Quarantine::barred);
+    registry.gauge("fawnvale.quarantine.barred", quarantine, Quarantine::quarantinedCount);
   }
 
   void ended(boolean barred) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RepeatGuard.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RepeatGuard.java
@@ -25,7 +25,7 @@
 
   /** A request that is barred will be refused for long; callers heed what they have time for. */
   static final int RETRY_AFTER_MILLIS =
-      (int) TimeUnit.NANOSECONDS.toMillis(Quarantine.TRIAL_AFTER_NANOS);
+      (int) TimeUnit.NANOSECONDS.toMillis(Quarantine.TRIAL_DELAY_NANOS);
 
   /**
    * A cut may reset all connections to a data centre, and refuse new ones. It is out of sight after
@@ -69,18 +69,19 @@
     this.proofs = new EndProofs(client);
     this.figures = figures;
     figures.quarantine(quarantine);
-    quarantine.mayTry(false);
+    quarantine.allowTrials(false);
   }
 
   /** Tells whether a request may not be sent; costs a digest only while any request is doubted. */
   boolean isBarred(Forwarder forwarder) {
-    return !quarantine.isEmpty() && quarantine.isBarred(forwarder.fingerprint(), System.nanoTime());
+    return !quarantine.isEmpty()
+        && quarantine.isQuarantined(forwarder.fingerprint(), System.nanoTime());
   }
 
   /** Notes that a request is sent to a node now. */
   void sent(Forwarder forwarder) {
     if (!quarantine.isEmpty()) {
-      quarantine.sent(forwarder.fingerprint());
+      quarantine.recordSent(forwarder.fingerprint());
     }
   }
 
@@ -108,7 +109,7 @@
 
   /** Tells whether a barred request may be harmless, so that leave for a trial is worth asking. */
   boolean isWorthATrial(Forwarder forwarder) {
-    return quarantine.isWorthATrial(forwarder.fingerprint(), System.nanoTime());
+    return quarantine.mayRequestTrial(forwarder.fingerprint(), System.nanoTime());
   }
 
   /**
@@ -123,7 +124,7 @@
         granted -> {
           LOG.info("fingerprint={} granted={} outcome=trial", fingerprint, granted);
           if (granted) {
-            quarantine.mayTryOnce(fingerprint);
+            quarantine.acceptTrial(fingerprint);
           }
           told.accept(granted);
         });
@@ -136,13 +137,13 @@
    * @return whether it may
    */
   public boolean giveTrial(Fingerprint fingerprint) {
-    return quarantine.giveTrial(fingerprint, System.nanoTime());
+    return quarantine.grantTrial(fingerprint, System.nanoTime());
   }
 
   /** Tells whether one more end bars the request: then it goes on only once there was none. */
   boolean isLastTry(Forwarder forwarder) {
     return !quarantine.isEmpty()
-        && quarantine.count(forwarder.fingerprint()) >= Quarantine.MOST_ENDS - 1;
+        && quarantine.failureCount(forwarder.fingerprint()) >= Quarantine.MAX_FAILURES - 1;
   }
 
   /**
@@ -164,8 +165,8 @@
   }
 
   private void ended(Fingerprint fingerprint, Node node) {
-    int ends = quarantine.ended(fingerprint, node.life(), System.nanoTime());
-    boolean barred = ends >= Quarantine.MOST_ENDS;
+    int ends = quarantine.recordFailure(fingerprint, node.life(), System.nanoTime());
+    boolean barred = ends >= Quarantine.MAX_FAILURES;
     figures.ended(barred);
     LOG.info("fingerprint={} node={} ends={} outcome=ended", fingerprint, node.id(), ends);
     if (barred) {
@@ -196,8 +197,8 @@
     if (quarantine.isEmpty()) {
       return;
     }
-    boolean wasBarred = quarantine.count(forwarder.fingerprint()) >= Quarantine.MOST_ENDS;
-    quarantine.answered(forwarder.fingerprint(), System.nanoTime());
+    boolean wasBarred = quarantine.failureCount(forwarder.fingerprint()) >= Quarantine.MAX_FAILURES;
+    quarantine.recordAnswer(forwarder.fingerprint(), System.nanoTime());
     if (wasBarred) {
       LOG.warn("fingerprint={} outcome=cleared by=answer", forwarder.fingerprint());
       clearedListener.accept(forwarder.fingerprint());
@@ -219,7 +220,7 @@
    * @param records its records
    */
   public void hear(List<QuarantineRecord> records) {
-    for (Fingerprint fingerprint : quarantine.hear(records, System.nanoTime())) {
+    for (Fingerprint fingerprint : quarantine.mergeFromPeer(records, System.nanoTime())) {
       LOG.warn("fingerprint={} outcome=barred by=peers", fingerprint);
       tellBarred(fingerprint, false);
       giveUp.accept(fingerprint);
@@ -232,7 +233,7 @@
    * @return their records
    */
   public List<QuarantineRecord> barred() {
-    return quarantine.barredRecords();
+    return quarantine.quarantinedRecords();
   }
 
   /** Believes ends in other data centres that have stayed in sight since. */
@@ -252,7 +253,7 @@
    * @return true when it has, since this was asked last
    */
   public boolean takeNews() {
-    return quarantine.takeNews();
+    return quarantine.takeUrgent();
   }
 
   /**
@@ -262,6 +263,6 @@
    * @return records of requests
    */
   public List<QuarantineRecord> toTell(boolean forOthers) {
-    return quarantine.toTell(forOthers, System.nanoTime());
+    return quarantine.recordsToSend(forOthers, System.nanoTime());
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
@@ -84,8 +84,8 @@
     LOG.info(
         "node={} limit={} stamp={} age_ms={} by=peer outcome={}",
         told.life().id(),
-        told.isOver() ? null : told.perSecond(),
-        told.stamp(),
+        told.isUnlimited() ? null : told.perSecond(),
+        told.version(),
         told.ageMillis(),
         name(change));
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
@@ -170,7 +170,7 @@
       this.receiver = receiver;
       this.headReceiver = headReceiver;
       this.isCallers = isCallers;
-      this.limitStamp = gate.limits().known().stamp(life);
+      this.limitStamp = gate.limits().knownLimits().version(life);
     }
 
     @Override
@@ -183,7 +183,7 @@
 
     private void hearLimit(NodeAnswer said) {
       KnownLimits.Change change =
-          gate.limits().hear(life, said, limitStamp, isCallers, System.nanoTime());
+          gate.limits().recordAnswer(life, said, limitStamp, isCallers, System.nanoTime());
       limitLog.answered(life, change, said.limit());
     }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitDesk.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitDesk.java
@@ -43,7 +43,7 @@
     this.limits = limits;
     this.registry = registry;
     this.log = new LimitLog(registry);
-    registry.gauge("fawnvale.limits.known", limits, known -> known.known().inForce());
+    registry.gauge("fawnvale.limits.known", limits, known -> known.knownLimits().activeCount());
   }
 
   /**
@@ -54,7 +54,7 @@
   public void learn(List<LimitUpdate> notes) {
     long now = System.nanoTime();
     for (LimitUpdate note : notes) {
-      KnownLimits.Change change = limits.learn(note, now);
+      KnownLimits.Change change = limits.merge(note, now);
       log.told(note, change);
     }
   }
@@ -66,7 +66,7 @@
    * @param told told once, while the guard is held, whether the request may go
    */
   public void ask(Node node, Consumer<Boolean> told) {
-    LimitUpdate known = limits.noteOf(node.life(), System.nanoTime());
+    LimitUpdate known = limits.updateFor(node.life(), System.nanoTime());
     if (known == null) {
       told.accept(true);
       return;
@@ -87,7 +87,7 @@
     String outcome = "granted";
     long waitNanos = 0;
     if (said instanceof SharedLimits.Granted) {
-      limits.granted(node.life(), now);
+      limits.permitGranted(node.life(), now);
     } else if (said instanceof SharedLimits.Denied denied) {
       outcome = "denied";
       waitNanos = denied.nanos();
@@ -96,7 +96,7 @@
       waitNanos = SILENT_OWNER_NANOS;
     }
     if (waitNanos > 0) {
-      limits.denied(node.life(), waitNanos, now);
+      limits.permitDenied(node.life(), waitNanos, now);
     }
     registry.counter("fawnvale.limits.asked", "outcome", outcome).increment();
     LOG.info(
@@ -140,7 +140,7 @@
       LeaveQuestion question = LeaveQuestion.read(target);
       learn(List.of(question.limit()));
       return LeaveQuestion.write(
-          limits.ask(question.limit().life(), question.dataCentre(), System.nanoTime()));
+          limits.requestPermit(question.limit().life(), question.dataCentre(), System.nanoTime()));
     } catch (IOException | RuntimeException e) {
       LOG.warn("outcome=unreadable_question cause={}", e.toString());
       return new byte[0];
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitNoteCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitNoteCodec.java
@@ -25,7 +25,7 @@
     for (LimitUpdate note : notes) {
       packer.packString(note.life().id());
       packer.packLong(note.life().startedMillis());
-      packer.packInt(note.stamp());
+      packer.packInt(note.version());
       packer.packDouble(note.perSecond());
       packer.packLong(note.ageMillis());
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialDesk.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialDesk.java
@@ -54,7 +54,7 @@
    */
   public void ask(Fingerprint fingerprint, Consumer<Boolean> told) {
     String matter = matter(fingerprint);
-    if (owners.isOwn(matter, NO_DATA_CENTRE)) {
+    if (owners.isOwner(matter, NO_DATA_CENTRE)) {
       told.accept(gives.test(fingerprint));
       return;
     }
@@ -83,7 +83,7 @@
     String matter = target.substring(PATH.length());
     try {
       Fingerprint fingerprint = new Fingerprint(Long.parseUnsignedLong(matter, RADIX));
-      boolean given = owners.isOwn(matter, NO_DATA_CENTRE) && gives.test(fingerprint);
+      boolean given = owners.isOwner(matter, NO_DATA_CENTRE) && gives.test(fingerprint);
       LOG.info("fingerprint={} given={} outcome=answered", fingerprint, given);
       return given ? YES.clone() : NO.clone();
     } catch (NumberFormatException e) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/DigestCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/DigestCodec.java
@@ -28,7 +28,7 @@
       packer.packString(member.name());
       packer.packString(member.address());
       packer.packLong(member.incarnation());
-      packer.packInt(member.standing().ordinal());
+      packer.packInt(member.eligibility().ordinal());
     }
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/NoteCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/NoteCodec.java
@@ -52,7 +52,7 @@
       packer.packLong(note.term());
       packer.packString(note.leader());
       packer.packLong(note.claim());
-      packer.packInt(note.standing().ordinal());
+      packer.packInt(note.eligibility().ordinal());
       packer.packBoolean(note.served());
       writeCounts(packer, note.inFlight());
       writeWork(packer, note.offeredWork());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -122,9 +122,9 @@
     long now = System.nanoTime();
     everHeard.add(datagram.note().name());
     servedElsewhere |= datagram.note().served();
-    leadership.hear(datagram.note(), now);
+    leadership.receive(datagram.note(), now);
     for (DataCentreDigest digest : datagram.digests()) {
-      if (digests.hear(digest, now)) {
+      if (digests.receive(digest, now)) {
         servedElsewhere |= digest.served();
         digest.members().forEach(member -> hearOf(member, digest.dataCentre(), now));
       }
@@ -138,7 +138,7 @@
 
   private void hearOf(DataCentreDigest.Member member, String dataCentre, long now) {
     everHeard.add(member.name());
-    leadership.hearOf(member, dataCentre, now);
+    leadership.receiveMember(member, dataCentre, now);
     link.learn(member.address());
   }
 
@@ -174,7 +174,7 @@
    * @return true when no fitter or earlier one lives there
    */
   public boolean watchesForDataCentre(LeaderEligibility standing) {
-    return leadership.placeInDataCentre(standing, System.nanoTime()) == 0;
+    return leadership.rankInDataCentre(standing, System.nanoTime()) == 0;
   }
 
   /**
@@ -194,7 +194,7 @@
             leadership.term(),
             leadership.leader(),
             leadership.highestClaim(),
-            state.standing(),
+            state.eligibility(),
             state.served() || servedElsewhere,
             state.inFlight(),
             state.offeredWork(),
@@ -221,7 +221,7 @@
     boolean leads = leadership.leader().equals(settings.name());
     Set<String> targets =
         routing.targets(
-            others, new MessageRouting.Occasion(turn, leads, leadership.leader(), news));
+            others, new MessageRouting.SendContext(turn, leads, leadership.leader(), news));
     boolean relays = MessageRouting.hasRelays(others.size() + 1) && routing.isRelay(others);
     List<QuarantineRecord> records = shared.records(relays);
     List<LimitUpdate> limits = shared.limits(relays);
@@ -262,7 +262,7 @@
     live.stream()
         .filter(note -> note.dataCentre().equals(settings.dataCentre()))
         .forEach(near::add);
-    return digests.make(near, settings.name(), System.nanoTime());
+    return digests.summarize(near, settings.name(), System.nanoTime());
   }
 
   /**
@@ -333,7 +333,7 @@
    * @return false when the last notes and digests name no suspect
    */
   public boolean tellOfSuspects() {
-    return leadership.hearsOfSuspects() || digests.tellOfSuspects();
+    return leadership.anySuspects() || digests.anySuspects();
   }
 
   private Collection<DataCentreDigest> freshDigests() {
@@ -362,7 +362,7 @@
         .anyMatch(
             note ->
                 note.dataCentre().equals(settings.dataCentre())
-                    && note.standing() == LeaderEligibility.WITHOUT_STORE);
+                    && note.eligibility() == LeaderEligibility.WITHOUT_STORE);
   }
 
   /**
@@ -371,7 +371,8 @@
    * @return true when one of them says so
    */
   public boolean storeAnswersAny() {
-    return live().values().stream().anyMatch(note -> note.standing() == LeaderEligibility.FIT);
+    return live().values().stream()
+        .anyMatch(note -> note.eligibility() == LeaderEligibility.ELIGIBLE);
   }
 
   /**
@@ -389,7 +390,7 @@
    * @return their number
    */
   public int heardLately() {
-    return leadership.heardLately(System.nanoTime());
+    return leadership.recentlySeenCount(System.nanoTime());
   }
 
   /**
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/RecordCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/RecordCodec.java
@@ -20,7 +20,7 @@
     packer.packArrayHeader(records.size());
     for (QuarantineRecord told : records) {
       packer.packLong(told.fingerprint().value());
-      writeLives(packer, told.ended());
+      writeLives(packer, told.failures());
       writeLives(packer, told.excused());
     }
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
@@ -73,7 +73,7 @@
    * Reads from an answer of the store which of its histories it was given in.
    *
    * @param head the head of the answer
-   * @return the era; {@link StoreEra#UNTOLD} when the answer tells none that can be read
+   * @return the era; {@link StoreEra#UNKNOWN} when the answer tells none that can be read
    */
   StoreEra era(HttpResponse head);
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/CopyPacing.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/CopyPacing.java
@@ -27,7 +27,7 @@
    */
   CopyPacing(CopyDelays times) {
     this.times = times;
-    this.pauseNanos = times.pauseMillis() * NANOS_PER_MILLI;
+    this.pauseNanos = times.minIntervalMillis() * NANOS_PER_MILLI;
   }
 
   /**
@@ -49,7 +49,7 @@
     if (now < laterUntilNanos) {
       return NEVER;
     }
-    int patience = watches ? times.watcherPatienceMillis() : times.farPatienceMillis();
+    int patience = watches ? times.watcherDelayMillis() : times.remoteDelayMillis();
     laterUntilNanos = now + patience * NANOS_PER_MILLI;
     return patience;
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/ObjectTable.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/ObjectTable.java
@@ -91,7 +91,7 @@
    */
   boolean replace(Map<String, Page.Item<T>> items, StorePosition listed) {
     changes++;
-    if (place.sharesEraOf(listed) && place.isAfter(listed)) {
+    if (place.isSameEra(listed) && place.isAfter(listed)) {
       return false;
     }
     inEraOf(
@@ -106,7 +106,7 @@
 
   /** Makes a change that may begin another history for this table. */
   private void inEraOf(StorePosition told, Runnable change) {
-    boolean begins = place.isKnown() && !place.sharesEraOf(told);
+    boolean begins = place.isKnown() && !place.isSameEra(told);
     if (!begins) {
       change.run();
       return;
@@ -146,7 +146,7 @@
   boolean merge(Copy<T> copy) {
     changes++;
     boolean isOlder = place.isAfter(copy.place());
-    boolean changesOtherEra = !copy.whole() && !place.sharesEraOf(copy.place());
+    boolean changesOtherEra = !copy.whole() && !place.isSameEra(copy.place());
     if (isOlder || changesOtherEra || !copy.newest().isAfter(newest)) {
       return takePreferred(copy);
     }
@@ -186,7 +186,7 @@
    */
   Copy<T> copySince(StorePosition since) {
     boolean removalsKnown =
-        since.sharesEraOf(removalsKnownSince) && !removalsKnownSince.isAfter(since);
+        since.isSameEra(removalsKnownSince) && !removalsKnownSince.isAfter(since);
     if (!removalsKnown) {
       return new Copy<>(
           place, newest, true, new LinkedHashMap<>(objects), Map.copyOf(places), List.of());
@@ -253,7 +253,7 @@
 
   private void put(String name, StorePosition at, T value) {
     StorePosition known = places.getOrDefault(name, StorePosition.NONE);
-    if (known.sharesEraOf(at) && known.isAfter(at)) {
+    if (known.isSameEra(at) && known.isAfter(at)) {
       return;
     }
     T before = objects.get(name);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
@@ -107,8 +107,8 @@
       List<QuarantineRecord> holding = new ArrayList<>();
       for (Page.Item<StoredQuarantineRecord> item : page.items()) {
         StoredQuarantineRecord kept = item.value();
-        if (kept != null && kept.untilMillis() > clockMillis.getAsLong()) {
-          holding.add(kept.told());
+        if (kept != null && kept.expiresAtMillis() > clockMillis.getAsLong()) {
+          holding.add(kept.quarantineRecord());
         } else {
           remove(item.name());
         }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
@@ -74,7 +74,7 @@
   private int round;
   private long toldOfAtNanos = Long.MIN_VALUE / 2;
   private boolean forgottenBefore;
-  private StoreEra heardOf = StoreEra.UNTOLD;
+  private StoreEra heardOf = StoreEra.UNKNOWN;
 
   /**
    * How often calls are made. Each call costs; a longer wait leaves it unnoticed for longer that
@@ -352,14 +352,14 @@
       return;
     }
     StoreEra era = platform.era(answer.head());
-    switch (eraRule.judge(era, place(), asked, System.nanoTime())) {
-      case DROP -> earlier(era, reason);
-      case LIST_ANEW -> {
+    switch (eraRule.evaluate(era, place(), asked, System.nanoTime())) {
+      case DISCARD -> earlier(era, reason);
+      case RELIST -> {
         answered();
         count(reason, StoreFigures.Outcome.OTHER_ERA);
         list("", ++round);
       }
-      case TAKE -> {
+      case APPLY -> {
         answered();
         take(era, answer.body(), reason, good);
       }
@@ -399,7 +399,7 @@
           kind,
           era,
           place(),
-          EraFilter.EARLIER_NANOS / NANOS_PER_MILLI);
+          EraFilter.STALE_ANSWER_NANOS / NANOS_PER_MILLI);
     }
     later(nextPauseMillis(), () -> list("", round));
   }
@@ -486,7 +486,7 @@
     if (listing.isEmpty()) {
       // What changes while the pages are read comes with the watch that follows.
       listingPlace = page.place();
-    } else if (!listingPlace.sharesEraOf(page.place())) {
+    } else if (!listingPlace.isSameEra(page.place())) {
       list("", ofRound);
       return;
     }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
@@ -57,7 +57,7 @@
   @Test
   void anOwnerLearnsTheLimitFromTheQuestionAndTellsWhenThereIsRoom() throws IOException {
     assertThat(askForLeave("a")).isInstanceOf(SharedLimits.Denied.class);
-    assertThat(limits.known().of(LIMIT.life())).isEqualTo(50);
+    assertThat(limits.knownLimits().perSecond(LIMIT.life())).isEqualTo(50);
   }
 
   @Test
@@ -71,7 +71,7 @@
 
   @Test
   void whoDoesNotOwnTheLimitSaysSo() throws IOException {
-    owners.see(List.of(OTHER), 2, System.nanoTime());
+    owners.updateReachable(List.of(OTHER), 2, System.nanoTime());
     assertThat(askForLeave("b")).isEqualTo(new SharedLimits.NotOwned());
   }
 
@@ -122,8 +122,8 @@
     for (int number = 2; number < 40; number++) {
       others.add(new RendezvousOwners.Daemon("d" + number, "127.0.0." + number, "a"));
     }
-    owners.see(others, 39, System.nanoTime());
-    assertThat(owners.isOwn("ffffffffffffffef", "")).isFalse();
+    owners.updateReachable(others, 39, System.nanoTime());
+    assertThat(owners.isOwner("ffffffffffffffef", "")).isFalse();
     assertThat(trials(true, asked).answer("/trials/leave/ffffffffffffffef")).containsExactly(0);
     assertThat(asked).isEmpty();
   }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
@@ -32,7 +32,7 @@
               3,
               "edge-2",
               2,
-              LeaderEligibility.FIT,
+              LeaderEligibility.ELIGIBLE,
               true,
               Map.of("n1", 4),
               Map.of("m", 2.5),
@@ -54,7 +54,7 @@
                   true,
                   List.of(
                       new DataCentreDigest.Member(
-                          "edge-9", "127.0.0.9", 4, LeaderEligibility.FIT)))),
+                          "edge-9", "127.0.0.9", 4, LeaderEligibility.ELIGIBLE)))),
           List.of(
               new QuarantineRecord(
                   new Fingerprint(-17),
@@ -62,7 +62,7 @@
                   Set.of(NodeLife.only("n6")))),
           List.of(
               new LimitUpdate(new NodeLife("n7", 1_700_000_000_001L), 3, 1.6, 250),
-              new LimitUpdate(NodeLife.only("n8"), 2, LimitUpdate.OVER, 0)));
+              new LimitUpdate(NodeLife.only("n8"), 2, LimitUpdate.UNLIMITED, 0)));
 
   @Test
   void whatIsWrittenIsRead() throws IOException {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/SmallWorld.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/SmallWorld.java
@@ -227,11 +227,11 @@
     boolean isList = !answer.asked().isKnown();
     boolean ignoresAsked = !isList && flaws.contains(Flaw.ASKED_PLACE_IGNORED);
     StorePosition asked = ignoresAsked ? watcher.place() : answer.asked();
-    EraFilter.Verdict verdict = rule.judge(answer.at().era(), watcher.place(), asked, 0);
-    if (verdict == EraFilter.Verdict.LIST_ANEW && !flaws.contains(Flaw.WATCH_CONTINUED)) {
+    EraFilter.Action verdict = rule.evaluate(answer.at().era(), watcher.place(), asked, 0);
+    if (verdict == EraFilter.Action.RELIST && !flaws.contains(Flaw.WATCH_CONTINUED)) {
       mustList = true;
     }
-    return verdict == EraFilter.Verdict.DROP && !flaws.contains(Flaw.LATE_ANSWER_TAKEN);
+    return verdict == EraFilter.Action.DISCARD && !flaws.contains(Flaw.LATE_ANSWER_TAKEN);
   }
 
   /** Another daemon that watches has just listed, and tells. */
