--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/KnownLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/KnownLimits.java
@@ -26,7 +26,7 @@
    * Answers without a limit, each to a request that was sent knowing of it, that end it. A node
    * whose need ends for a moment is not sent all that waits at once.
    */
-  private static final int ANSWERS_TO_END = 2;
+  private static final int RESPONSES_TO_END = 2;
 
   /** Bounds what is kept of nodes that are gone, in entries. */
   private static final int MAX_ENTRIES = 16_384;
@@ -69,7 +69,7 @@
   private static final class Entry {
     double perSecond = LimitUpdate.UNLIMITED;
     int version = UNKNOWN_VERSION;
-    int unlimitedAnswers;
+    int unlimitedResponses;
     long confirmedNanos;
     long changedNanos;
     boolean observedHere;
@@ -123,19 +123,19 @@
    * @param nowNanos the steady time
    * @return what was new
    */
-  public Change recordAnswer(
+  public Change recordResponse(
       NodeLife life, @Nullable StatedLimit said, int sentStamp, boolean mayEnd, long nowNanos) {
     Entry entry = entries.get(life);
     boolean isNewest = entry == null || sentStamp >= entry.version;
     if (said == null) {
       return entry == null || entry.isUnlimited() || !mayEnd || !isNewest
           ? Change.NONE
-          : recordUnlimitedAnswer(life, entry, nowNanos);
+          : recordUnlimitedResponse(life, entry, nowNanos);
     }
     if (entry == null) {
       return change(life, said.perSecond(), UNKNOWN_VERSION + 1, true, nowNanos);
     }
-    entry.unlimitedAnswers = 0;
+    entry.unlimitedResponses = 0;
     entry.confirmedNanos = nowNanos;
     boolean replaces = isNewest || said.perSecond() < entry.perSecond;
     return said.perSecond() != entry.perSecond && replaces
@@ -143,9 +143,9 @@
         : Change.NONE;
   }
 
-  private Change recordUnlimitedAnswer(NodeLife life, Entry entry, long nowNanos) {
-    entry.unlimitedAnswers++;
-    return entry.unlimitedAnswers < ANSWERS_TO_END
+  private Change recordUnlimitedResponse(NodeLife life, Entry entry, long nowNanos) {
+    entry.unlimitedResponses++;
+    return entry.unlimitedResponses < RESPONSES_TO_END
         ? Change.NONE
         : change(life, LimitUpdate.UNLIMITED, entry.version + 1, true, nowNanos);
   }
@@ -156,7 +156,7 @@
     urgent |= own && perSecond < entry.perSecond;
     entry.perSecond = perSecond;
     entry.version = stamp;
-    entry.unlimitedAnswers = 0;
+    entry.unlimitedResponses = 0;
     entry.changedNanos = nowNanos;
     entry.confirmedNanos = nowNanos;
     entry.observedHere = own;
@@ -182,7 +182,7 @@
     if (nowNanos - shownNanos > ENTRY_TTL_NANOS) {
       return Change.NONE;
     }
-    Entry entry = entries.get(told.life());
+    Entry entry = entries.get(told.incarnation());
     int stamp = entry == null ? UNKNOWN_VERSION : entry.version;
     double known = entry == null ? LimitUpdate.UNLIMITED : entry.perSecond;
     boolean isStricter = told.version() == stamp && told.perSecond() < known;
@@ -192,8 +192,8 @@
       }
       return Change.NONE;
     }
-    Change change = change(told.life(), told.perSecond(), told.version(), false, nowNanos);
-    Entry changed = entries.get(told.life());
+    Change change = change(told.incarnation(), told.perSecond(), told.version(), false, nowNanos);
+    Entry changed = entries.get(told.incarnation());
     if (changed != null) {
       changed.confirmedNanos = shownNanos;
     }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/LimitUpdate.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/LimitUpdate.java
@@ -12,7 +12,7 @@
  *     #OVER} when it names no limit any more
  * @param ageMillis how long ago a daemon last got an answer that shows it, in milliseconds
  */
-public record LimitUpdate(NodeLife life, int version, double perSecond, long ageMillis) {
+public record LimitUpdate(NodeLife incarnation, int version, double perSecond, long ageMillis) {
 
   /** The limit of a node that names none any more. */
   public static final double UNLIMITED = Double.POSITIVE_INFINITY;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
@@ -90,12 +90,12 @@
    * @param nowNanos the steady time
    * @return what was new
    */
-  public KnownLimits.Change recordAnswer(
+  public KnownLimits.Change recordResponse(
       NodeLife life, NodeAnswer said, int sentStamp, boolean isCallers, long nowNanos) {
     boolean success = said.status() >= SUCCESS && said.status() < REDIRECT;
     return apply(
         life,
-        knownLimits.recordAnswer(life, said.limit(), sentStamp, isCallers && success, nowNanos));
+        knownLimits.recordResponse(life, said.limit(), sentStamp, isCallers && success, nowNanos));
   }
 
   /**
@@ -106,7 +106,7 @@
    * @return what was new
    */
   public KnownLimits.Change merge(LimitUpdate told, long nowNanos) {
-    return apply(told.life(), knownLimits.merge(told, nowNanos));
+    return apply(told.incarnation(), knownLimits.merge(told, nowNanos));
   }
 
   private KnownLimits.Change apply(NodeLife life, KnownLimits.Change change) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/Quarantine.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/Quarantine.java
@@ -212,7 +212,7 @@
    * @param fingerprint the request
    * @param nowNanos the steady time
    */
-  public void recordAnswer(Fingerprint fingerprint, long nowNanos) {
+  public void recordResponse(Fingerprint fingerprint, long nowNanos) {
     Entry entry = entries.get(fingerprint);
     if (entry != null && entry.record.failureCount() > 0) {
       merge(new QuarantineRecord(fingerprint, Set.of(), entry.record.failures()), true, nowNanos);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/EraFilter.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/EraFilter.java
@@ -13,7 +13,7 @@
    * How long answers of an earlier history are held to be late ones. A store that tells nothing
    * else for so long has been set up anew, and what it shows holds.
    */
-  public static final long STALE_ANSWER_NANOS = 5_000_000_000L;
+  public static final long STALE_RESPONSE_NANOS = 5_000_000_000L;
 
   private static final long NEVER = Long.MIN_VALUE;
 
@@ -55,6 +55,6 @@
 
   private boolean mayBeDelayed(long nowNanos) {
     staleSinceNanos = staleSinceNanos == NEVER ? nowNanos : staleSinceNanos;
-    return nowNanos - staleSinceNanos < STALE_ANSWER_NANOS;
+    return nowNanos - staleSinceNanos < STALE_RESPONSE_NANOS;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreOutages.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreOutages.java
@@ -20,7 +20,7 @@
    */
   private static final double LOCAL_OUTAGE_RATIO = 0.75;
 
-  private long answeredNanos;
+  private long lastResponseNanos;
   private int observations;
   private int observationsWithOthers;
   private boolean unavailable;
@@ -52,13 +52,13 @@
 
   private void begin(long lastAnswerNanos) {
     unavailable = true;
-    answeredNanos = lastAnswerNanos;
+    lastResponseNanos = lastAnswerNanos;
     observations = 0;
     observationsWithOthers = 0;
   }
 
   private boolean isFleetWide(long nowNanos) {
-    boolean longEnough = nowNanos - answeredNanos >= MIN_EXPIRY_NANOS;
+    boolean longEnough = nowNanos - lastResponseNanos >= MIN_EXPIRY_NANOS;
     return longEnough && observationsWithOthers < LOCAL_OUTAGE_RATIO * observations;
   }
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/KnownLimitsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/KnownLimitsTest.java
@@ -20,11 +20,11 @@
   private final KnownLimits known = new KnownLimits();
 
   private Change names(double limit, int sentStamp) {
-    return known.recordAnswer(NODE, StatedLimit.of(limit, "told"), sentStamp, true, SECOND);
+    return known.recordResponse(NODE, StatedLimit.of(limit, "told"), sentStamp, true, SECOND);
   }
 
   private Change namesNone(int sentStamp, boolean mayEnd) {
-    return known.recordAnswer(NODE, null, sentStamp, mayEnd, SECOND);
+    return known.recordResponse(NODE, null, sentStamp, mayEnd, SECOND);
   }
 
   private static void exchange(KnownLimits from, KnownLimits to) {
@@ -144,8 +144,8 @@
         int stamp = random.nextInt(one.version(NODE) + 1);
         switch (random.nextInt(4)) {
           case 0 ->
-              one.recordAnswer(NODE, StatedLimit.of(random.nextInt(4), "t"), stamp, true, SECOND);
-          case 1 -> one.recordAnswer(NODE, null, stamp, true, SECOND);
+              one.recordResponse(NODE, StatedLimit.of(random.nextInt(4), "t"), stamp, true, SECOND);
+          case 1 -> one.recordResponse(NODE, null, stamp, true, SECOND);
           default -> exchange(one, other);
         }
       }
@@ -166,7 +166,7 @@
   void limitsWithoutEndFillNeitherMemoryNorNotes() {
     for (int number = 0; number < 20_000; number++) {
       NodeLife life = NodeLife.only("n" + number);
-      known.recordAnswer(life, StatedLimit.of(1, "1"), KnownLimits.UNKNOWN_VERSION, true, SECOND);
+      known.recordResponse(life, StatedLimit.of(1, "1"), KnownLimits.UNKNOWN_VERSION, true, SECOND);
       if (number % 1_000 == 0) {
         assertThat(known.updatesToSend(true, SECOND)).hasSizeLessThanOrEqualTo(40);
       }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulation.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulation.java
@@ -289,6 +289,6 @@
         new NodeAnswer(200, false, false, 0, null, StatedLimit.of(scenario.limit(), "named"));
     schedule(
         now + ANSWER_NANOS,
-        () -> daemon.limits.recordAnswer(node.life(), answer, stamp, true, now));
+        () -> daemon.limits.recordResponse(node.life(), answer, stamp, true, now));
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineFalsePositiveTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineFalsePositiveTest.java
@@ -90,7 +90,7 @@
     private boolean answered(Running request, int now) {
       boolean done = now - request.begunMillis >= RUN_MILLIS;
       if (done) {
-        quarantine.recordAnswer(request.fingerprint, now * MILLI);
+        quarantine.recordResponse(request.fingerprint, now * MILLI);
       }
       return done;
     }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTest.java
@@ -61,7 +61,7 @@
   void anAnswerClearsARequest() {
     quarantine.recordFailure(SHEET, life(1), 0);
     quarantine.recordFailure(SHEET, life(2), 0);
-    quarantine.recordAnswer(SHEET, 0);
+    quarantine.recordResponse(SHEET, 0);
     assertThat(quarantine.recordFailure(SHEET, life(3), 0)).isEqualTo(1);
   }
 
@@ -169,7 +169,7 @@
     other.allowTrials(false);
     assertThat(other.isQuarantined(SHEET, 61 * SECOND)).isTrue();
     quarantine.recordSent(SHEET);
-    quarantine.recordAnswer(SHEET, 61 * SECOND);
+    quarantine.recordResponse(SHEET, 61 * SECOND);
     other.mergeFromPeer(quarantine.recordsToSend(true, 61 * SECOND), 61 * SECOND);
     assertThat(other.isQuarantined(SHEET, 62 * SECOND)).isFalse();
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RepeatGuard.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RepeatGuard.java
@@ -198,7 +198,7 @@
       return;
     }
     boolean wasBarred = quarantine.failureCount(forwarder.fingerprint()) >= Quarantine.MAX_FAILURES;
-    quarantine.recordAnswer(forwarder.fingerprint(), System.nanoTime());
+    quarantine.recordResponse(forwarder.fingerprint(), System.nanoTime());
     if (wasBarred) {
       LOG.warn("fingerprint={} outcome=cleared by=answer", forwarder.fingerprint());
       clearedListener.accept(forwarder.fingerprint());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
@@ -83,7 +83,7 @@
     count(change);
     LOG.info(
         "node={} limit={} stamp={} age_ms={} by=peer outcome={}",
-        told.life().id(),
+        told.incarnation().id(),
         told.isUnlimited() ? null : told.perSecond(),
         told.version(),
         told.ageMillis(),
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
@@ -183,7 +183,7 @@
 
     private void hearLimit(NodeAnswer said) {
       KnownLimits.Change change =
-          gate.limits().recordAnswer(life, said, limitStamp, isCallers, System.nanoTime());
+          gate.limits().recordResponse(life, said, limitStamp, isCallers, System.nanoTime());
       limitLog.answered(life, change, said.limit());
     }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitDesk.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitDesk.java
@@ -140,7 +140,8 @@
       LeaveQuestion question = LeaveQuestion.read(target);
       learn(List.of(question.limit()));
       return LeaveQuestion.write(
-          limits.requestPermit(question.limit().life(), question.dataCentre(), System.nanoTime()));
+          limits.requestPermit(
+              question.limit().incarnation(), question.dataCentre(), System.nanoTime()));
     } catch (IOException | RuntimeException e) {
       LOG.warn("outcome=unreadable_question cause={}", e.toString());
       return new byte[0];
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitNoteCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitNoteCodec.java
@@ -23,8 +23,8 @@
   public static void write(MessageBufferPacker packer, List<LimitUpdate> notes) throws IOException {
     packer.packArrayHeader(notes.size());
     for (LimitUpdate note : notes) {
-      packer.packString(note.life().id());
-      packer.packLong(note.life().startedMillis());
+      packer.packString(note.incarnation().id());
+      packer.packLong(note.incarnation().startedMillis());
       packer.packInt(note.version());
       packer.packDouble(note.perSecond());
       packer.packLong(note.ageMillis());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
@@ -399,7 +399,7 @@
           kind,
           era,
           place(),
-          EraFilter.STALE_ANSWER_NANOS / NANOS_PER_MILLI);
+          EraFilter.STALE_RESPONSE_NANOS / NANOS_PER_MILLI);
     }
     later(nextPauseMillis(), () -> list("", round));
   }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/DesksTest.java
@@ -57,7 +57,7 @@
   @Test
   void anOwnerLearnsTheLimitFromTheQuestionAndTellsWhenThereIsRoom() throws IOException {
     assertThat(askForLeave("a")).isInstanceOf(SharedLimits.Denied.class);
-    assertThat(limits.knownLimits().perSecond(LIMIT.life())).isEqualTo(50);
+    assertThat(limits.knownLimits().perSecond(LIMIT.incarnation())).isEqualTo(50);
   }
 
   @Test
