--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
@@ -137,7 +137,7 @@
    * @return false when it may not be written: the node rests, leaves, or has no room in its limit
    */
   public boolean tryAcquire(Node node, long nowNanos) {
-    return acceptsRequests(node.incarnation(), nowNanos) && limits.spend(node, nowNanos);
+    return acceptsRequests(node.incarnation(), nowNanos) && limits.tryAcquire(node, nowNanos);
   }
 
   /**
@@ -160,7 +160,7 @@
   private long nanosToEnd(Node node, long nowNanos) {
     long rest =
         isPaused(node.incarnation(), nowNanos) ? restEnds.get(node.incarnation()) - nowNanos : NOW;
-    return Math.max(rest, limits.nanosToNext(node, nowNanos));
+    return Math.max(rest, limits.nanosUntilAvailable(node, nowNanos));
   }
 
   /**
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/LimitNote.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/LimitUpdate.java
@@ -9,20 +9,20 @@
  * @param stamp counts the changes of this life's limit that are known; of two notes the one with
  *     the higher stamp was made knowing of the other
  * @param perSecond the requests a second that the node takes from all daemons together; {@link
- *     #OVER} when it names no limit any more
+ *     #UNLIMITED} when it names no limit any more
  * @param ageMillis how long ago a daemon last got an answer that shows it, in milliseconds
  */
-public record LimitNote(NodeIncarnation life, int stamp, double perSecond, long ageMillis) {
+public record LimitUpdate(NodeIncarnation incarnation, int version, double perSecond, long ageMillis) {
 
   /** The limit of a node that names none any more. */
-  public static final double OVER = Double.POSITIVE_INFINITY;
+  public static final double UNLIMITED = Double.POSITIVE_INFINITY;
 
   /**
    * Tells whether the node takes as much as there is.
    *
    * @return true when it names no limit any more
    */
-  public boolean isOver() {
-    return perSecond == OVER;
+  public boolean isUnlimited() {
+    return perSecond == UNLIMITED;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/DaemonState.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/DaemonState.java
@@ -16,11 +16,11 @@
  * @param closed heads whose groups it takes apart, when it leads
  */
 public record DaemonState(
-    Standing standing,
+    LeaderEligibility eligibility,
     boolean served,
     Map<String, Integer> inFlight,
     Map<String, Double> offeredWork,
     List<String> suspects,
     List<String> refusing,
-    List<PeerNote.ServingGroup> groups,
+    List<PeerMessage.ServingGroup> groups,
     List<String> closed) {}
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/NoteSpacing.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/MessageSpacing.java
@@ -6,12 +6,12 @@
  * a larger fleet sends only every second, third or fourth note. The leader's notes and those with
  * news go to all.
  */
-public final class NoteSpacing {
+public final class MessageSpacing {
 
-  private static final int DAEMONS_A_STEP = 20;
-  private static final int WIDEST = 4;
+  private static final int DAEMONS_PER_STEP = 20;
+  private static final int MAX_INTERVAL = 4;
 
-  private NoteSpacing() {}
+  private MessageSpacing() {}
 
   /**
    * Every how many notes one goes to a daemon of another data centre.
@@ -19,8 +19,8 @@
    * @param daemons daemons that are known, this one included
    * @return 1 for every note, 2 for every second one, and so on
    */
-  public static int across(int daemons) {
-    return Math.min(WIDEST, 1 + daemons / DAEMONS_A_STEP);
+  public static int remoteInterval(int daemons) {
+    return Math.min(MAX_INTERVAL, 1 + daemons / DAEMONS_PER_STEP);
   }
 
   /**
@@ -32,7 +32,7 @@
    * @return true when it is this daemon's turn
    */
   public static boolean isDue(int turn, String address, int daemons) {
-    int every = across(daemons);
+    int every = remoteInterval(daemons);
     return Math.floorMod(turn + address.hashCode(), every) == 0;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/PeerNote.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/PeerMessage.java
@@ -22,7 +22,7 @@
  * @param groups groups that began to serve a short while ago, told by the leader alone
  * @param closed heads, as {@code ID@EPOCH}, whose groups it has begun to take apart, likewise
  */
-public record PeerNote(
+public record PeerMessage(
     String name,
     String address,
     String dataCentre,
@@ -30,7 +30,7 @@
     long term,
     String leader,
     long claim,
-    Standing standing,
+    LeaderEligibility eligibility,
     boolean served,
     Map<String, Integer> inFlight,
     Map<String, Double> offeredWork,
@@ -46,8 +46,8 @@
    * @param dataCentre its data centre
    * @return a note that tells nothing else
    */
-  static PeerNote ofMember(DataCentreDigest.Member member, String dataCentre) {
-    return new PeerNote(
+  static PeerMessage ofMember(DataCentreDigest.Member member, String dataCentre) {
+    return new PeerMessage(
         member.name(),
         member.address(),
         dataCentre,
@@ -55,7 +55,7 @@
         0,
         "",
         0,
-        member.standing(),
+        member.eligibility(),
         false,
         Map.of(),
         Map.of(),
@@ -71,8 +71,8 @@
    * @param newer the standing
    * @return the note
    */
-  PeerNote withStanding(Standing newer) {
-    return new PeerNote(
+  PeerMessage withEligibility(LeaderEligibility newer) {
+    return new PeerMessage(
         name,
         address,
         dataCentre,
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/RequestRecord.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/QuarantineRecord.java
@@ -12,17 +12,17 @@
  * @param ended lives of nodes that ended while they ran it
  * @param excused those of them that are not held against it, since it has been answered later
  */
-public record RequestRecord(
-    Fingerprint fingerprint, Set<NodeIncarnation> ended, Set<NodeIncarnation> excused) {
+public record QuarantineRecord(
+    Fingerprint fingerprint, Set<NodeIncarnation> failures, Set<NodeIncarnation> excused) {
 
   /**
    * Nodes whose end is held against the request.
    *
    * @return their number
    */
-  public int count() {
+  public int failureCount() {
     int count = 0;
-    for (NodeIncarnation life : ended) {
+    for (NodeIncarnation life : failures) {
       count += excused.contains(life) ? 0 : 1;
     }
     return count;
@@ -34,8 +34,8 @@
    * @param other the other record
    * @return what both tell
    */
-  RequestRecord with(RequestRecord other) {
-    return new RequestRecord(fingerprint, union(ended, other.ended), union(excused, other.excused));
+  QuarantineRecord merge(QuarantineRecord other) {
+    return new QuarantineRecord(fingerprint, union(failures, other.failures), union(excused, other.excused));
   }
 
   private static Set<NodeIncarnation> union(Set<NodeIncarnation> one, Set<NodeIncarnation> other) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreDoubt.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreSuspicion.java
@@ -6,9 +6,9 @@
  * data centre that was cut off for 5.4 s each of 27 daemons held itself to be fit, led, found out,
  * and gave way to the next after 0.3 s, and no group was mended meanwhile.
  */
-public final class StoreDoubt {
+public final class StoreSuspicion {
 
-  private boolean peerHadLost;
+  private boolean peerHasLostStore;
   private long sinceNanos = Long.MIN_VALUE / 2;
 
   /**
@@ -18,9 +18,9 @@
    * @param nowNanos the steady time
    * @return true when a call of one's own is due, to find out
    */
-  public boolean learn(boolean peerHasLost, long nowNanos) {
-    boolean begins = peerHasLost && !peerHadLost;
-    peerHadLost = peerHasLost;
+  public boolean updatePeers(boolean peerHasLost, long nowNanos) {
+    boolean begins = peerHasLost && !peerHasLostStore;
+    peerHasLostStore = peerHasLost;
     if (begins) {
       sinceNanos = nowNanos;
     }
@@ -33,7 +33,7 @@
    * @param answeredAtNanos when it last answered this daemon, by the steady clock
    * @return false from the loss that a near daemon told of until the next answer
    */
-  public boolean isOver(long answeredAtNanos) {
-    return !peerHadLost || answeredAtNanos > sinceNanos;
+  public boolean isCleared(long answeredAtNanos) {
+    return !peerHasLostStore || answeredAtNanos > sinceNanos;
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
@@ -15,8 +15,9 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.NodeResponse;
-import org.fawnvale.serving.core.peer.Owners;
+
 import org.junit.jupiter.api.Test;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 
 /** Where a request goes, and who is let in when little is left. */
 class DispatcherTest {
@@ -28,7 +29,7 @@
   private static final long MILLI = 1_000_000L;
 
   private final UpstreamGate gate =
-      new UpstreamGate(new SharedLimits(new Owners(new Owners.Daemon("d", "127.0.0.1", "a"))));
+      new UpstreamGate(new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
   private final AtomicLong now = new AtomicLong();
   private final Dispatcher dispatcher = new Dispatcher("here", gate, now::get);
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationSimulation.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationSimulation.java
@@ -11,8 +11,9 @@
 import org.fawnvale.serving.core.demand.ModelDemand;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.Policy;
-import org.fawnvale.serving.core.peer.Fence;
+
 import org.jspecify.annotations.Nullable;
+import org.fawnvale.serving.core.peer.FencingToken;
 
 /**
  * One run of leaders and nodes in virtual time, with losses, late and unanswered orders, stale
@@ -220,7 +221,7 @@
     }
     boolean hasHeard = (claims.nextInt() & 1) == 0;
     claim = isFirst ? 1 : claim + (hasHeard ? 1 : 0);
-    return Fence.of(term, claim, name);
+    return FencingToken.of(term, claim, name);
   }
 
   void play() {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
@@ -12,9 +12,10 @@
 import org.fawnvale.serving.core.model.Node;
 
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+
 import org.junit.jupiter.api.Test;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.watch.StorePosition;
 
 /** What was known of nodes before the store went back, until they write again. */
 class RestoredNodesTest {
@@ -25,7 +26,7 @@
   private final RestoredNodes restored = new RestoredNodes();
   private final Map<String, Node> known = new LinkedHashMap<>();
   private final Map<String, Node> listed = new LinkedHashMap<>();
-  private final Map<String, StorePlace> places = new LinkedHashMap<>();
+  private final Map<String, StorePosition> places = new LinkedHashMap<>();
 
   private static Node node(String id, long started) {
     return new Node(
@@ -47,7 +48,7 @@
 
   private void list(Node node, long revision) {
     listed.put(node.id(), node);
-    places.put(node.id(), new StorePlace(new StoreEra(2), revision));
+    places.put(node.id(), new StorePosition(new StoreEra(2), revision));
   }
 
   private void know(Node node) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/LeadershipTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/LeaderElectionTest.java
@@ -11,18 +11,18 @@
 import org.junit.jupiter.api.Test;
 
 /** Who leads among three daemons that tell each other a note every 150 ms. */
-class LeadershipTest {
+class LeaderElectionTest {
 
   private static final long MILLI = 1_000_000L;
 
-  private final Map<String, Leadership> daemons = new LinkedHashMap<>();
-  private final Map<String, Standing> standings = new LinkedHashMap<>();
+  private final Map<String, LeaderElection> daemons = new LinkedHashMap<>();
+  private final Map<String, LeaderEligibility> standings = new LinkedHashMap<>();
   private long now;
 
   private void start(String... names) {
     for (String name : names) {
-      daemons.put(name, new Leadership(name, "here"));
-      standings.put(name, Standing.FIT);
+      daemons.put(name, new LeaderElection(name, "here"));
+      standings.put(name, LeaderEligibility.ELIGIBLE);
     }
   }
 
@@ -35,9 +35,9 @@
     }
   }
 
-  private void tell(String from, Leadership daemon) {
-    PeerNote note =
-        new PeerNote(
+  private void tell(String from, LeaderElection daemon) {
+    PeerMessage note =
+        new PeerMessage(
             from,
             from,
             "here",
@@ -56,18 +56,18 @@
     daemons.forEach(
         (to, other) -> {
           if (!to.equals(from)) {
-            other.hear(note, now);
+            other.receive(note, now);
           }
         });
   }
 
   /** Lets a daemon decide alone for a while, as do the others among themselves. */
-  private Leadership cutOff(String name, int millis) {
-    Leadership alone = daemons.remove(name);
+  private LeaderElection cutOff(String name, int millis) {
+    LeaderElection alone = daemons.remove(name);
     long end = now + millis * MILLI;
     while (now < end) {
       run(50);
-      alone.decide(Standing.FIT, now);
+      alone.decide(LeaderEligibility.ELIGIBLE, now);
     }
     return alone;
   }
@@ -84,7 +84,7 @@
     start("a", "b", "c");
     run(1_000);
     assertThat(leading()).containsExactly("a");
-    assertThat(daemons.values()).extracting(Leadership::leader).containsOnly("a");
+    assertThat(daemons.values()).extracting(LeaderElection::leader).containsOnly("a");
   }
 
   @Test
@@ -102,7 +102,7 @@
   void aLeaderThatLosesTheStoreGivesWayToOneThatHasIt() {
     start("a", "b", "c");
     run(1_000);
-    standings.put("a", Standing.WITHOUT_STORE);
+    standings.put("a", LeaderEligibility.WITHOUT_STORE);
     run(1_000);
     assertThat(leading()).containsExactly("b");
   }
@@ -111,7 +111,7 @@
   void aLeaderStaysWhenNoDaemonHasTheStore() {
     start("a", "b", "c");
     run(1_000);
-    standings.replaceAll((name, standing) -> Standing.WITHOUT_STORE);
+    standings.replaceAll((name, standing) -> LeaderEligibility.WITHOUT_STORE);
     run(1_000);
     assertThat(leading()).containsExactly("a");
   }
@@ -122,7 +122,7 @@
     run(1_000);
     daemons.remove("a");
     run(1_000);
-    daemons.put("a", new Leadership("a", "here"));
+    daemons.put("a", new LeaderElection("a", "here"));
     run(1_000);
     assertThat(leading()).containsExactly("b");
   }
@@ -131,15 +131,15 @@
   void aDaemonThatHearsFewOthersRaisesNoTermAndGoesQuietWhenRefused() {
     start("a", "b", "c");
     run(1_000);
-    Leadership cutOff = daemons.remove("a");
+    LeaderElection cutOff = daemons.remove("a");
     daemons.remove("b");
-    Leadership other = daemons.get("c");
+    LeaderElection other = daemons.get("c");
     long term = other.term();
     run(1_500);
-    assertThat(other.decide(Standing.FIT, now)).isTrue();
+    assertThat(other.decide(LeaderEligibility.ELIGIBLE, now)).isTrue();
     assertThat(other.term()).isEqualTo(term);
-    other.refused(now);
-    assertThat(other.decide(Standing.FIT, now)).isFalse();
+    other.fenceRejected(now);
+    assertThat(other.decide(LeaderEligibility.ELIGIBLE, now)).isFalse();
     assertThat(other.term()).isEqualTo(term);
     assertThat(cutOff.term()).isEqualTo(term);
   }
@@ -149,7 +149,7 @@
     start("a", "b", "c", "d", "e", "f", "g");
     run(1_000);
     List.of("d", "e", "f", "g").forEach(daemons::remove);
-    standings.put("a", Standing.WITHOUT_STORE);
+    standings.put("a", LeaderEligibility.WITHOUT_STORE);
     List<String> leaders = new ArrayList<>();
     for (int step = 0; step < 40; step++) {
       now += 50 * MILLI;
@@ -164,7 +164,7 @@
     start("a", "b", "c");
     run(1_000);
     assertThat(watching()).containsExactly("a");
-    standings.put("a", Standing.WITHOUT_STORE);
+    standings.put("a", LeaderEligibility.WITHOUT_STORE);
     run(200);
     assertThat(watching()).containsExactly("b");
     daemons.remove("b");
@@ -184,14 +184,14 @@
       daemons.forEach(this::tell);
     }
     assertThat(claimed).containsExactly("e");
-    assertThat(daemons.values()).extracting(Leadership::leader).containsOnly("e");
+    assertThat(daemons.values()).extracting(LeaderElection::leader).containsOnly("e");
   }
 
   @Test
   void twoLeadersOfOneTermHaveDifferentFences() {
     start("a", "b", "c");
     run(1_000);
-    Leadership cutOff = cutOff("c", 2_000);
+    LeaderElection cutOff = cutOff("c", 2_000);
     assertThat(cutOff.leader()).isEqualTo("c");
     assertThat(cutOff.term()).isEqualTo(daemons.get("a").term());
     assertThat(cutOff.fence()).isNotEqualTo(daemons.get("a").fence());
@@ -201,7 +201,7 @@
   void theLeaderAfterACutHasAFenceAboveThatOfEitherSide() {
     start("a", "b", "c");
     run(1_000);
-    Leadership cutOff = cutOff("c", 2_000);
+    LeaderElection cutOff = cutOff("c", 2_000);
     long ofCutOff = cutOff.fence();
     daemons.put("c", cutOff);
     run(500);
@@ -227,18 +227,17 @@
     daemons.remove("a");
     daemons.remove("b");
     run(1_500);
-    Leadership alone = daemons.get("c");
+    LeaderElection alone = daemons.get("c");
     long refused = alone.fence();
-    alone.refused(now);
+    alone.fenceRejected(now);
     run(5_000);
-    assertThat(alone.decide(Standing.FIT, now)).isTrue();
+    assertThat(alone.decide(LeaderEligibility.ELIGIBLE, now)).isTrue();
     assertThat(alone.fence()).isGreaterThan(refused);
   }
 
   private List<String> watching() {
     return daemons.entrySet().stream()
-        .filter(
-            entry -> entry.getValue().placeInDataCentre(standings.get(entry.getKey()), now) == 0)
+        .filter(entry -> entry.getValue().rankInDataCentre(standings.get(entry.getKey()), now) == 0)
         .map(Map.Entry::getKey)
         .toList();
   }
@@ -249,20 +248,20 @@
    */
   @Test
   void aDaemonThatStartsAgainWhileItsTimeOfDayStandsBackIsHeard() {
-    Leadership here = new Leadership("b", "here");
-    here.hear(note("a", 5_000), now);
+    LeaderElection here = new LeaderElection("b", "here");
+    here.receive(note("a", 5_000), now);
     now += 600 * MILLI;
-    here.hear(note("a", 2_600), now);
+    here.receive(note("a", 2_600), now);
     assertThat(here.live(now).get("a").incarnation()).isEqualTo(2_600);
   }
 
   @Test
   void aNoteOfAFormerLifeThatArrivesLateIsNotHeard() {
-    Leadership here = new Leadership("b", "here");
-    here.hear(note("a", 2_600), now);
-    here.hear(note("a", 5_000), now);
+    LeaderElection here = new LeaderElection("b", "here");
+    here.receive(note("a", 2_600), now);
+    here.receive(note("a", 5_000), now);
     now += 100 * MILLI;
-    here.hear(note("a", 2_600), now);
+    here.receive(note("a", 2_600), now);
     assertThat(here.live(now).get("a").incarnation()).isEqualTo(5_000);
   }
 
@@ -274,20 +273,20 @@
   void aLeaderThatWasSuspendedStepsBackWithTheFirstNoteThatItHears() {
     start("a", "b", "c");
     run(1_000);
-    Leadership suspended = daemons.remove("a");
+    LeaderElection suspended = daemons.remove("a");
     long itsClock = now;
     run(3_000);
     itsClock += 50 * MILLI;
-    assertThat(suspended.decide(Standing.FIT, itsClock)).isTrue();
+    assertThat(suspended.decide(LeaderEligibility.ELIGIBLE, itsClock)).isTrue();
     daemons.put("a", suspended);
     tell("b", daemons.get("b"));
-    assertThat(suspended.decide(Standing.FIT, itsClock)).isFalse();
+    assertThat(suspended.decide(LeaderEligibility.ELIGIBLE, itsClock)).isFalse();
     assertThat(suspended.leader()).isEqualTo("b");
   }
 
-  private static PeerNote note(String from, long incarnation) {
+  private static PeerMessage note(String from, long incarnation) {
     DataCentreDigest.Member member =
-        new DataCentreDigest.Member(from, from, incarnation, Standing.FIT);
-    return PeerNote.ofMember(member, "here");
+        new DataCentreDigest.Member(from, from, incarnation, LeaderEligibility.ELIGIBLE);
+    return PeerMessage.ofMember(member, "here");
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/CutDataCentreTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/PartitionedDataCentreTest.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.fawnvale.serving.core.watch.StoreDoubt;
+import org.fawnvale.serving.core.watch.StoreSuspicion;
 import org.junit.jupiter.api.Test;
 
 /**
  * A data centre of 27 daemons is cut off from the store and from the leader. Most daemons rest:
  * they call the store only when they lead, and find out then that it gives no answer.
  */
-class CutDataCentreTest {
+class PartitionedDataCentreTest {
 
   private static final long MILLI = 1_000_000L;
   private static final int DAEMONS = 27;
@@ -35,15 +35,15 @@
 
   private static final class Daemon {
     final String name;
-    final Leadership leadership;
-    final StoreDoubt doubt = new StoreDoubt();
+    final LeaderElection leadership;
+    final StoreSuspicion doubt = new StoreSuspicion();
     long callBegun = -1;
     long failedAt = Long.MIN_VALUE / 2;
-    Standing standing = Standing.FIT;
+    LeaderEligibility standing = LeaderEligibility.ELIGIBLE;
 
     Daemon(int number) {
       name = String.format("d%02d", number);
-      leadership = new Leadership(name, "cut");
+      leadership = new LeaderElection(name, "cut");
     }
 
     /** A call that was begun fails after a while. */
@@ -81,10 +81,10 @@
   private void step(Daemon daemon, boolean doubts) {
     boolean peerHasLost =
         daemon.leadership.live(now).values().stream()
-            .anyMatch(note -> note.standing() == Standing.WITHOUT_STORE);
-    daemon.doubt.learn(peerHasLost, now);
-    boolean answers = !daemon.failedLately(now) && (!doubts || daemon.doubt.isOver(-1));
-    daemon.standing = answers ? Standing.FIT : Standing.WITHOUT_STORE;
+            .anyMatch(note -> note.eligibility() == LeaderEligibility.WITHOUT_STORE);
+    daemon.doubt.updatePeers(peerHasLost, now);
+    boolean answers = !daemon.failedLately(now) && (!doubts || daemon.doubt.isCleared(-1));
+    daemon.standing = answers ? LeaderEligibility.ELIGIBLE : LeaderEligibility.WITHOUT_STORE;
     boolean leads = daemon.leadership.decide(daemon.standing, now);
     daemon.call(leads && isCut, now);
     if (leads) {
@@ -93,8 +93,8 @@
   }
 
   private void tell(Daemon from) {
-    PeerNote note =
-        new PeerNote(
+    PeerMessage note =
+        new PeerMessage(
             from.name,
             from.name,
             "cut",
@@ -112,7 +112,7 @@
             List.of());
     for (Daemon to : daemons) {
       if (to != from) {
-        to.leadership.hear(note, now);
+        to.leadership.receive(note, now);
       }
     }
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/SpreadInLargeFleetsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantinePropagationTest.java
@@ -7,15 +7,16 @@
 import java.util.Random;
 import java.util.Set;
 import org.fawnvale.serving.core.model.NodeIncarnation;
-import org.fawnvale.serving.core.peer.NoteRouting;
+
 import org.junit.jupiter.api.Test;
+import org.fawnvale.serving.core.peer.MessageRouting;
 
 /**
  * A request ends three nodes, each seen by a daemon of another data centre. In a fleet of 78
  * daemons notes stay within a data centre and relays hand on what they hear. Every daemon has to
  * refuse the request three seconds later; datagrams are lost meanwhile.
  */
-class SpreadInLargeFleetsTest {
+class QuarantinePropagationTest {
 
   private static final long MILLI = 1_000_000L;
   private static final int TICK_MILLIS = 25;
@@ -32,16 +33,16 @@
   private long now;
 
   private static final class Daemon {
-    final NoteRouting.Peer self;
-    final NoteRouting routing;
+    final MessageRouting.Peer self;
+    final MessageRouting routing;
     final Quarantine quarantine = new Quarantine();
     int ticks;
     int notes;
 
     Daemon(int number) {
       String name = String.format("d%02d", number);
-      self = new NoteRouting.Peer(name, name, "dc" + number % DATA_CENTRES);
-      routing = new NoteRouting(name, self.dataCentre());
+      self = new MessageRouting.Peer(name, name, "dc" + number % DATA_CENTRES);
+      routing = new MessageRouting(name, self.dataCentre());
       ticks = number;
       notes = number;
     }
@@ -57,26 +58,26 @@
   }
 
   private void tell(Daemon from, boolean news, double lost) {
-    List<NoteRouting.Peer> others = new ArrayList<>();
+    List<MessageRouting.Peer> others = new ArrayList<>();
     daemons.stream().filter(daemon -> daemon != from).forEach(daemon -> others.add(daemon.self));
     from.notes++;
-    boolean relays = NoteRouting.hasRelays(daemons.size()) && from.routing.isRelay(others);
-    List<RequestRecord> records = from.quarantine.toTell(relays, now);
-    NoteRouting.Occasion occasion =
-        new NoteRouting.Occasion(from.notes, LEADER.equals(from.self.name()), LEADER, news);
+    boolean relays = MessageRouting.hasRelays(daemons.size()) && from.routing.isRelay(others);
+    List<QuarantineRecord> records = from.quarantine.recordsToSend(relays, now);
+    MessageRouting.SendContext occasion =
+        new MessageRouting.SendContext(from.notes, LEADER.equals(from.self.name()), LEADER, news);
     Set<String> targets = from.routing.targets(others, occasion);
     for (Daemon to : daemons) {
       if (targets.contains(to.self.address()) && random.nextDouble() >= lost) {
-        to.quarantine.hear(records, now);
+        to.quarantine.mergeFromPeer(records, now);
       }
     }
   }
 
   private long millisUntilAllRefuse(double lost) {
-    while (!daemons.stream().allMatch(daemon -> daemon.quarantine.isBarred(SHEET, now))) {
+    while (!daemons.stream().allMatch(daemon -> daemon.quarantine.isQuarantined(SHEET, now))) {
       now += TICK_MILLIS * MILLI;
       for (Daemon daemon : daemons) {
-        boolean news = daemon.quarantine.takeNews();
+        boolean news = daemon.quarantine.takeUrgent();
         daemon.ticks++;
         if (news || daemon.ticks % NOTE_TICKS == 0) {
           tell(daemon, news, lost);
@@ -91,9 +92,9 @@
     long longest = 0;
     for (int run = 0; run < 50; run++) {
       start(count, run);
-      for (int end = 0; end < Quarantine.MOST_ENDS; end++) {
+      for (int end = 0; end < Quarantine.MAX_FAILURES; end++) {
         Daemon witness = daemons.get(count - 1 - end);
-        witness.quarantine.ended(SHEET, NodeIncarnation.only("n" + end), now);
+        witness.quarantine.recordFailure(SHEET, NodeIncarnation.only("n" + end), now);
       }
       longest = Math.max(longest, millisUntilAllRefuse(lost));
     }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/BarredAwayFromTheLeaderTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTrialTest.java
@@ -5,9 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.fawnvale.serving.core.model.NodeIncarnation;
-import org.fawnvale.serving.core.peer.Owners;
+
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 
 /**
  * A harmless request is barred, and its callers ask daemons that don't lead.
@@ -21,7 +22,7 @@
  * callers are. The evidence: asked for each second at any other daemon it stayed barred for as long
  * as it was asked for.
  */
-class BarredAwayFromTheLeaderTest {
+class QuarantineTrialTest {
 
   private static final long SECOND = 1_000_000_000L;
   private static final Fingerprint SHEET = new Fingerprint(1);
@@ -29,7 +30,7 @@
   private static final int[] ALL = {0, 1, 2, 3, 4, 5, 6, 7, 8};
 
   private final List<Quarantine> daemons = new ArrayList<>();
-  private final List<Owners> views = new ArrayList<>();
+  private final List<RendezvousOwners> views = new ArrayList<>();
 
   @BeforeEach
   void bar() {
@@ -37,12 +38,12 @@
     views.clear();
     for (int number = 0; number < DAEMONS; number++) {
       Quarantine quarantine = new Quarantine();
-      quarantine.mayTry(false);
+      quarantine.allowTrials(false);
       daemons.add(quarantine);
     }
     inTouch(0, DAEMONS);
-    for (int end = 1; end <= Quarantine.MOST_ENDS; end++) {
-      daemons.get(end).ended(SHEET, NodeIncarnation.only("n" + end), 0);
+    for (int end = 1; end <= Quarantine.MAX_FAILURES; end++) {
+      daemons.get(end).recordFailure(SHEET, NodeIncarnation.only("n" + end), 0);
       tellAll(daemons.get(end), 0);
     }
   }
@@ -50,25 +51,25 @@
   /** Some daemons hear each other and nobody else. */
   private void inTouch(int from, int until) {
     for (int number = from; number < until; number++) {
-      List<Owners.Daemon> others = new ArrayList<>();
+      List<RendezvousOwners.Daemon> others = new ArrayList<>();
       for (int other = from; other < until; other++) {
         if (other != number) {
           others.add(named(other));
         }
       }
-      Owners view = new Owners(named(number));
-      view.see(others, DAEMONS, 0);
+      RendezvousOwners view = new RendezvousOwners(named(number));
+      view.updateReachable(others, DAEMONS, 0);
       views.add(view);
     }
   }
 
-  private static Owners.Daemon named(int number) {
-    return new Owners.Daemon("d" + number, "10.0.0." + number, "dc" + number / 3);
+  private static RendezvousOwners.Daemon named(int number) {
+    return new RendezvousOwners.Daemon("d" + number, "10.0.0." + number, "dc" + number / 3);
   }
 
   private void tellAll(Quarantine from, long nowNanos) {
-    List<RequestRecord> told = from.toTell(true, nowNanos);
-    daemons.stream().filter(other -> other != from).forEach(other -> other.hear(told, nowNanos));
+    List<QuarantineRecord> told = from.recordsToSend(true, nowNanos);
+    daemons.stream().filter(other -> other != from).forEach(other -> other.mergeFromPeer(told, nowNanos));
   }
 
   /** One caller asks each second, at any one daemon. */
@@ -94,12 +95,12 @@
   @Test
   void aGuiltyOneEndsOneNodeMore() {
     assertThat(trialsUntil(120 * SECOND, ALL)).isEqualTo(1);
-    daemons.get(5).ended(SHEET, NodeIncarnation.only("n4"), 61 * SECOND);
+    daemons.get(5).recordFailure(SHEET, NodeIncarnation.only("n4"), 61 * SECOND);
     tellAll(daemons.get(5), 61 * SECOND);
     for (Quarantine daemon : daemons) {
-      assertThat(daemon.isWorthATrial(SHEET, 900 * SECOND)).isFalse();
-      assertThat(daemon.giveTrial(SHEET, 900 * SECOND)).isFalse();
-      assertThat(daemon.isBarred(SHEET, 900 * SECOND)).isTrue();
+      assertThat(daemon.mayRequestTrial(SHEET, 900 * SECOND)).isFalse();
+      assertThat(daemon.grantTrial(SHEET, 900 * SECOND)).isFalse();
+      assertThat(daemon.isQuarantined(SHEET, 900 * SECOND)).isTrue();
     }
   }
 
@@ -109,7 +110,7 @@
     Quarantine owner = daemons.get(0);
     int given = 0;
     for (long now = SECOND; now < 900 * SECOND; now += SECOND) {
-      given += owner.giveTrial(SHEET, now) ? 1 : 0;
+      given += owner.grantTrial(SHEET, now) ? 1 : 0;
     }
     assertThat(given).isEqualTo(3);
   }
@@ -121,8 +122,8 @@
       for (int number : asked) {
         Quarantine daemon = daemons.get(number);
         askForLeave(number, now);
-        if (!daemon.isBarred(SHEET, now)) {
-          daemon.sent(SHEET);
+        if (!daemon.isQuarantined(SHEET, now)) {
+          daemon.recordSent(SHEET);
           trials++;
         }
       }
@@ -132,12 +133,12 @@
 
   private void askForLeave(int number, long now) {
     Quarantine daemon = daemons.get(number);
-    if (!daemon.isWorthATrial(SHEET, now)) {
+    if (!daemon.mayRequestTrial(SHEET, now)) {
       return;
     }
     String owner = views.get(number).ownerOf("sheet", "").name();
-    if (daemons.get(Integer.parseInt(owner.substring(1))).giveTrial(SHEET, now)) {
-      daemon.mayTryOnce(SHEET);
+    if (daemons.get(Integer.parseInt(owner.substring(1))).grantTrial(SHEET, now)) {
+      daemon.acceptTrial(SHEET);
     }
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/LeavingNewsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/DepartureDetectorTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /** What other daemons must hear at once. */
-class LeavingNewsTest {
+class DepartureDetectorTest {
 
-  private final LeavingNews news = new LeavingNews();
+  private final DepartureDetector news = new DepartureDetector();
 
   private static Node node(String id) {
     Endpoint endpoint = new Endpoint("127.0.0.1", 1);
@@ -21,21 +21,21 @@
 
   @Test
   void aNodeThatLeavesIsNewsOnce() {
-    assertThat(news.learn(List.of(node("n1"), node("n2")))).isEmpty();
-    assertThat(news.learn(List.of(node("n1"), node("n2").asDraining()))).containsExactly("n2");
-    assertThat(news.learn(List.of(node("n1"), node("n2").asDraining()))).isEmpty();
+    assertThat(news.update(List.of(node("n1"), node("n2")))).isEmpty();
+    assertThat(news.update(List.of(node("n1"), node("n2").asDraining()))).containsExactly("n2");
+    assertThat(news.update(List.of(node("n1"), node("n2").asDraining()))).isEmpty();
   }
 
   @Test
   void aNodeThatIsNotListedAnyMoreIsNewsUnlessItHadSaidThatItLeaves() {
-    news.learn(List.of(node("n1"), node("n2").asDraining()));
-    assertThat(news.learn(List.of(node("n1")))).isEmpty();
-    assertThat(news.learn(List.of())).containsExactly("n1");
+    news.update(List.of(node("n1"), node("n2").asDraining()));
+    assertThat(news.update(List.of(node("n1")))).isEmpty();
+    assertThat(news.update(List.of())).containsExactly("n1");
   }
 
   @Test
   void aNodeThatComesIsNone() {
-    assertThat(news.learn(List.of(node("n1")))).isEmpty();
-    assertThat(news.learn(List.of(node("n1"), node("n2")))).isEmpty();
+    assertThat(news.update(List.of(node("n1")))).isEmpty();
+    assertThat(news.update(List.of(node("n1"), node("n2")))).isEmpty();
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/QuarantinePersistence.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/QuarantinePersistence.java
@@ -1,9 +1,10 @@
 package org.fawnvale.serving.daemon;
 
-import org.fawnvale.serving.core.quarantine.RequestRecord;
+
 import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.gateway.RequestQuarantine;
 import org.fawnvale.serving.store.QuarantineStore;
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 
 /**
  * Who keeps requests that end nodes in the platform's store, for daemons to come: few daemons,
@@ -14,7 +15,7 @@
   private final RequestQuarantine repeats;
   private final QuarantineStore store;
   private boolean leads;
-  private StoreEra keptIn = StoreEra.UNTOLD;
+  private StoreEra keptIn = StoreEra.UNKNOWN;
 
   /**
    * Creates the keeper; it does nothing before {@link #begin}.
@@ -44,7 +45,7 @@
    * Each daemon hears of a request that is barred. The one that saw the last end keeps it for those
    * to come, and the leader, since the other may be at its end.
    */
-  private void barred(RequestRecord told, boolean own) {
+  private void barred(QuarantineRecord told, boolean own) {
     if (own || leads) {
       store.keep(told);
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -24,14 +24,14 @@
 import org.fawnvale.serving.core.model.ServiceSpec;
 import org.fawnvale.serving.core.model.Settings;
 import org.fawnvale.serving.core.peer.DaemonState;
-import org.fawnvale.serving.core.peer.Owners;
-import org.fawnvale.serving.core.peer.PeerNote;
-import org.fawnvale.serving.core.peer.Standing;
+
+
+
 import org.fawnvale.serving.core.route.RouteTable;
-import org.fawnvale.serving.core.watch.CopyPlaces;
-import org.fawnvale.serving.core.watch.CopyTimes;
-import org.fawnvale.serving.core.watch.LeavingNews;
-import org.fawnvale.serving.core.watch.WatchCadence;
+
+
+
+
 import org.fawnvale.serving.formation.FormationService;
 import org.fawnvale.serving.gateway.Gateway;
 import org.fawnvale.serving.gateway.GatewayMetrics;
@@ -51,6 +51,13 @@
 import org.fawnvale.serving.store.StoreCallMetrics;
 import org.fawnvale.serving.store.StoreWatch;
 import org.jspecify.annotations.Nullable;
+import org.fawnvale.serving.core.peer.LeaderEligibility;
+import org.fawnvale.serving.core.peer.PeerMessage;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
+import org.fawnvale.serving.core.watch.CopyDelays;
+import org.fawnvale.serving.core.watch.CopyPositions;
+import org.fawnvale.serving.core.watch.DepartureDetector;
+import org.fawnvale.serving.core.watch.PollIntervals;
 
 /** An entry daemon: gateway, store copies, peers and, while it leads, the formation of groups. */
 public final class ServingDaemon {
@@ -105,7 +112,7 @@
   private final HttpClient client;
   private final UpstreamGate gate;
   private final Dispatcher dispatcher;
-  private final WatchCadence cadence;
+  private final PollIntervals cadence;
   private final UpstreamSelector fleet;
   private final Gateway gateway;
   private final Peers peers;
@@ -128,7 +135,7 @@
   private @Nullable Configuration configuration;
   private boolean stopping;
   private boolean leads;
-  private final LeavingNews leavingNews = new LeavingNews();
+  private final DepartureDetector leavingNews = new DepartureDetector();
   private GroupAnnouncements announcedBefore = GroupAnnouncements.NOTHING;
   private boolean groupsAreNews;
   private boolean upstreamsAreOld;
@@ -143,8 +150,8 @@
     this.platform = platform;
     this.reactor = reactor;
     this.client = new HttpClient(reactor, timers);
-    Owners owners =
-        new Owners(new Owners.Daemon(settings.name(), settings.address(), settings.dataCentre()));
+    RendezvousOwners owners =
+        new RendezvousOwners(new RendezvousOwners.Daemon(settings.name(), settings.address(), settings.dataCentre()));
     SharedLimits limits = new SharedLimits(owners);
     this.gate = new UpstreamGate(limits);
     OwnerClient ownerCalls =
@@ -154,7 +161,7 @@
     dispatcher.setConnected(client::hasRested);
     NodeClient toNodes = new NodeClient(client, timers, gate, platform::answer, registry);
     toNodes.onLeaving(() -> upstreamsAreOld = true);
-    this.cadence = new WatchCadence(settings.bounds().leavingMillis());
+    this.cadence = new PollIntervals(settings.bounds().leavingMillis());
     this.fleet = new UpstreamSelector(settings.policy().cutsAreNoDeaths());
     GatewayMetrics figures = new GatewayMetrics(registry);
     this.gateway = new Gateway(timers, toNodes, platform, dispatcher, settings.bounds(), figures);
@@ -196,7 +203,7 @@
     this.suspicions = new HeadSuspicions(settings.dataCentre(), dispatcher, peers);
     this.configurationCopies =
         copiesOf(
-            configurations, "/copies/configuration", Configuration.class, CopyTimes.CONFIGURATION);
+            configurations, "/copies/configuration", Configuration.class, CopyDelays.CONFIGURATION);
     QuarantineStore quarantine =
         new QuarantineStore(
             client,
@@ -206,11 +213,11 @@
             System::currentTimeMillis,
             gateway.quarantine()::receive);
     this.barred = new QuarantinePersistence(gateway.quarantine(), quarantine);
-    this.nodeCopies = copiesOf(nodes, "/copies/nodes", Node.class, cadence.copyTimes());
+    this.nodeCopies = copiesOf(nodes, "/copies/nodes", Node.class, cadence.copyDelays());
   }
 
   private <T> PeerCopyExchange<T> copiesOf(
-      StoreWatch<T> watch, String path, Class<T> content, CopyTimes times) {
+      StoreWatch<T> watch, String path, Class<T> content, CopyDelays times) {
     int port = settings.peerPort() + COPY_PORT_OFFSET;
     return new PeerCopyExchange<>(client, timers, watch, path, port, content, times);
   }
@@ -281,7 +288,7 @@
   }
 
   private int nodesRestMillis() {
-    return leads ? cadence.leaderRestMillis(formation.isForming()) : cadence.restMillis();
+    return leads ? cadence.leaderIntervalMillis(formation.isForming()) : cadence.intervalMillis();
   }
 
   /** One daemon of each data centre asks often, and its notes tell the others what is new. */
@@ -321,7 +328,7 @@
    * of them, and while groups form there is a change every few milliseconds.
    */
   private void nodesChanged() {
-    Set<String> leaving = leavingNews.learn(nodes.objects().values());
+    Set<String> leaving = leavingNews.update(nodes.objects().values());
     if (!leaving.isEmpty()) {
       LOG.info(
           "leaving={} place={} by={}", leaving, nodes.place(), nodes.isActive() ? "store" : "peer");
@@ -356,7 +363,7 @@
     if (leads) {
       return new GroupAnnouncements(formation.recentlyOpened(), formation.recentlyClosed());
     }
-    PeerNote leader = peers.leadership().leaderNote();
+    PeerMessage leader = peers.leadership().leaderMessage();
     return leader == null
         ? GroupAnnouncements.NOTHING
         : new GroupAnnouncements(leader.groups(), leader.closed());
@@ -372,7 +379,7 @@
     return service == null ? null : service.engine();
   }
 
-  private void placesOfPeer(String address, boolean isNear, CopyPlaces places) {
+  private void placesOfPeer(String address, boolean isNear, CopyPositions places) {
     boolean goesBefore = places.version() > versionInForce();
     configurationCopies.hear(
         new PeerCopyExchange.Told(address, isNear, places.configuration(), goesBefore));
@@ -381,7 +388,7 @@
 
   private long versionInForce() {
     Configuration current = configuration;
-    return current == null ? CopyPlaces.NONE.version() : current.version();
+    return current == null ? CopyPositions.NONE.version() : current.version();
   }
 
   private void tick() {
@@ -444,7 +451,7 @@
   }
 
   private void seeWhoIsInTouch() {
-    Map<String, PeerNote> live = peers.live();
+    Map<String, PeerMessage> live = peers.live();
     news.see(live.values(), peers.heardLately());
     dispatcher.setDaemonCount(live.size() + 1);
   }
@@ -452,7 +459,7 @@
   private void decideWhoLeads() {
     boolean led = leads;
     leads = peers.decide(standing());
-    Standing standing = standing();
+    LeaderEligibility standing = standing();
     nodes.active(leads || !nodes.place().isKnown() || peers.watchesForDataCentre(standing));
     if (leads && !led) {
       tellPeers(true);
@@ -529,16 +536,16 @@
     return ModelDemand.observed(engine, work, seconds);
   }
 
-  private Standing standing() {
+  private LeaderEligibility standing() {
     boolean settled = System.nanoTime() - startedNanos > SETTLE_NANOS;
     if (!settled || stopping || !nodes.place().isKnown() || configuration == null) {
-      return Standing.UNFIT;
+      return LeaderEligibility.INELIGIBLE;
     }
     if (sight.storeAnswers()) {
-      return Standing.FIT;
+      return LeaderEligibility.ELIGIBLE;
     }
     boolean alone = peers.daemons() > 1 && peers.live().isEmpty();
-    return alone ? Standing.UNFIT : Standing.WITHOUT_STORE;
+    return alone ? LeaderEligibility.INELIGIBLE : LeaderEligibility.WITHOUT_STORE;
   }
 
   private void tellPeers(boolean isNews) {
@@ -561,7 +568,7 @@
             dispatcher.rejecting(),
             leads ? formation.recentlyOpened() : List.of(),
             leads ? formation.recentlyClosed() : List.of());
-    CopyPlaces places = new CopyPlaces(configurations.newest(), versionInForce(), nodes.newest());
+    CopyPositions places = new CopyPositions(configurations.newest(), versionInForce(), nodes.newest());
     peers.tell(state, places, isNews);
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
@@ -19,12 +19,14 @@
 import org.fawnvale.serving.core.model.EngineSpec;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.Settings;
-import org.fawnvale.serving.core.peer.PeerNote;
-import org.fawnvale.serving.core.watch.StorePlace;
+
+
 import org.fawnvale.serving.http.NodeClient;
 import org.fawnvale.serving.peer.Peers;
 import org.fawnvale.serving.spi.Platform;
 import org.jspecify.annotations.Nullable;
+import org.fawnvale.serving.core.peer.PeerMessage;
+import org.fawnvale.serving.core.watch.StorePosition;
 
 /** Runs the group planner while this daemon leads. All calls hold the guard. */
 public final class FormationService {
@@ -88,7 +90,7 @@
    * @param suspected whether any daemon holds a head to be standing still
    * @return true when a plan may differ from the last one
    */
-  public boolean isPlanDue(StorePlace shown, boolean suspected) {
+  public boolean isPlanDue(StorePosition shown, boolean suspected) {
     GroupPlanner current = planner;
     boolean busy = suspected || current == null || current.isBusy();
     return pacing.isDue(shown, busy, System.nanoTime());
@@ -175,7 +177,7 @@
         outcome == GroupOrder.Outcome.FENCED && order.fence() == peers.leadership().fence();
     if (fencedByOther) {
       LOG.warn("fence={} node={} outcome=refused_as_too_low", order.fence(), order.node().id());
-      peers.leadership().refused(now);
+      peers.leadership().fenceRejected(now);
     }
   }
 
@@ -184,19 +186,19 @@
    *
    * @return the groups; empty when this daemon does not lead
    */
-  public List<PeerNote.ServingGroup> recentlyOpened() {
+  public List<PeerMessage.ServingGroup> recentlyOpened() {
     GroupPlanner current = planner;
-    List<PeerNote.ServingGroup> opened = new ArrayList<>();
+    List<PeerMessage.ServingGroup> opened = new ArrayList<>();
     if (current != null) {
       current.recent().opened().forEach((key, model) -> addOpened(opened, key, model));
     }
     return opened;
   }
 
-  private static void addOpened(List<PeerNote.ServingGroup> opened, GroupKey key, String model) {
+  private static void addOpened(List<PeerMessage.ServingGroup> opened, GroupKey key, String model) {
     String head = key.head();
     if (head != null) {
-      opened.add(new PeerNote.ServingGroup(head, key.name(), key.epoch(), model));
+      opened.add(new PeerMessage.ServingGroup(head, key.name(), key.epoch(), model));
     }
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
@@ -11,8 +11,9 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.core.quarantine.Quarantine;
-import org.fawnvale.serving.core.quarantine.RequestRecord;
+
 import org.fawnvale.serving.http.NodeClient;
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 
 /**
  * Keeps requests that end the nodes that run them from being sent on and on. What one attempt has
@@ -25,7 +26,7 @@
 
   /** A request that is barred will be refused for long; callers heed what they have time for. */
   static final int RETRY_AFTER_MILLIS =
-      (int) TimeUnit.NANOSECONDS.toMillis(Quarantine.TRIAL_AFTER_NANOS);
+      (int) TimeUnit.NANOSECONDS.toMillis(Quarantine.TRIAL_DELAY_NANOS);
 
   /**
    * A cut may reset all connections to a data centre, and refuse new ones. It is out of sight after
@@ -43,7 +44,7 @@
      * @param told what is known of it
      * @param own whether this daemon saw the last end; otherwise it heard of it
      */
-    void barred(RequestRecord told, boolean own);
+    void barred(QuarantineRecord told, boolean own);
   }
 
   private final Quarantine quarantine = new Quarantine();
@@ -69,18 +70,18 @@
     this.proofs = new NodeExitProbe(client);
     this.figures = figures;
     figures.quarantine(quarantine);
-    quarantine.mayTry(false);
+    quarantine.allowTrials(false);
   }
 
   /** Tells whether a request may not be sent; costs a digest only while any request is doubted. */
   boolean isBarred(Forwarder forwarder) {
-    return !quarantine.isEmpty() && quarantine.isBarred(forwarder.fingerprint(), System.nanoTime());
+    return !quarantine.isEmpty() && quarantine.isQuarantined(forwarder.fingerprint(), System.nanoTime());
   }
 
   /** Notes that a request is sent to a node now. */
   void sent(Forwarder forwarder) {
     if (!quarantine.isEmpty()) {
-      quarantine.sent(forwarder.fingerprint());
+      quarantine.recordSent(forwarder.fingerprint());
     }
   }
 
@@ -108,7 +109,7 @@
 
   /** Tells whether a barred request may be harmless, so that leave for a trial is worth asking. */
   boolean isWorthATrial(Forwarder forwarder) {
-    return quarantine.isWorthATrial(forwarder.fingerprint(), System.nanoTime());
+    return quarantine.mayRequestTrial(forwarder.fingerprint(), System.nanoTime());
   }
 
   /**
@@ -123,7 +124,7 @@
         granted -> {
           LOG.info("fingerprint={} granted={} outcome=trial", fingerprint, granted);
           if (granted) {
-            quarantine.mayTryOnce(fingerprint);
+            quarantine.acceptTrial(fingerprint);
           }
           told.accept(granted);
         });
@@ -136,13 +137,13 @@
    * @return whether it may
    */
   public boolean grantTrial(Fingerprint fingerprint) {
-    return quarantine.giveTrial(fingerprint, System.nanoTime());
+    return quarantine.grantTrial(fingerprint, System.nanoTime());
   }
 
   /** Tells whether one more end bars the request: then it goes on only once there was none. */
   boolean isLastTry(Forwarder forwarder) {
     return !quarantine.isEmpty()
-        && quarantine.count(forwarder.fingerprint()) >= Quarantine.MOST_ENDS - 1;
+        && quarantine.failureCount(forwarder.fingerprint()) >= Quarantine.MAX_FAILURES - 1;
   }
 
   /**
@@ -164,8 +165,8 @@
   }
 
   private void ended(Fingerprint fingerprint, Node node) {
-    int ends = quarantine.ended(fingerprint, node.incarnation(), System.nanoTime());
-    boolean barred = ends >= Quarantine.MOST_ENDS;
+    int ends = quarantine.recordFailure(fingerprint, node.incarnation(), System.nanoTime());
+    boolean barred = ends >= Quarantine.MAX_FAILURES;
     figures.ended(barred);
     LOG.info("fingerprint={} node={} ends={} outcome=ended", fingerprint, node.id(), ends);
     if (barred) {
@@ -176,7 +177,7 @@
   }
 
   private void tellBarred(Fingerprint fingerprint, boolean own) {
-    RequestRecord told = quarantine.recordOf(fingerprint);
+    QuarantineRecord told = quarantine.recordOf(fingerprint);
     if (told != null) {
       barredListener.barred(told, own);
     }
@@ -196,8 +197,8 @@
     if (quarantine.isEmpty()) {
       return;
     }
-    boolean wasBarred = quarantine.count(forwarder.fingerprint()) >= Quarantine.MOST_ENDS;
-    quarantine.answered(forwarder.fingerprint(), System.nanoTime());
+    boolean wasBarred = quarantine.failureCount(forwarder.fingerprint()) >= Quarantine.MAX_FAILURES;
+    quarantine.recordResponse(forwarder.fingerprint(), System.nanoTime());
     if (wasBarred) {
       LOG.warn("fingerprint={} outcome=cleared by=answer", forwarder.fingerprint());
       clearedListener.accept(forwarder.fingerprint());
@@ -218,8 +219,8 @@
    *
    * @param records its records
    */
-  public void receive(List<RequestRecord> records) {
-    for (Fingerprint fingerprint : quarantine.hear(records, System.nanoTime())) {
+  public void receive(List<QuarantineRecord> records) {
+    for (Fingerprint fingerprint : quarantine.mergeFromPeer(records, System.nanoTime())) {
       LOG.warn("fingerprint={} outcome=barred by=peers", fingerprint);
       tellBarred(fingerprint, false);
       giveUp.accept(fingerprint);
@@ -231,8 +232,8 @@
    *
    * @return their records
    */
-  public List<RequestRecord> barredRecords() {
-    return quarantine.barredRecords();
+  public List<QuarantineRecord> barredRecords() {
+    return quarantine.quarantinedRecords();
   }
 
   /** Believes ends in other data centres that have stayed in sight since. */
@@ -252,7 +253,7 @@
    * @return true when it has, since this was asked last
    */
   public boolean takeUrgentUpdate() {
-    return quarantine.takeNews();
+    return quarantine.takeUrgent();
   }
 
   /**
@@ -261,7 +262,7 @@
    * @param forOthers whether what others have told is told on, as a relay does
    * @return records of requests
    */
-  public List<RequestRecord> recordsToSend(boolean forOthers) {
-    return quarantine.toTell(forOthers, System.nanoTime());
+  public List<QuarantineRecord> recordsToSend(boolean forOthers) {
+    return quarantine.recordsToSend(forOthers, System.nanoTime());
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
@@ -8,10 +8,11 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.limit.KnownLimits;
-import org.fawnvale.serving.core.limit.LimitNote;
+
 import org.fawnvale.serving.core.model.AdvertisedLimit;
 import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.jspecify.annotations.Nullable;
+import org.fawnvale.serving.core.limit.LimitUpdate;
 
 /** Tells each change of a limit in the log, and counts them. */
 public final class LimitLog {
@@ -77,16 +78,16 @@
    * @param told the word
    * @param change what was new
    */
-  public void told(LimitNote told, KnownLimits.Change change) {
+  public void told(LimitUpdate told, KnownLimits.Change change) {
     if (change == KnownLimits.Change.NONE) {
       return;
     }
     count(change);
     LOG.info(
         "node={} limit={} stamp={} age_ms={} by=peer outcome={}",
-        told.life().id(),
-        told.isOver() ? null : told.perSecond(),
-        told.stamp(),
+        told.incarnation().id(),
+        told.isUnlimited() ? null : told.perSecond(),
+        told.version(),
         told.ageMillis(),
         name(change));
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
@@ -7,11 +7,13 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.limit.KnownLimits;
-import org.fawnvale.serving.core.limit.LimitNote;
+
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.peer.Owners;
+
 import org.fawnvale.serving.http.LimitLog;
+import org.fawnvale.serving.core.limit.LimitUpdate;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 
 /**
  * Asks the owners of limits for leave, and answers daemons that ask this one. All calls hold the
@@ -43,7 +45,7 @@
     this.limits = limits;
     this.registry = registry;
     this.log = new LimitLog(registry);
-    registry.gauge("fawnvale.limits.known", limits, known -> known.known().inForce());
+    registry.gauge("fawnvale.limits.known", limits, known -> known.knownLimits().activeCount());
   }
 
   /**
@@ -51,10 +53,10 @@
    *
    * @param notes its notes
    */
-  public void receive(List<LimitNote> notes) {
+  public void receive(List<LimitUpdate> notes) {
     long now = System.nanoTime();
-    for (LimitNote note : notes) {
-      KnownLimits.Change change = limits.learn(note, now);
+    for (LimitUpdate note : notes) {
+      KnownLimits.Change change = limits.merge(note, now);
       log.told(note, change);
     }
   }
@@ -66,12 +68,12 @@
    * @param told told once, while the guard is held, whether the request may go
    */
   public void requestPermit(Node node, Consumer<Boolean> told) {
-    LimitNote known = limits.noteOf(node.incarnation(), System.nanoTime());
+    LimitUpdate known = limits.updateFor(node.incarnation(), System.nanoTime());
     if (known == null) {
       told.accept(true);
       return;
     }
-    Owners.Daemon owner = limits.ownerOf(node);
+    RendezvousOwners.Daemon owner = limits.ownerOf(node);
     try {
       String target = new PermitRequest(known, node.dataCentre()).target();
       calls.ask(owner, target, body -> told.accept(take(node, owner, body)));
@@ -81,13 +83,13 @@
     }
   }
 
-  private boolean take(Node node, Owners.Daemon owner, byte[] body) {
+  private boolean take(Node node, RendezvousOwners.Daemon owner, byte[] body) {
     SharedLimits.Reply said = read(body);
     long now = System.nanoTime();
     String outcome = "granted";
     long waitNanos = 0;
     if (said instanceof SharedLimits.Granted) {
-      limits.granted(node.incarnation(), now);
+      limits.permitGranted(node.incarnation(), now);
     } else if (said instanceof SharedLimits.Denied denied) {
       outcome = "denied";
       waitNanos = denied.nanos();
@@ -96,7 +98,7 @@
       waitNanos = SILENT_OWNER_NANOS;
     }
     if (waitNanos > 0) {
-      limits.denied(node.incarnation(), waitNanos, now);
+      limits.permitDenied(node.incarnation(), waitNanos, now);
     }
     registry.counter("fawnvale.limits.asked", "outcome", outcome).increment();
     LOG.info(
@@ -140,7 +142,7 @@
       PermitRequest question = PermitRequest.read(target);
       receive(List.of(question.limit()));
       return PermitRequest.write(
-          limits.ask(question.limit().life(), question.dataCentre(), System.nanoTime()));
+          limits.requestPermit(question.limit().incarnation(), question.dataCentre(), System.nanoTime()));
     } catch (IOException | RuntimeException e) {
       LOG.warn("outcome=unreadable_question cause={}", e.toString());
       return new byte[0];
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/OwnerClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/OwnerClient.java
@@ -2,11 +2,12 @@
 
 import java.util.function.Consumer;
 import org.fawnvale.serving.core.model.Endpoint;
-import org.fawnvale.serving.core.peer.Owners;
+
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
 import org.fawnvale.serving.http.WholeCall;
 import org.fawnvale.serving.spi.Call;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 
 /** Asks the daemon that decides on a matter for all. */
 public final class OwnerClient {
@@ -40,7 +41,7 @@
    * @param target the path of the question
    * @param told told the body of its answer once, while the guard is held; empty without one
    */
-  void ask(Owners.Daemon owner, String target, Consumer<byte[]> told) {
+  void ask(RendezvousOwners.Daemon owner, String target, Consumer<byte[]> told) {
     Endpoint endpoint = new Endpoint(owner.address(), port);
     WholeCall.send(
         client, timers, endpoint, Call.get(target), ASK_MILLIS, reply -> told.accept(body(reply)));
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialPermitService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialPermitService.java
@@ -4,8 +4,9 @@
 import java.util.function.Predicate;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.fawnvale.serving.core.peer.Owners;
+
 import org.fawnvale.serving.core.quarantine.Fingerprint;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 
 /**
  * Asks the one daemon that gives leave for the trial of a barred request, and answers daemons that
@@ -26,7 +27,7 @@
   private static final int RADIX = 16;
 
   private final OwnerClient calls;
-  private final Owners owners;
+  private final RendezvousOwners owners;
   private final Predicate<Fingerprint> gives;
 
   /**
@@ -36,7 +37,7 @@
    * @param owners tells which daemon gives leave for which request
    * @param gives gives leave for a request that this daemon decides on
    */
-  public TrialPermitService(OwnerClient calls, Owners owners, Predicate<Fingerprint> gives) {
+  public TrialPermitService(OwnerClient calls, RendezvousOwners owners, Predicate<Fingerprint> gives) {
     this.calls = calls;
     this.owners = owners;
     this.gives = gives;
@@ -54,11 +55,11 @@
    */
   public void requestPermit(Fingerprint fingerprint, Consumer<Boolean> told) {
     String matter = matter(fingerprint);
-    if (owners.isOwn(matter, NO_DATA_CENTRE)) {
+    if (owners.isOwner(matter, NO_DATA_CENTRE)) {
       told.accept(gives.test(fingerprint));
       return;
     }
-    Owners.Daemon owner = owners.ownerOf(matter, NO_DATA_CENTRE);
+    RendezvousOwners.Daemon owner = owners.ownerOf(matter, NO_DATA_CENTRE);
     calls.ask(
         owner, PATH + matter, body -> told.accept(body.length == YES.length && body[0] == YES[0]));
   }
@@ -83,7 +84,7 @@
     String matter = target.substring(PATH.length());
     try {
       Fingerprint fingerprint = new Fingerprint(Long.parseUnsignedLong(matter, RADIX));
-      boolean given = owners.isOwn(matter, NO_DATA_CENTRE) && gives.test(fingerprint);
+      boolean given = owners.isOwner(matter, NO_DATA_CENTRE) && gives.test(fingerprint);
       LOG.info("fingerprint={} given={} outcome=answered", fingerprint, given);
       return given ? YES.clone() : NO.clone();
     } catch (NumberFormatException e) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/NoteCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/NoteCodec.java
@@ -5,12 +5,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.fawnvale.serving.core.limit.LimitNote;
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.peer.DataCentreDigest;
-import org.fawnvale.serving.core.peer.PeerNote;
-import org.fawnvale.serving.core.peer.Standing;
-import org.fawnvale.serving.core.quarantine.RequestRecord;
-import org.fawnvale.serving.core.watch.CopyPlaces;
+import org.fawnvale.serving.core.peer.LeaderEligibility;
+import org.fawnvale.serving.core.peer.PeerMessage;
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
+import org.fawnvale.serving.core.watch.CopyPositions;
 import org.fawnvale.serving.limit.LimitNoteCodec;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
@@ -34,15 +34,15 @@
    * @param limits what is known of limits that nodes name
    */
   record Datagram(
-      PeerNote note,
-      CopyPlaces places,
+      PeerMessage note,
+      CopyPositions places,
       List<String> addresses,
       List<DataCentreDigest> digests,
-      List<RequestRecord> records,
-      List<LimitNote> limits) {}
+      List<QuarantineRecord> records,
+      List<LimitUpdate> limits) {}
 
   static byte[] write(Datagram datagram) throws IOException {
-    PeerNote note = datagram.note();
+    PeerMessage note = datagram.note();
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       packer.packInt(FORMAT);
       packer.packString(note.name());
@@ -52,14 +52,14 @@
       packer.packLong(note.term());
       packer.packString(note.leader());
       packer.packLong(note.claim());
-      packer.packInt(note.standing().ordinal());
+      packer.packInt(note.eligibility().ordinal());
       packer.packBoolean(note.served());
       writeCounts(packer, note.inFlight());
       writeWork(packer, note.offeredWork());
       writeStrings(packer, note.suspects());
       writeStrings(packer, note.refusing());
       packer.packArrayHeader(note.groups().size());
-      for (PeerNote.ServingGroup group : note.groups()) {
+      for (PeerMessage.ServingGroup group : note.groups()) {
         packer.packString(group.head());
         packer.packString(group.group());
         packer.packLong(group.epoch());
@@ -135,17 +135,17 @@
       long term = in.unpackLong();
       String leader = in.unpackString();
       long claim = in.unpackLong();
-      Standing standing = Standing.values()[in.unpackInt()];
+      LeaderEligibility standing = LeaderEligibility.values()[in.unpackInt()];
       boolean served = in.unpackBoolean();
       Map<String, Integer> inFlight = readCounts(in);
       Map<String, Double> offeredWork = readWork(in);
       List<String> suspects = readStrings(in);
       List<String> refusing = readStrings(in);
-      List<PeerNote.ServingGroup> groups = readGroups(in);
+      List<PeerMessage.ServingGroup> groups = readGroups(in);
       List<String> closed = readStrings(in);
-      CopyPlaces places = PlaceCodec.read(in);
-      PeerNote note =
-          new PeerNote(
+      CopyPositions places = PlaceCodec.read(in);
+      PeerMessage note =
+          new PeerMessage(
               name,
               address,
               dataCentre,
@@ -167,19 +167,19 @@
       for (int index = 0; index < told; index++) {
         digests.add(DigestCodec.read(in));
       }
-      List<RequestRecord> records = RecordCodec.read(in);
+      List<QuarantineRecord> records = RecordCodec.read(in);
       return new Datagram(note, places, addresses, digests, records, LimitNoteCodec.read(in));
     }
   }
 
-  private static List<PeerNote.ServingGroup> readGroups(MessageUnpacker in) throws IOException {
+  private static List<PeerMessage.ServingGroup> readGroups(MessageUnpacker in) throws IOException {
     int count = in.unpackArrayHeader();
-    List<PeerNote.ServingGroup> groups = new ArrayList<>();
+    List<PeerMessage.ServingGroup> groups = new ArrayList<>();
     for (int index = 0; index < count; index++) {
       String head = in.unpackString();
       String group = in.unpackString();
       long epoch = in.unpackLong();
-      groups.add(new PeerNote.ServingGroup(head, group, epoch, in.unpackString()));
+      groups.add(new PeerMessage.ServingGroup(head, group, epoch, in.unpackString()));
     }
     return groups;
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -11,17 +11,25 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.formation.StallEvidence;
-import org.fawnvale.serving.core.limit.LimitNote;
+
 import org.fawnvale.serving.core.model.Settings;
 import org.fawnvale.serving.core.peer.DaemonState;
 import org.fawnvale.serving.core.peer.DataCentreDigest;
-import org.fawnvale.serving.core.peer.Digests;
-import org.fawnvale.serving.core.peer.Leadership;
-import org.fawnvale.serving.core.peer.NoteRouting;
-import org.fawnvale.serving.core.peer.PeerNote;
-import org.fawnvale.serving.core.peer.Standing;
-import org.fawnvale.serving.core.quarantine.RequestRecord;
-import org.fawnvale.serving.core.watch.CopyPlaces;
+
+
+
+
+
+
+
+import org.fawnvale.serving.core.limit.LimitUpdate;
+import org.fawnvale.serving.core.peer.DataCentreDigests;
+import org.fawnvale.serving.core.peer.LeaderElection;
+import org.fawnvale.serving.core.peer.LeaderEligibility;
+import org.fawnvale.serving.core.peer.MessageRouting;
+import org.fawnvale.serving.core.peer.PeerMessage;
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
+import org.fawnvale.serving.core.watch.CopyPositions;
 
 /** What the other daemons told last, and who leads. All calls hold the guard. */
 public final class Peers {
@@ -30,9 +38,9 @@
 
   private final Settings settings;
   private final long incarnation;
-  private final Leadership leadership;
-  private final Digests digests;
-  private final NoteRouting routing;
+  private final LeaderElection leadership;
+  private final DataCentreDigests digests;
+  private final MessageRouting routing;
   private final PlacesListener placesHeard;
   private final SharedNews shared;
   private final Set<String> everHeard = new HashSet<>();
@@ -46,9 +54,9 @@
       Settings settings, long incarnation, PlacesListener placesHeard, SharedNews shared) {
     this.settings = settings;
     this.incarnation = incarnation;
-    this.leadership = new Leadership(settings.name(), settings.dataCentre());
-    this.digests = new Digests(settings.dataCentre());
-    this.routing = new NoteRouting(settings.name(), settings.dataCentre());
+    this.leadership = new LeaderElection(settings.name(), settings.dataCentre());
+    this.digests = new DataCentreDigests(settings.dataCentre());
+    this.routing = new MessageRouting(settings.name(), settings.dataCentre());
     this.placesHeard = placesHeard;
     this.shared = shared;
   }
@@ -62,7 +70,7 @@
      * @param forOthers whether what others have told is told on, as the relay of a large fleet does
      * @return the records that go out with the next note
      */
-    List<RequestRecord> records(boolean forOthers);
+    List<QuarantineRecord> records(boolean forOthers);
 
     /**
      * Limits that nodes name.
@@ -70,7 +78,7 @@
      * @param forOthers whether what others have told is told on
      * @return the notes on limits that go out with the next note
      */
-    List<LimitNote> limits(boolean forOthers);
+    List<LimitUpdate> limits(boolean forOthers);
 
     /**
      * Takes in what a peer tells.
@@ -78,7 +86,7 @@
      * @param records what it knows of requests under which nodes ended
      * @param limits what it knows of limits
      */
-    void hear(List<RequestRecord> records, List<LimitNote> limits);
+    void hear(List<QuarantineRecord> records, List<LimitUpdate> limits);
   }
 
   /** Told what a peer's copies of the store's objects show. */
@@ -92,7 +100,7 @@
      * @param isNear whether it is of the same data centre
      * @param places what they show
      */
-    void heard(String address, boolean isNear, CopyPlaces places);
+    void heard(String address, boolean isNear, CopyPositions places);
   }
 
   /**
@@ -122,9 +130,9 @@
     long now = System.nanoTime();
     everHeard.add(datagram.note().name());
     servedElsewhere |= datagram.note().served();
-    leadership.hear(datagram.note(), now);
+    leadership.receive(datagram.note(), now);
     for (DataCentreDigest digest : datagram.digests()) {
-      if (digests.hear(digest, now)) {
+      if (digests.receive(digest, now)) {
         servedElsewhere |= digest.served();
         digest.members().forEach(member -> hearOf(member, digest.dataCentre(), now));
       }
@@ -138,7 +146,7 @@
 
   private void hearOf(DataCentreDigest.Member member, String dataCentre, long now) {
     everHeard.add(member.name());
-    leadership.hearOf(member, dataCentre, now);
+    leadership.receiveMember(member, dataCentre, now);
     link.learn(member.address());
   }
 
@@ -148,7 +156,7 @@
    * @param standing how fit this daemon is to lead
    * @return true when this daemon leads
    */
-  public boolean decide(Standing standing) {
+  public boolean decide(LeaderEligibility standing) {
     long now = System.nanoTime();
     boolean leads = leadership.decide(standing, now);
     if (!leadership.leader().equals(leaderBefore)) {
@@ -173,8 +181,8 @@
    * @param standing how fit it is
    * @return true when no fitter or earlier one lives there
    */
-  public boolean watchesForDataCentre(Standing standing) {
-    return leadership.placeInDataCentre(standing, System.nanoTime()) == 0;
+  public boolean watchesForDataCentre(LeaderEligibility standing) {
+    return leadership.rankInDataCentre(standing, System.nanoTime()) == 0;
   }
 
   /**
@@ -184,9 +192,9 @@
    * @param places what its copies of the store's objects show
    * @param news whether it holds what all daemons should know at once
    */
-  public void tell(DaemonState state, CopyPlaces places, boolean news) {
-    PeerNote note =
-        new PeerNote(
+  public void tell(DaemonState state, CopyPositions places, boolean news) {
+    PeerMessage note =
+        new PeerMessage(
             settings.name(),
             settings.address(),
             settings.dataCentre(),
@@ -194,7 +202,7 @@
             leadership.term(),
             leadership.leader(),
             leadership.highestClaim(),
-            state.standing(),
+            state.eligibility(),
             state.served() || servedElsewhere,
             state.inFlight(),
             state.offeredWork(),
@@ -205,14 +213,14 @@
     send(note, places, news);
   }
 
-  private void send(PeerNote note, CopyPlaces places, boolean news) {
+  private void send(PeerMessage note, CopyPositions places, boolean news) {
     turn++;
-    Map<String, PeerNote> live = live();
-    List<NoteRouting.Peer> others = new ArrayList<>();
+    Map<String, PeerMessage> live = live();
+    List<MessageRouting.Peer> others = new ArrayList<>();
     Set<String> near = new HashSet<>();
     Set<String> known = new HashSet<>();
-    for (PeerNote other : live.values()) {
-      others.add(new NoteRouting.Peer(other.name(), other.address(), other.dataCentre()));
+    for (PeerMessage other : live.values()) {
+      others.add(new MessageRouting.Peer(other.name(), other.address(), other.dataCentre()));
       known.add(other.address());
       if (other.dataCentre().equals(settings.dataCentre())) {
         near.add(other.address());
@@ -220,10 +228,10 @@
     }
     boolean leads = leadership.leader().equals(settings.name());
     Set<String> targets =
-        routing.targets(others, new NoteRouting.Occasion(turn, leads, leadership.leader(), news));
-    boolean relays = NoteRouting.hasRelays(others.size() + 1) && routing.isRelay(others);
-    List<RequestRecord> records = shared.records(relays);
-    List<LimitNote> limits = shared.limits(relays);
+        routing.targets(others, new MessageRouting.SendContext(turn, leads, leadership.leader(), news));
+    boolean relays = MessageRouting.hasRelays(others.size() + 1) && routing.isRelay(others);
+    List<QuarantineRecord> records = shared.records(relays);
+    List<LimitUpdate> limits = shared.limits(relays);
     List<String> addresses = link.addresses();
     link.send(
         new NoteCodec.Datagram(
@@ -255,13 +263,13 @@
   }
 
   /** What a relay tells the other relays. */
-  private DataCentreDigest ownDigest(PeerNote own, Collection<PeerNote> live) {
-    List<PeerNote> near = new ArrayList<>();
+  private DataCentreDigest ownDigest(PeerMessage own, Collection<PeerMessage> live) {
+    List<PeerMessage> near = new ArrayList<>();
     near.add(own);
     live.stream()
         .filter(note -> note.dataCentre().equals(settings.dataCentre()))
         .forEach(near::add);
-    return digests.make(near, settings.name(), System.nanoTime());
+    return digests.summarize(near, settings.name(), System.nanoTime());
   }
 
   /**
@@ -280,7 +288,7 @@
   public OfUpstreams ofUpstreams() {
     Map<String, Integer> sum = new HashMap<>();
     Set<String> refusing = new HashSet<>();
-    for (PeerNote note : withoutDigest()) {
+    for (PeerMessage note : withoutDigest()) {
       note.inFlight().forEach((node, count) -> sum.merge(node, count, Integer::sum));
       refusing.addAll(note.refusing());
     }
@@ -298,7 +306,7 @@
    */
   public Map<String, Double> offeredWork() {
     Map<String, Double> sum = new HashMap<>();
-    for (PeerNote note : withoutDigest()) {
+    for (PeerMessage note : withoutDigest()) {
       note.offeredWork().forEach((model, groups) -> sum.merge(model, groups, Double::sum));
     }
     for (DataCentreDigest digest : freshDigests()) {
@@ -314,7 +322,7 @@
    */
   public List<StallEvidence.Observation> witnesses() {
     List<StallEvidence.Observation> witnesses = new ArrayList<>();
-    for (PeerNote note : withoutDigest()) {
+    for (PeerMessage note : withoutDigest()) {
       witnesses.add(
           new StallEvidence.Observation(
               note.dataCentre(), note.suspects(), note.inFlight().keySet()));
@@ -333,7 +341,7 @@
    * @return false when the last notes and digests name no suspect
    */
   public boolean tellOfSuspects() {
-    return leadership.hearsOfSuspects() || digests.tellOfSuspects();
+    return leadership.anySuspects() || digests.anySuspects();
   }
 
   private Collection<DataCentreDigest> freshDigests() {
@@ -341,10 +349,10 @@
   }
 
   /** The notes of live daemons that no digest sums up. */
-  private List<PeerNote> withoutDigest() {
+  private List<PeerMessage> withoutDigest() {
     Set<String> summed = digests.fresh(System.nanoTime()).keySet();
-    List<PeerNote> notes = new ArrayList<>();
-    for (PeerNote note : live().values()) {
+    List<PeerMessage> notes = new ArrayList<>();
+    for (PeerMessage note : live().values()) {
       if (!summed.contains(note.dataCentre())) {
         notes.add(note);
       }
@@ -362,7 +370,7 @@
         .anyMatch(
             note ->
                 note.dataCentre().equals(settings.dataCentre())
-                    && note.standing() == Standing.WITHOUT_STORE);
+                    && note.eligibility() == LeaderEligibility.WITHOUT_STORE);
   }
 
   /**
@@ -371,7 +379,7 @@
    * @return true when one of them says so
    */
   public boolean storeAnswersAny() {
-    return live().values().stream().anyMatch(note -> note.standing() == Standing.FIT);
+    return live().values().stream().anyMatch(note -> note.eligibility() == LeaderEligibility.ELIGIBLE);
   }
 
   /**
@@ -379,7 +387,7 @@
    *
    * @return notes by daemon
    */
-  public Map<String, PeerNote> live() {
+  public Map<String, PeerMessage> live() {
     return leadership.live(System.nanoTime());
   }
 
@@ -389,7 +397,7 @@
    * @return their number
    */
   public int heardLately() {
-    return leadership.heardLately(System.nanoTime());
+    return leadership.recentlySeenCount(System.nanoTime());
   }
 
   /**
@@ -415,7 +423,7 @@
    *
    * @return the view of leadership
    */
-  public Leadership leadership() {
+  public LeaderElection leadership() {
     return leadership;
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PlaceCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PlaceCodec.java
@@ -1,9 +1,9 @@
 package org.fawnvale.serving.peer;
 
 import java.io.IOException;
-import org.fawnvale.serving.core.watch.CopyPlaces;
+import org.fawnvale.serving.core.watch.CopyPositions;
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
 
@@ -12,25 +12,25 @@
 
   private PlaceCodec() {}
 
-  static void write(MessageBufferPacker packer, CopyPlaces places) throws IOException {
+  static void write(MessageBufferPacker packer, CopyPositions places) throws IOException {
     write(packer, places.configuration());
     packer.packLong(places.version());
     write(packer, places.nodes());
   }
 
-  private static void write(MessageBufferPacker packer, StorePlace place) throws IOException {
+  private static void write(MessageBufferPacker packer, StorePosition place) throws IOException {
     packer.packLong(place.era().number());
     packer.packLong(place.revision());
   }
 
-  static CopyPlaces read(MessageUnpacker in) throws IOException {
-    StorePlace configuration = readPlace(in);
+  static CopyPositions read(MessageUnpacker in) throws IOException {
+    StorePosition configuration = readPlace(in);
     long version = in.unpackLong();
-    return new CopyPlaces(configuration, version, readPlace(in));
+    return new CopyPositions(configuration, version, readPlace(in));
   }
 
-  private static StorePlace readPlace(MessageUnpacker in) throws IOException {
+  private static StorePosition readPlace(MessageUnpacker in) throws IOException {
     StoreEra era = new StoreEra(in.unpackLong());
-    return new StorePlace(era, in.unpackLong());
+    return new StorePosition(era, in.unpackLong());
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/RecordCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/RecordCodec.java
@@ -7,20 +7,21 @@
 import java.util.Set;
 import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
-import org.fawnvale.serving.core.quarantine.RequestRecord;
+
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 
 /** Records of requests under which nodes ended, within the datagrams of notes. */
 final class RecordCodec {
 
   private RecordCodec() {}
 
-  static void write(MessageBufferPacker packer, List<RequestRecord> records) throws IOException {
+  static void write(MessageBufferPacker packer, List<QuarantineRecord> records) throws IOException {
     packer.packArrayHeader(records.size());
-    for (RequestRecord told : records) {
+    for (QuarantineRecord told : records) {
       packer.packLong(told.fingerprint().value());
-      writeLives(packer, told.ended());
+      writeLives(packer, told.failures());
       writeLives(packer, told.excused());
     }
   }
@@ -34,13 +35,13 @@
     }
   }
 
-  static List<RequestRecord> read(MessageUnpacker in) throws IOException {
+  static List<QuarantineRecord> read(MessageUnpacker in) throws IOException {
     int count = in.unpackArrayHeader();
-    List<RequestRecord> records = new ArrayList<>();
+    List<QuarantineRecord> records = new ArrayList<>();
     for (int index = 0; index < count; index++) {
       Fingerprint fingerprint = new Fingerprint(in.unpackLong());
       Set<NodeIncarnation> ended = readLives(in);
-      records.add(new RequestRecord(fingerprint, ended, readLives(in)));
+      records.add(new QuarantineRecord(fingerprint, ended, readLives(in)));
     }
     return records;
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
@@ -9,10 +9,12 @@
 import org.fawnvale.serving.core.model.Node;
 
 import org.fawnvale.serving.core.model.RequestSize;
-import org.fawnvale.serving.core.quarantine.KeptRecord;
+
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+
 import org.fawnvale.serving.core.model.NodeResponse;
+import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
+import org.fawnvale.serving.core.watch.StorePosition;
 
 /** Names, formats and calls of a platform. An adapter decides nothing. */
 public interface Platform {
@@ -68,7 +70,7 @@
    * @param waitMillis how long the store may wait for one
    * @return the call
    */
-  Call watch(Kind kind, StorePlace place, int waitMillis);
+  Call watch(Kind kind, StorePosition place, int waitMillis);
 
   /**
    * Reads from an answer of the store which of its histories it was given in.
@@ -106,7 +108,7 @@
    * @return the page
    * @throws IOException when the body can't be read
    */
-  Page<KeptRecord> keptRecords(StoreEra era, byte[] body) throws IOException;
+  Page<StoredQuarantineRecord> keptRecords(StoreEra era, byte[] body) throws IOException;
 
   /**
    * The call that keeps a request that ends nodes, unless it is kept already.
@@ -114,7 +116,7 @@
    * @param kept the record
    * @return the call
    */
-  Call create(KeptRecord kept);
+  Call create(StoredQuarantineRecord kept);
 
   /**
    * The call that removes one of the system's own objects.
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/ObjectTable.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/ObjectTable.java
@@ -8,8 +8,9 @@
 import java.util.function.Consumer;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.fawnvale.serving.core.watch.StorePlace;
+
 import org.fawnvale.serving.spi.Page;
+import org.fawnvale.serving.core.watch.StorePosition;
 
 /**
  * The objects of one kind as far as this daemon knows them, with what it takes to tell another
@@ -36,15 +37,15 @@
   private final Unreadable unreadable;
   private final MergePolicy<T> succession;
   private final Map<String, T> objects = new LinkedHashMap<>();
-  private final Map<String, StorePlace> places = new LinkedHashMap<>();
-  private final Map<String, StorePlace> removals = new LinkedHashMap<>();
+  private final Map<String, StorePosition> places = new LinkedHashMap<>();
+  private final Map<String, StorePosition> removals = new LinkedHashMap<>();
   private Consumer<EraChange<T>> eraListener = change -> {};
 
   /** Removals after this place are known; no list has come before it does. */
-  private StorePlace removalsKnownSince = StorePlace.NONE;
+  private StorePosition removalsKnownSince = StorePosition.NONE;
 
-  private StorePlace place = StorePlace.NONE;
-  private StorePlace newest = StorePlace.NONE;
+  private StorePosition place = StorePosition.NONE;
+  private StorePosition newest = StorePosition.NONE;
   private long changes;
 
   ObjectTable(String kind, Unreadable unreadable, MergePolicy<T> succession) {
@@ -63,12 +64,12 @@
   }
 
   /** The place of the last change of each object, by name. */
-  Map<String, StorePlace> places() {
+  Map<String, StorePosition> places() {
     return places;
   }
 
   /** The place in the store's history that the table shows. */
-  StorePlace place() {
+  StorePosition place() {
     return place;
   }
 
@@ -78,7 +79,7 @@
   }
 
   /** The place of the newest change in the table. */
-  StorePlace newest() {
+  StorePosition newest() {
     return newest;
   }
 
@@ -89,9 +90,9 @@
    * @param listed the store's place when the list began
    * @return false when the table already shows a later place of the same history
    */
-  boolean replace(Map<String, Page.Item<T>> items, StorePlace listed) {
+  boolean replace(Map<String, Page.Item<T>> items, StorePosition listed) {
     changes++;
-    if (place.sharesEraOf(listed) && place.isAfter(listed)) {
+    if (place.isSameEra(listed) && place.isAfter(listed)) {
       return false;
     }
     inEraOf(
@@ -105,8 +106,8 @@
   }
 
   /** Makes a change that may begin another history for this table. */
-  private void inEraOf(StorePlace told, Runnable change) {
-    boolean begins = place.isKnown() && !place.sharesEraOf(told);
+  private void inEraOf(StorePosition told, Runnable change) {
+    boolean begins = place.isKnown() && !place.isSameEra(told);
     if (!begins) {
       change.run();
       return;
@@ -114,8 +115,8 @@
     EraChange<T> era =
         new EraChange<>(place, told, Map.copyOf(objects), Set.copyOf(removals.keySet()));
     removals.clear();
-    removalsKnownSince = StorePlace.NONE;
-    newest = StorePlace.NONE;
+    removalsKnownSince = StorePosition.NONE;
+    newest = StorePosition.NONE;
     change.run();
     eraListener.accept(era);
   }
@@ -146,7 +147,7 @@
   boolean merge(CopyUpdate<T> copy) {
     changes++;
     boolean isOlder = place.isAfter(copy.place());
-    boolean changesOtherEra = !copy.whole() && !place.sharesEraOf(copy.place());
+    boolean changesOtherEra = !copy.whole() && !place.isSameEra(copy.place());
     if (isOlder || changesOtherEra || !copy.newest().isAfter(newest)) {
       return takePreferred(copy);
     }
@@ -184,15 +185,15 @@
    * @param since the place that the other one's copy shows
    * @return what has changed since, or all when that is not known
    */
-  CopyUpdate<T> copySince(StorePlace since) {
+  CopyUpdate<T> copySince(StorePosition since) {
     boolean removalsKnown =
-        since.sharesEraOf(removalsKnownSince) && !removalsKnownSince.isAfter(since);
+        since.isSameEra(removalsKnownSince) && !removalsKnownSince.isAfter(since);
     if (!removalsKnown) {
       return new CopyUpdate<>(
           place, newest, true, new LinkedHashMap<>(objects), Map.copyOf(places), List.of());
     }
     Map<String, T> changed = new LinkedHashMap<>();
-    Map<String, StorePlace> changedAt = new LinkedHashMap<>();
+    Map<String, StorePosition> changedAt = new LinkedHashMap<>();
     places.forEach(
         (name, at) -> {
           if (at.isAfter(since)) {
@@ -210,7 +211,7 @@
     return new CopyUpdate<>(place, newest, false, changed, changedAt, removed);
   }
 
-  private void retain(Set<String> names, StorePlace at) {
+  private void retain(Set<String> names, StorePosition at) {
     for (Map.Entry<String, T> known : List.copyOf(objects.entrySet())) {
       if (!names.contains(known.getKey()) && !succession.keeps(known.getValue(), null)) {
         remove(known.getKey(), at);
@@ -221,7 +222,7 @@
     }
   }
 
-  private void remove(String name, StorePlace at) {
+  private void remove(String name, StorePosition at) {
     newest = newest.orLater(at);
     objects.remove(name);
     places.remove(name);
@@ -251,9 +252,9 @@
     }
   }
 
-  private void put(String name, StorePlace at, T value) {
-    StorePlace known = places.getOrDefault(name, StorePlace.NONE);
-    if (known.sharesEraOf(at) && known.isAfter(at)) {
+  private void put(String name, StorePosition at, T value) {
+    StorePosition known = places.getOrDefault(name, StorePosition.NONE);
+    if (known.isSameEra(at) && known.isAfter(at)) {
       return;
     }
     T before = objects.get(name);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
@@ -9,14 +9,16 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.model.Endpoint;
-import org.fawnvale.serving.core.watch.CopyTimes;
+
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
 import org.fawnvale.serving.http.WholeCall;
 import org.fawnvale.serving.spi.Call;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
+import org.fawnvale.serving.core.watch.CopyDelays;
+import org.fawnvale.serving.core.watch.StorePosition;
 
 /**
  * Takes what is newer in a peer's copy of the store's objects, and gives peers what is newer in
@@ -57,7 +59,7 @@
   private static final class Codec {
     static final ObjectMapper MAPPER =
         new ObjectMapper(new MessagePackFactory())
-            .addMixIn(StorePlace.class, AsArray.class)
+            .addMixIn(StorePosition.class, AsArray.class)
             .addMixIn(StoreEra.class, AsArray.class);
   }
 
@@ -83,7 +85,7 @@
       String path,
       int port,
       Class<T> content,
-      CopyTimes times) {
+      CopyDelays times) {
     this.pacing = new CopyPacing(times);
     this.client = client;
     this.timers = timers;
@@ -107,7 +109,7 @@
    * @param goesBefore whether it holds what goes before this daemon's, though the store does not
    *     show it any more
    */
-  public record Told(String address, boolean isNear, StorePlace newest, boolean goesBefore) {}
+  public record Told(String address, boolean isNear, StorePosition newest, boolean goesBefore) {}
 
   /**
    * Hears of a peer's copy. Where it shows a later history of the store, a daemon that watches asks
@@ -138,7 +140,7 @@
   private void fetch(Told told) {
     if (isWanted(told) && pacing.take(System.nanoTime())) {
       Endpoint peer = new Endpoint(told.address(), port);
-      StorePlace since = told.goesBefore() ? StorePlace.NONE : watch.place();
+      StorePosition since = told.goesBefore() ? StorePosition.NONE : watch.place();
       Call question = Call.get(path + SINCE + StorePositionText.write(since));
       WholeCall.send(client, timers, peer, question, FETCH_MILLIS, this::take);
     }
@@ -182,7 +184,7 @@
       return given.copy();
     }
     try {
-      StorePlace since = StorePositionText.read(target.substring(path.length() + SINCE.length()));
+      StorePosition since = StorePositionText.read(target.substring(path.length() + SINCE.length()));
       byte[] copy = Codec.MAPPER.writeValueAsBytes(watch.copySince(since));
       given = new Given(target, watch.changes(), copy);
       return copy;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
@@ -9,9 +9,9 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.model.Endpoint;
-import org.fawnvale.serving.core.watch.EraRule;
+
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
 import org.fawnvale.serving.http.WholeCall;
@@ -19,12 +19,14 @@
 import org.fawnvale.serving.spi.Page;
 import org.fawnvale.serving.spi.Platform;
 import org.jspecify.annotations.Nullable;
+import org.fawnvale.serving.core.watch.EraFilter;
+import org.fawnvale.serving.core.watch.StorePosition;
 
 /**
  * Keeps a copy of the objects of one kind: lists them, then waits for changes, and lists again when
  * the store has forgotten its history or has begun another one.
  *
- * <p>Each answer tells in which history it was given; {@link EraRule} says what it is good for.
+ * <p>Each answer tells in which history it was given; {@link EraFilter} says what it is good for.
  *
  * @param <T> the type of the objects
  */
@@ -63,9 +65,9 @@
   private final StoreCallMetrics figures;
   private final Runnable changed;
   private final ObjectTable<T> table;
-  private final EraRule eraRule = new EraRule();
+  private final EraFilter eraRule = new EraFilter();
   private Map<String, Page.Item<T>> listing = new LinkedHashMap<>();
-  private StorePlace listingPlace = StorePlace.NONE;
+  private StorePosition listingPlace = StorePosition.NONE;
   private boolean active = true;
   private boolean reachable = true;
   private long failedAtNanos = Long.MIN_VALUE / 2;
@@ -74,7 +76,7 @@
   private int round;
   private long toldOfAtNanos = Long.MIN_VALUE / 2;
   private boolean forgottenBefore;
-  private StoreEra heardOf = StoreEra.UNTOLD;
+  private StoreEra heardOf = StoreEra.UNKNOWN;
 
   /**
    * How often calls are made. Each call costs; a longer wait leaves it unnoticed for longer that
@@ -199,9 +201,9 @@
    * The place of the newest change in the copy; unlike the store's own it does not move with other
    * kinds.
    *
-   * @return the place; {@link StorePlace#NONE} before the first list
+   * @return the place; {@link StorePosition#NONE} before the first list
    */
-  public StorePlace newest() {
+  public StorePosition newest() {
     return table.newest();
   }
 
@@ -219,16 +221,16 @@
    *
    * @return the places by name
    */
-  public Map<String, StorePlace> places() {
+  public Map<String, StorePosition> places() {
     return table.places();
   }
 
   /**
    * The store's place that the copy shows.
    *
-   * @return the place; {@link StorePlace#NONE} before the first list
+   * @return the place; {@link StorePosition#NONE} before the first list
    */
-  public StorePlace place() {
+  public StorePosition place() {
     return table.place();
   }
 
@@ -303,19 +305,19 @@
   }
 
   /** What has changed in this daemon's copy since a place. */
-  CopyUpdate<T> copySince(StorePlace since) {
+  CopyUpdate<T> copySince(StorePosition since) {
     return table.copySince(since);
   }
 
   private void list(String afterName, int ofRound) {
     if (afterName.isEmpty()) {
       listing = new LinkedHashMap<>();
-      listingPlace = StorePlace.NONE;
+      listingPlace = StorePosition.NONE;
     }
     boolean mayBeOld = firstMayBeOld && !place().isKnown();
     call(
         platform.list(kind, afterName, mayBeOld),
-        StorePlace.NONE,
+        StorePosition.NONE,
         StoreCallMetrics.Reason.LIST,
         LIST_MILLIS,
         ofRound,
@@ -324,7 +326,7 @@
 
   private void call(
       Call call,
-      StorePlace asked,
+      StorePosition asked,
       StoreCallMetrics.Reason reason,
       int timeoutMillis,
       int ofRound,
@@ -344,7 +346,7 @@
 
   private void replied(
       WholeCall.Reply reply,
-      StorePlace asked,
+      StorePosition asked,
       StoreCallMetrics.Reason reason,
       Consumer<Page<T>> good) {
     if (!(reply instanceof WholeCall.Answered answer) || answer.status() != OK) {
@@ -352,14 +354,14 @@
       return;
     }
     StoreEra era = platform.era(answer.head());
-    switch (eraRule.judge(era, place(), asked, System.nanoTime())) {
-      case DROP -> earlier(era, reason);
-      case LIST_ANEW -> {
+    switch (eraRule.evaluate(era, place(), asked, System.nanoTime())) {
+      case DISCARD -> earlier(era, reason);
+      case RELIST -> {
         answered();
         count(reason, StoreCallMetrics.Outcome.OTHER_ERA);
         list("", ++round);
       }
-      case TAKE -> {
+      case APPLY -> {
         answered();
         take(era, answer.body(), reason, good);
       }
@@ -372,7 +374,7 @@
     if (page == null) {
       return;
     }
-    StorePlace before = newest();
+    StorePosition before = newest();
     good.accept(page);
     boolean isList = reason == StoreCallMetrics.Reason.LIST;
     boolean news = isList || newest().isAfter(before);
@@ -400,7 +402,7 @@
           kind,
           era,
           place(),
-          EraRule.EARLIER_NANOS / NANOS_PER_MILLI);
+          EraFilter.STALE_RESPONSE_NANOS / NANOS_PER_MILLI);
     }
     later(nextPauseMillis(), () -> list("", round));
   }
@@ -487,7 +489,7 @@
     if (listing.isEmpty()) {
       // What changes while the pages are read comes with the watch that follows.
       listingPlace = page.place();
-    } else if (!listingPlace.sharesEraOf(page.place())) {
+    } else if (!listingPlace.isSameEra(page.place())) {
       list("", ofRound);
       return;
     }
@@ -509,7 +511,7 @@
   }
 
   private void watch(int ofRound, StoreCallMetrics.Reason reason, int waitMillis) {
-    StorePlace since = place();
+    StorePosition since = place();
     call(
         platform.watch(kind, since, waitMillis),
         since,
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/UpstreamSelectorTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/UpstreamSelectorTest.java
@@ -14,9 +14,10 @@
 
 import org.fawnvale.serving.core.model.RequestSize;
 import org.fawnvale.serving.core.model.ServiceSpec;
-import org.fawnvale.serving.core.peer.PeerNote;
+
 import org.junit.jupiter.api.Test;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.peer.PeerMessage;
 
 /** Which heads are sent requests, by the list and by the leader's word. */
 class UpstreamSelectorTest {
@@ -106,7 +107,7 @@
     Node free = HEAD.withGroup(null, List.of(), null);
     GroupAnnouncements opened =
         new GroupAnnouncements(
-            List.of(new PeerNote.ServingGroup("head", "g~head", 5, "m")), List.of());
+            List.of(new PeerMessage.ServingGroup("head", "g~head", 5, "m")), List.of());
     assertThat(serving(opened, free)).containsExactly("head");
   }
 }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/NodeCrashingRequestsTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/NodeCrashingRequestsTest.java
@@ -15,11 +15,12 @@
 
 import org.fawnvale.serving.core.model.Workspace;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
-import org.fawnvale.serving.core.quarantine.RequestRecord;
+
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 
 /**
  * What users saw: care sheets were refused for seconds together, three times in a day. One request
@@ -116,7 +117,7 @@
       gateway
           .quarantine()
           .receive(
-              List.of(new RequestRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
+              List.of(new QuarantineRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
     }
     assertThat(status.get()).isEqualTo(502);
     assertThat(silent.awaitGivenUp()).isTrue();
@@ -129,7 +130,7 @@
       gateway
           .quarantine()
           .receive(
-              List.of(new RequestRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
+              List.of(new QuarantineRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
     }
     assertThat(ask("/safe/sheet", "r1", "rose")).isEqualTo(503);
     assertThat(ended()).isZero();
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
@@ -10,15 +10,17 @@
 
 import org.fawnvale.serving.core.model.RequestSize;
 
-import org.fawnvale.serving.core.quarantine.KeptRecord;
+
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+
 import org.fawnvale.serving.spi.Call;
 import org.fawnvale.serving.spi.HeaderNames;
 import org.fawnvale.serving.spi.Page;
 import org.fawnvale.serving.spi.Platform;
 import org.fawnvale.serving.core.model.AdvertisedLimit;
 import org.fawnvale.serving.core.model.NodeResponse;
+import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
+import org.fawnvale.serving.core.watch.StorePosition;
 
 /** A platform with names of its own: the gateway knows none but those it is given. */
 final class TestPlatform implements Platform {
@@ -55,7 +57,7 @@
   }
 
   @Override
-  public Call watch(Kind kind, StorePlace place, int waitMillis) {
+  public Call watch(Kind kind, StorePosition place, int waitMillis) {
     throw new UnsupportedOperationException("This test has no store.");
   }
 
@@ -75,12 +77,12 @@
   }
 
   @Override
-  public Page<KeptRecord> keptRecords(StoreEra era, byte[] body) {
+  public Page<StoredQuarantineRecord> keptRecords(StoreEra era, byte[] body) {
     throw new UnsupportedOperationException("This test has no store.");
   }
 
   @Override
-  public Call create(KeptRecord kept) {
+  public Call create(StoredQuarantineRecord kept) {
     throw new UnsupportedOperationException("This test has no store.");
   }
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/PermitServicesTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/PermitServicesTest.java
@@ -7,10 +7,10 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import org.fawnvale.serving.core.limit.LimitNote;
+
 import org.fawnvale.serving.core.limit.SharedLimits;
 
-import org.fawnvale.serving.core.peer.Owners;
+
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.HttpReactor;
@@ -18,18 +18,20 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.limit.LimitUpdate;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 
 /** What a daemon answers to others that ask it for leave. */
 class PermitServicesTest {
 
-  private static final Owners.Daemon SELF = new Owners.Daemon("d1", "127.0.0.1", "a");
-  private static final Owners.Daemon OTHER = new Owners.Daemon("d2", "127.0.0.2", "b");
-  private static final LimitNote LIMIT = new LimitNote(new NodeIncarnation("n1", 7), 2, 50, 30);
+  private static final RendezvousOwners.Daemon SELF = new RendezvousOwners.Daemon("d1", "127.0.0.1", "a");
+  private static final RendezvousOwners.Daemon OTHER = new RendezvousOwners.Daemon("d2", "127.0.0.2", "b");
+  private static final LimitUpdate LIMIT = new LimitUpdate(new NodeIncarnation("n1", 7), 2, 50, 30);
   private static final Fingerprint SHEET = new Fingerprint(-17);
 
   private final Timers timers = new Timers(new Object());
   private final HttpReactor reactor = HttpReactor.start(16_384);
-  private final Owners owners = new Owners(SELF);
+  private final RendezvousOwners owners = new RendezvousOwners(SELF);
   private final SharedLimits limits = new SharedLimits(owners);
   private final OwnerClient calls = new OwnerClient(new HttpClient(reactor, timers), timers, 1);
   private final LimitPermitService limitDesk =
@@ -57,7 +59,7 @@
   @Test
   void anOwnerLearnsTheLimitFromTheQuestionAndTellsWhenThereIsRoom() throws IOException {
     assertThat(askForLeave("a")).isInstanceOf(SharedLimits.Denied.class);
-    assertThat(limits.known().of(LIMIT.life())).isEqualTo(50);
+    assertThat(limits.knownLimits().perSecond(LIMIT.incarnation())).isEqualTo(50);
   }
 
   @Test
@@ -71,7 +73,7 @@
 
   @Test
   void whoDoesNotOwnTheLimitSaysSo() throws IOException {
-    owners.see(List.of(OTHER), 2, System.nanoTime());
+    owners.updateReachable(List.of(OTHER), 2, System.nanoTime());
     assertThat(askForLeave("b")).isEqualTo(new SharedLimits.NotOwned());
   }
 
@@ -118,12 +120,12 @@
   @Test
   void whoDoesNotOwnATrialGivesNoLeave() {
     List<Fingerprint> asked = new ArrayList<>();
-    List<Owners.Daemon> others = new ArrayList<>();
+    List<RendezvousOwners.Daemon> others = new ArrayList<>();
     for (int number = 2; number < 40; number++) {
-      others.add(new Owners.Daemon("d" + number, "127.0.0." + number, "a"));
+      others.add(new RendezvousOwners.Daemon("d" + number, "127.0.0." + number, "a"));
     }
-    owners.see(others, 39, System.nanoTime());
-    assertThat(owners.isOwn("ffffffffffffffef", "")).isFalse();
+    owners.updateReachable(others, 39, System.nanoTime());
+    assertThat(owners.isOwner("ffffffffffffffef", "")).isFalse();
     assertThat(trials(true, asked).answer("/trials/leave/ffffffffffffffef")).containsExactly(0);
     assertThat(asked).isEmpty();
   }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
@@ -7,24 +7,30 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.fawnvale.serving.core.limit.LimitNote;
+
 import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.peer.DataCentreDigest;
-import org.fawnvale.serving.core.peer.PeerNote;
-import org.fawnvale.serving.core.peer.Standing;
+
+
 import org.fawnvale.serving.core.quarantine.Fingerprint;
-import org.fawnvale.serving.core.quarantine.RequestRecord;
-import org.fawnvale.serving.core.watch.CopyPlaces;
+
+
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+
 import org.junit.jupiter.api.Test;
+import org.fawnvale.serving.core.limit.LimitUpdate;
+import org.fawnvale.serving.core.peer.LeaderEligibility;
+import org.fawnvale.serving.core.peer.PeerMessage;
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
+import org.fawnvale.serving.core.watch.CopyPositions;
+import org.fawnvale.serving.core.watch.StorePosition;
 
 /** A note comes out as it went in. */
 class NoteCodecTest {
 
   private static final NoteCodec.Datagram DATAGRAM =
       new NoteCodec.Datagram(
-          new PeerNote(
+          new PeerMessage(
               "edge-1",
               "127.0.0.1",
               "here",
@@ -32,15 +38,15 @@
               3,
               "edge-2",
               2,
-              Standing.FIT,
+              LeaderEligibility.ELIGIBLE,
               true,
               Map.of("n1", 4),
               Map.of("m", 2.5),
               List.of("n1@7"),
               List.of("n7"),
-              List.of(new PeerNote.ServingGroup("n2", "g", 8, "m")),
+              List.of(new PeerMessage.ServingGroup("n2", "g", 8, "m")),
               List.of("n3@9")),
-          new CopyPlaces(new StorePlace(new StoreEra(3), 5), 28, StorePlace.NONE),
+          new CopyPositions(new StorePosition(new StoreEra(3), 5), 28, StorePosition.NONE),
           List.of("127.0.0.2"),
           List.of(
               new DataCentreDigest(
@@ -52,15 +58,15 @@
                   List.of("n4@2", "n4@2"),
                   List.of("n8", "n9"),
                   true,
-                  List.of(new DataCentreDigest.Member("edge-9", "127.0.0.9", 4, Standing.FIT)))),
+                  List.of(new DataCentreDigest.Member("edge-9", "127.0.0.9", 4, LeaderEligibility.ELIGIBLE)))),
           List.of(
-              new RequestRecord(
+              new QuarantineRecord(
                   new Fingerprint(-17),
                   Set.of(new NodeIncarnation("n5", 1_700_000_000_000L), NodeIncarnation.only("n6")),
                   Set.of(NodeIncarnation.only("n6")))),
           List.of(
-              new LimitNote(new NodeIncarnation("n7", 1_700_000_000_001L), 3, 1.6, 250),
-              new LimitNote(NodeIncarnation.only("n8"), 2, LimitNote.OVER, 0)));
+              new LimitUpdate(new NodeIncarnation("n7", 1_700_000_000_001L), 3, 1.6, 250),
+              new LimitUpdate(NodeIncarnation.only("n8"), 2, LimitUpdate.UNLIMITED, 0)));
 
   @Test
   void whatIsWrittenIsRead() throws IOException {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StorePositionTextTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StorePositionTextTest.java
@@ -4,20 +4,21 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePlace;
+
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.fawnvale.serving.core.watch.StorePosition;
 
 /** A place comes out of its text as it went in. */
 class StorePositionTextTest {
 
   @Test
   void whatIsWrittenIsRead() {
-    StorePlace place = new StorePlace(new StoreEra(3), 120);
+    StorePosition place = new StorePosition(new StoreEra(3), 120);
     assertThat(StorePositionText.read(StorePositionText.write(place))).isEqualTo(place);
-    assertThat(StorePositionText.read(StorePositionText.write(StorePlace.NONE)))
-        .isEqualTo(StorePlace.NONE);
+    assertThat(StorePositionText.read(StorePositionText.write(StorePosition.NONE)))
+        .isEqualTo(StorePosition.NONE);
   }
 
   @ParameterizedTest
