--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -12,14 +12,13 @@
 import java.util.function.Predicate;
 import org.fawnvale.serving.core.demand.ModelDemand;
 import org.fawnvale.serving.core.model.EngineSpec;
-
+import org.fawnvale.serving.core.model.IncarnationTracker;
 import org.fawnvale.serving.core.model.MemberState;
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.ModelSpec;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.Policy;
 import org.jspecify.annotations.Nullable;
-import org.fawnvale.serving.core.model.IncarnationTracker;
 
 /**
  * The leader's decisions on groups, as a state machine: the caller feeds it the nodes' entries, the
@@ -137,7 +136,8 @@
   /** What was known of a node ends with its life, and so does its part in a group. */
   private void learnLives(Map<String, Node> nodes, long now) {
     for (String id : lives.update(nodes.values())) {
-      remarks.add("node=" + id + " started_ms=" + nodes.get(id).incarnation().startedMillis() + " anew");
+      remarks.add(
+          "node=" + id + " started_ms=" + nodes.get(id).incarnation().startedMillis() + " anew");
       log.begunAnew(id);
       dissolver.begunAnew(id, now);
       assembler.begunAnew(id);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
@@ -6,9 +6,8 @@
 import java.util.Map;
 import java.util.Set;
 import org.fawnvale.serving.core.model.Node;
-
-import org.jspecify.annotations.Nullable;
 import org.fawnvale.serving.core.watch.StorePosition;
+import org.jspecify.annotations.Nullable;
 
 /**
  * What was known of nodes before the store came back from a copy, for as long as they have not
@@ -71,7 +70,8 @@
   }
 
   private static boolean isLater(Node known, Node listed) {
-    boolean leaves = known.draining() && !listed.draining() && known.incarnation().equals(listed.incarnation());
+    boolean leaves =
+        known.draining() && !listed.draining() && known.incarnation().equals(listed.incarnation());
     return leaves || hasBegunAnew(known, listed);
   }
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/LimitUpdate.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/LimitUpdate.java
@@ -12,7 +12,8 @@
  *     #UNLIMITED} when it names no limit any more
  * @param ageMillis how long ago a daemon last got an answer that shows it, in milliseconds
  */
-public record LimitUpdate(NodeIncarnation incarnation, int version, double perSecond, long ageMillis) {
+public record LimitUpdate(
+    NodeIncarnation incarnation, int version, double perSecond, long ageMillis) {
 
   /** The limit of a node that names none any more. */
   public static final double UNLIMITED = Double.POSITIVE_INFINITY;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
@@ -6,9 +6,8 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.NodeResponse;
-
-import org.jspecify.annotations.Nullable;
 import org.fawnvale.serving.core.peer.RendezvousOwners;
+import org.jspecify.annotations.Nullable;
 
 /**
  * Keeps the limits that nodes name for the sum of all daemons. The owner of a node's limit spends
@@ -94,7 +93,9 @@
   public KnownLimits.Change recordResponse(
       NodeIncarnation life, NodeResponse said, int sentStamp, boolean isCallers, long nowNanos) {
     boolean success = said.status() >= SUCCESS && said.status() < REDIRECT;
-    return apply(life, knownLimits.recordResponse(life, said.limit(), sentStamp, isCallers && success, nowNanos));
+    return apply(
+        life,
+        knownLimits.recordResponse(life, said.limit(), sentStamp, isCallers && success, nowNanos));
   }
 
   /**
@@ -129,7 +130,8 @@
   }
 
   private boolean isStillOwned(NodeIncarnation life, OwnedBucket owned) {
-    return knownLimits.perSecond(life) != LimitUpdate.UNLIMITED && owners.isOwner(life.id(), owned.dataCentre());
+    return knownLimits.perSecond(life) != LimitUpdate.UNLIMITED
+        && owners.isOwner(life.id(), owned.dataCentre());
   }
 
   /**
@@ -155,7 +157,8 @@
   private TokenBucket bucket(NodeIncarnation life, String dataCentre, long nowNanos) {
     return buckets
         .computeIfAbsent(
-            life, any -> new OwnedBucket(dataCentre, new TokenBucket(owners.ownedFromNanos(nowNanos))))
+            life,
+            any -> new OwnedBucket(dataCentre, new TokenBucket(owners.ownedFromNanos(nowNanos))))
         .bucket();
   }
 
@@ -208,7 +211,8 @@
   }
 
   /**
-   * Answers another daemon that asks for leave for one request. Permits that it does not use is lost.
+   * Answers another daemon that asks for leave for one request. Permits that it does not use is
+   * lost.
    *
    * @param life the node's life
    * @param dataCentre the node's data centre
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/Quarantine.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/Quarantine.java
@@ -244,7 +244,8 @@
     entry.record = before.merge(told);
     entry.usedNanos = nowNanos;
     if (!entry.record.equals(before)) {
-      boolean begins = before.failureCount() < MAX_FAILURES && entry.record.failureCount() >= MAX_FAILURES;
+      boolean begins =
+          before.failureCount() < MAX_FAILURES && entry.record.failureCount() >= MAX_FAILURES;
       entry.quarantinedNanos = begins ? nowNanos : entry.quarantinedNanos;
       entry.changedNanos = nowNanos;
       entry.observedHere = own;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/QuarantineRecord.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/QuarantineRecord.java
@@ -35,7 +35,8 @@
    * @return what both tell
    */
   QuarantineRecord merge(QuarantineRecord other) {
-    return new QuarantineRecord(fingerprint, union(failures, other.failures), union(excused, other.excused));
+    return new QuarantineRecord(
+        fingerprint, union(failures, other.failures), union(excused, other.excused));
   }
 
   private static Set<NodeIncarnation> union(Set<NodeIncarnation> one, Set<NodeIncarnation> other) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
@@ -10,12 +10,10 @@
 import org.fawnvale.serving.core.model.MemberState;
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.Node;
-
-import org.fawnvale.serving.core.watch.StoreEra;
-
-import org.junit.jupiter.api.Test;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePosition;
+import org.junit.jupiter.api.Test;
 
 /** What was known of nodes before the store went back, until they write again. */
 class RestoredNodesTest {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/KnownLimitsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/KnownLimitsTest.java
@@ -143,7 +143,9 @@
         KnownLimits other = daemons.get(random.nextInt(3));
         int stamp = random.nextInt(one.version(NODE) + 1);
         switch (random.nextInt(4)) {
-          case 0 -> one.recordResponse(NODE, AdvertisedLimit.of(random.nextInt(4), "t"), stamp, true, SECOND);
+          case 0 ->
+              one.recordResponse(
+                  NODE, AdvertisedLimit.of(random.nextInt(4), "t"), stamp, true, SECOND);
           case 1 -> one.recordResponse(NODE, null, stamp, true, SECOND);
           default -> exchange(one, other);
         }
@@ -151,8 +153,12 @@
       for (int round = 0; round < 2; round++) {
         daemons.forEach(one -> daemons.forEach(other -> exchange(one, other)));
       }
-      assertThat(daemons.get(1).perSecond(NODE)).as("seed %d", seed).isEqualTo(daemons.get(0).perSecond(NODE));
-      assertThat(daemons.get(2).perSecond(NODE)).as("seed %d", seed).isEqualTo(daemons.get(0).perSecond(NODE));
+      assertThat(daemons.get(1).perSecond(NODE))
+          .as("seed %d", seed)
+          .isEqualTo(daemons.get(0).perSecond(NODE));
+      assertThat(daemons.get(2).perSecond(NODE))
+          .as("seed %d", seed)
+          .isEqualTo(daemons.get(0).perSecond(NODE));
       Collections.shuffle(daemons, random);
     }
   }
@@ -161,7 +167,8 @@
   void limitsWithoutEndFillNeitherMemoryNorNotes() {
     for (int number = 0; number < 20_000; number++) {
       NodeIncarnation life = NodeIncarnation.only("n" + number);
-      known.recordResponse(life, AdvertisedLimit.of(1, "1"), KnownLimits.UNKNOWN_VERSION, true, SECOND);
+      known.recordResponse(
+          life, AdvertisedLimit.of(1, "1"), KnownLimits.UNKNOWN_VERSION, true, SECOND);
       if (number % 1_000 == 0) {
         assertThat(known.updatesToSend(true, SECOND)).hasSizeLessThanOrEqualTo(40);
       }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulation.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulation.java
@@ -12,7 +12,6 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.NodeResponse;
-
 import org.fawnvale.serving.core.peer.RendezvousOwners;
 
 /**
@@ -136,7 +135,9 @@
     }
     if (scenario.partitionedAt() > 0) {
       schedule((60 + scenario.partitionedAt()) * SECOND, () -> setPartition(true));
-      schedule((60 + scenario.partitionedAt() + scenario.partitionSeconds()) * SECOND, () -> setPartition(false));
+      schedule(
+          (60 + scenario.partitionedAt() + scenario.partitionSeconds()) * SECOND,
+          () -> setPartition(false));
     }
     long end = (60 + scenario.seconds()) * SECOND;
     while (!events.isEmpty() && events.peek().at() < end) {
@@ -212,17 +213,21 @@
   }
 
   private void arrive() {
-    schedule(now + (long) (-Math.log(1 - random.nextDouble()) / scenario.demand() * SECOND), this::arrive);
+    schedule(
+        now + (long) (-Math.log(1 - random.nextDouble()) / scenario.demand() * SECOND),
+        this::arrive);
     Daemon daemon = daemons.get(random.nextInt(daemons.size()));
     if (!daemon.alive) {
       return;
     }
     switch (strategy) {
-      case INDEPENDENT -> sendIf(daemon, isUnknown(daemon) || daemon.own.tryAcquire(scenario.limit(), 1, now));
+      case INDEPENDENT ->
+          sendIf(daemon, isUnknown(daemon) || daemon.own.tryAcquire(scenario.limit(), 1, now));
       case EQUAL_SHARES ->
           sendIf(
               daemon,
-              isUnknown(daemon) || daemon.own.tryAcquire(scenario.limit(), 1.0 / scenario.daemons(), now));
+              isUnknown(daemon)
+                  || daemon.own.tryAcquire(scenario.limit(), 1.0 / scenario.daemons(), now));
       default -> sendIfAdmitted(daemon);
     }
   }
@@ -258,7 +263,8 @@
         now + way1,
         () -> {
           owner.limits.merge(known, now);
-          SharedLimits.Reply reply = owner.limits.requestPermit(node.incarnation(), node.dataCentre(), now);
+          SharedLimits.Reply reply =
+              owner.limits.requestPermit(node.incarnation(), node.dataCentre(), now);
           schedule(now + way1, () -> receiveReply(daemon, reply));
         });
   }
@@ -281,6 +287,8 @@
     int stamp = daemon.limits.knownLimits().version(node.incarnation());
     NodeResponse answer =
         new NodeResponse(200, false, false, 0, null, AdvertisedLimit.of(scenario.limit(), "named"));
-    schedule(now + ANSWER_NANOS, () -> daemon.limits.recordResponse(node.incarnation(), answer, stamp, true, now));
+    schedule(
+        now + ANSWER_NANOS,
+        () -> daemon.limits.recordResponse(node.incarnation(), answer, stamp, true, now));
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantinePropagationTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantinePropagationTest.java
@@ -7,9 +7,8 @@
 import java.util.Random;
 import java.util.Set;
 import org.fawnvale.serving.core.model.NodeIncarnation;
-
-import org.junit.jupiter.api.Test;
 import org.fawnvale.serving.core.peer.MessageRouting;
+import org.junit.jupiter.api.Test;
 
 /**
  * A request ends three nodes, each seen by a daemon of another data centre. In a fleet of 78
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTest.java
@@ -77,7 +77,9 @@
       Collections.shuffle(told, random);
       other.mergeFromPeer(told, 0);
       other.mergeFromPeer(told.subList(0, 3), 0);
-      assertThat(other.recordsToSend(true, 0)).extracting(QuarantineRecord::failureCount).containsExactly(3);
+      assertThat(other.recordsToSend(true, 0))
+          .extracting(QuarantineRecord::failureCount)
+          .containsExactly(3);
       assertThat(other.isQuarantined(SHEET, 0)).isTrue();
     }
   }
@@ -88,7 +90,8 @@
       quarantine.recordFailure(SHEET, life(number), 0);
     }
     Quarantine started = new Quarantine();
-    List<Fingerprint> barred = started.mergeFromPeer(quarantine.recordsToSend(false, 600 * SECOND), 600 * SECOND);
+    List<Fingerprint> barred =
+        started.mergeFromPeer(quarantine.recordsToSend(false, 600 * SECOND), 600 * SECOND);
     assertThat(barred).containsExactly(SHEET);
   }
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTrialTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTrialTest.java
@@ -5,10 +5,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.fawnvale.serving.core.model.NodeIncarnation;
-
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.fawnvale.serving.core.peer.RendezvousOwners;
 
 /**
  * A harmless request is barred, and its callers ask daemons that don't lead.
@@ -69,7 +68,9 @@
 
   private void tellAll(Quarantine from, long nowNanos) {
     List<QuarantineRecord> told = from.recordsToSend(true, nowNanos);
-    daemons.stream().filter(other -> other != from).forEach(other -> other.mergeFromPeer(told, nowNanos));
+    daemons.stream()
+        .filter(other -> other != from)
+        .forEach(other -> other.mergeFromPeer(told, nowNanos));
   }
 
   /** One caller asks each second, at any one daemon. */
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
@@ -10,12 +10,11 @@
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.Settings;
-
 import org.fawnvale.serving.core.watch.StoreOutages;
+import org.fawnvale.serving.core.watch.StoreSuspicion;
 import org.fawnvale.serving.peer.Peers;
 import org.fawnvale.serving.store.EraChange;
 import org.fawnvale.serving.store.StoreWatch;
-import org.fawnvale.serving.core.watch.StoreSuspicion;
 
 /** What this daemon can see: the store, the nodes as it lists them, and the other data centres. */
 final class ClusterView {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -24,14 +24,14 @@
 import org.fawnvale.serving.core.model.ServiceSpec;
 import org.fawnvale.serving.core.model.Settings;
 import org.fawnvale.serving.core.peer.DaemonState;
-
-
-
+import org.fawnvale.serving.core.peer.LeaderEligibility;
+import org.fawnvale.serving.core.peer.PeerMessage;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.core.route.RouteTable;
-
-
-
-
+import org.fawnvale.serving.core.watch.CopyDelays;
+import org.fawnvale.serving.core.watch.CopyPositions;
+import org.fawnvale.serving.core.watch.DepartureDetector;
+import org.fawnvale.serving.core.watch.PollIntervals;
 import org.fawnvale.serving.formation.FormationService;
 import org.fawnvale.serving.gateway.Gateway;
 import org.fawnvale.serving.gateway.GatewayMetrics;
@@ -51,13 +51,6 @@
 import org.fawnvale.serving.store.StoreCallMetrics;
 import org.fawnvale.serving.store.StoreWatch;
 import org.jspecify.annotations.Nullable;
-import org.fawnvale.serving.core.peer.LeaderEligibility;
-import org.fawnvale.serving.core.peer.PeerMessage;
-import org.fawnvale.serving.core.peer.RendezvousOwners;
-import org.fawnvale.serving.core.watch.CopyDelays;
-import org.fawnvale.serving.core.watch.CopyPositions;
-import org.fawnvale.serving.core.watch.DepartureDetector;
-import org.fawnvale.serving.core.watch.PollIntervals;
 
 /** An entry daemon: gateway, store copies, peers and, while it leads, the formation of groups. */
 public final class ServingDaemon {
@@ -151,7 +144,9 @@
     this.reactor = reactor;
     this.client = new HttpClient(reactor, timers);
     RendezvousOwners owners =
-        new RendezvousOwners(new RendezvousOwners.Daemon(settings.name(), settings.address(), settings.dataCentre()));
+        new RendezvousOwners(
+            new RendezvousOwners.Daemon(
+                settings.name(), settings.address(), settings.dataCentre()));
     SharedLimits limits = new SharedLimits(owners);
     this.gate = new UpstreamGate(limits);
     OwnerClient ownerCalls =
@@ -568,7 +563,8 @@
             dispatcher.rejecting(),
             leads ? formation.recentlyOpened() : List.of(),
             leads ? formation.recentlyClosed() : List.of());
-    CopyPositions places = new CopyPositions(configurations.newest(), versionInForce(), nodes.newest());
+    CopyPositions places =
+        new CopyPositions(configurations.newest(), versionInForce(), nodes.newest());
     peers.tell(state, places, isNews);
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
@@ -3,18 +3,14 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-
-import org.fawnvale.serving.core.limit.SharedLimits;
-
-
-
-import org.fawnvale.serving.gateway.RequestQuarantine;
-import org.fawnvale.serving.limit.LimitPermitService;
-import org.fawnvale.serving.peer.Peers;
 import org.fawnvale.serving.core.limit.LimitUpdate;
+import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
+import org.fawnvale.serving.gateway.RequestQuarantine;
+import org.fawnvale.serving.limit.LimitPermitService;
+import org.fawnvale.serving.peer.Peers;
 
 /** What all daemons come to know together: requests that end nodes, and limits that nodes name. */
 final class SharedStateUpdates implements Peers.SharedNews {
@@ -25,7 +21,10 @@
   private final LimitPermitService desk;
 
   SharedStateUpdates(
-      RendezvousOwners owners, RequestQuarantine repeats, SharedLimits limits, LimitPermitService desk) {
+      RendezvousOwners owners,
+      RequestQuarantine repeats,
+      SharedLimits limits,
+      LimitPermitService desk) {
     this.owners = owners;
     this.repeats = repeats;
     this.limits = limits;
@@ -60,7 +59,9 @@
   void see(Collection<PeerMessage> live, int heardLately) {
     List<RendezvousOwners.Daemon> others = new ArrayList<>();
     live.forEach(
-        note -> others.add(new RendezvousOwners.Daemon(note.name(), note.address(), note.dataCentre())));
+        note ->
+            others.add(
+                new RendezvousOwners.Daemon(note.name(), note.address(), note.dataCentre())));
     if (owners.updateReachable(others, heardLately, System.nanoTime())) {
       limits.ownersChanged();
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/UpstreamSelector.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/UpstreamSelector.java
@@ -17,7 +17,6 @@
 import org.fawnvale.serving.core.model.ModelSpec;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.ServiceSpec;
-
 import org.fawnvale.serving.core.peer.PeerMessage;
 
 /** Which nodes may take requests: heads of whole, open groups, and nodes of plain services. */
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
@@ -12,10 +12,10 @@
 import org.apache.hc.core5.http.message.BasicHeader;
 import org.apache.hc.core5.http.message.BasicHttpRequest;
 import org.fawnvale.serving.core.dispatch.Choice;
-
+import org.fawnvale.serving.core.dispatch.DispatchRequest;
 import org.fawnvale.serving.core.dispatch.UpstreamState;
 import org.fawnvale.serving.core.model.Node;
-
+import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.core.model.Route;
 import org.fawnvale.serving.core.model.RouteKind;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
@@ -24,8 +24,6 @@
 import org.fawnvale.serving.http.NodeListener;
 import org.fawnvale.serving.spi.HeaderNames;
 import org.jspecify.annotations.Nullable;
-import org.fawnvale.serving.core.dispatch.DispatchRequest;
-import org.fawnvale.serving.core.model.NodeResponse;
 
 /**
  * One caller's request on its way: chooses upstreams, sends, repeats what may be repeated, takes a
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
@@ -11,9 +11,8 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.core.quarantine.Quarantine;
-
-import org.fawnvale.serving.http.NodeClient;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
+import org.fawnvale.serving.http.NodeClient;
 
 /**
  * Keeps requests that end the nodes that run them from being sent on and on. What one attempt has
@@ -75,7 +74,8 @@
 
   /** Tells whether a request may not be sent; costs a digest only while any request is doubted. */
   boolean isBarred(Forwarder forwarder) {
-    return !quarantine.isEmpty() && quarantine.isQuarantined(forwarder.fingerprint(), System.nanoTime());
+    return !quarantine.isEmpty()
+        && quarantine.isQuarantined(forwarder.fingerprint(), System.nanoTime());
   }
 
   /** Notes that a request is sent to a node now. */
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
@@ -8,11 +8,10 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.limit.KnownLimits;
-
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.model.AdvertisedLimit;
 import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.jspecify.annotations.Nullable;
-import org.fawnvale.serving.core.limit.LimitUpdate;
 
 /** Tells each change of a limit in the log, and counts them. */
 public final class LimitLog {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitNoteCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitNoteCodec.java
@@ -3,11 +3,10 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
-import org.fawnvale.serving.core.limit.LimitUpdate;
 
 /** What daemons tell each other of limits, as MessagePack. */
 public final class LimitNoteCodec {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
@@ -7,13 +7,11 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.limit.KnownLimits;
-
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.model.Node;
-
-import org.fawnvale.serving.http.LimitLog;
-import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.peer.RendezvousOwners;
+import org.fawnvale.serving.http.LimitLog;
 
 /**
  * Asks the owners of limits for leave, and answers daemons that ask this one. All calls hold the
@@ -142,7 +140,8 @@
       PermitRequest question = PermitRequest.read(target);
       receive(List.of(question.limit()));
       return PermitRequest.write(
-          limits.requestPermit(question.limit().incarnation(), question.dataCentre(), System.nanoTime()));
+          limits.requestPermit(
+              question.limit().incarnation(), question.dataCentre(), System.nanoTime()));
     } catch (IOException | RuntimeException e) {
       LOG.warn("outcome=unreadable_question cause={}", e.toString());
       return new byte[0];
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialPermitService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialPermitService.java
@@ -4,9 +4,8 @@
 import java.util.function.Predicate;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-
-import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.core.peer.RendezvousOwners;
+import org.fawnvale.serving.core.quarantine.Fingerprint;
 
 /**
  * Asks the one daemon that gives leave for the trial of a barred request, and answers daemons that
@@ -37,7 +36,8 @@
    * @param owners tells which daemon gives leave for which request
    * @param gives gives leave for a request that this daemon decides on
    */
-  public TrialPermitService(OwnerClient calls, RendezvousOwners owners, Predicate<Fingerprint> gives) {
+  public TrialPermitService(
+      OwnerClient calls, RendezvousOwners owners, Predicate<Fingerprint> gives) {
     this.calls = calls;
     this.owners = owners;
     this.gives = gives;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -11,18 +11,10 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.formation.StallEvidence;
-
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.model.Settings;
 import org.fawnvale.serving.core.peer.DaemonState;
 import org.fawnvale.serving.core.peer.DataCentreDigest;
-
-
-
-
-
-
-
-import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.peer.DataCentreDigests;
 import org.fawnvale.serving.core.peer.LeaderElection;
 import org.fawnvale.serving.core.peer.LeaderEligibility;
@@ -228,7 +220,8 @@
     }
     boolean leads = leadership.leader().equals(settings.name());
     Set<String> targets =
-        routing.targets(others, new MessageRouting.SendContext(turn, leads, leadership.leader(), news));
+        routing.targets(
+            others, new MessageRouting.SendContext(turn, leads, leadership.leader(), news));
     boolean relays = MessageRouting.hasRelays(others.size() + 1) && routing.isRelay(others);
     List<QuarantineRecord> records = shared.records(relays);
     List<LimitUpdate> limits = shared.limits(relays);
@@ -379,7 +372,8 @@
    * @return true when one of them says so
    */
   public boolean storeAnswersAny() {
-    return live().values().stream().anyMatch(note -> note.eligibility() == LeaderEligibility.ELIGIBLE);
+    return live().values().stream()
+        .anyMatch(note -> note.eligibility() == LeaderEligibility.ELIGIBLE);
   }
 
   /**
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/RecordCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/RecordCodec.java
@@ -7,10 +7,9 @@
 import java.util.Set;
 import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
-
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
-import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 
 /** Records of requests under which nodes ended, within the datagrams of notes. */
 final class RecordCodec {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
@@ -7,13 +7,10 @@
 import org.fawnvale.serving.core.formation.NodeReport;
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.Node;
-
-import org.fawnvale.serving.core.model.RequestSize;
-
-import org.fawnvale.serving.core.watch.StoreEra;
-
 import org.fawnvale.serving.core.model.NodeResponse;
+import org.fawnvale.serving.core.model.RequestSize;
 import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
+import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePosition;
 
 /** Names, formats and calls of a platform. An adapter decides nothing. */
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
@@ -9,16 +9,14 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.model.Endpoint;
-
+import org.fawnvale.serving.core.watch.CopyDelays;
 import org.fawnvale.serving.core.watch.StoreEra;
-
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
 import org.fawnvale.serving.http.WholeCall;
 import org.fawnvale.serving.spi.Call;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
-import org.fawnvale.serving.core.watch.CopyDelays;
-import org.fawnvale.serving.core.watch.StorePosition;
 
 /**
  * Takes what is newer in a peer's copy of the store's objects, and gives peers what is newer in
@@ -184,7 +182,8 @@
       return given.copy();
     }
     try {
-      StorePosition since = StorePositionText.read(target.substring(path.length() + SINCE.length()));
+      StorePosition since =
+          StorePositionText.read(target.substring(path.length() + SINCE.length()));
       byte[] copy = Codec.MAPPER.writeValueAsBytes(watch.copySince(since));
       given = new Given(target, watch.changes(), copy);
       return copy;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
@@ -11,15 +11,13 @@
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
-
-
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
+import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
 import org.fawnvale.serving.http.WholeCall;
 import org.fawnvale.serving.spi.Page;
 import org.fawnvale.serving.spi.Platform;
-import org.fawnvale.serving.core.quarantine.QuarantineRecord;
-import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
 
 /**
  * Keeps requests that end nodes in the platform's store, so that they stay known when all daemons
@@ -104,7 +102,8 @@
 
   private void take(WholeCall.Answered answer) {
     try {
-      Page<StoredQuarantineRecord> page = platform.keptRecords(platform.era(answer.head()), answer.body());
+      Page<StoredQuarantineRecord> page =
+          platform.keptRecords(platform.era(answer.head()), answer.body());
       List<QuarantineRecord> holding = new ArrayList<>();
       for (Page.Item<StoredQuarantineRecord> item : page.items()) {
         StoredQuarantineRecord kept = item.value();
@@ -165,7 +164,8 @@
     }
     calling = true;
     QuarantineRecord next = waiting.values().iterator().next();
-    StoredQuarantineRecord kept = new StoredQuarantineRecord(next, clockMillis.getAsLong() + KEPT_MILLIS);
+    StoredQuarantineRecord kept =
+        new StoredQuarantineRecord(next, clockMillis.getAsLong() + KEPT_MILLIS);
     WholeCall.send(
         client, timers, store, platform.create(kept), CALL_MILLIS, reply -> called(next, reply));
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StorePositionText.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StorePositionText.java
@@ -1,7 +1,6 @@
 package org.fawnvale.serving.store;
 
 import org.fawnvale.serving.core.watch.StoreEra;
-
 import org.fawnvale.serving.core.watch.StorePosition;
 
 /** A place in the store's history as text, for the questions that daemons ask each other. */
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
@@ -9,9 +9,9 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.model.Endpoint;
-
+import org.fawnvale.serving.core.watch.EraFilter;
 import org.fawnvale.serving.core.watch.StoreEra;
-
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
 import org.fawnvale.serving.http.WholeCall;
@@ -19,8 +19,6 @@
 import org.fawnvale.serving.spi.Page;
 import org.fawnvale.serving.spi.Platform;
 import org.jspecify.annotations.Nullable;
-import org.fawnvale.serving.core.watch.EraFilter;
-import org.fawnvale.serving.core.watch.StorePosition;
 
 /**
  * Keeps a copy of the objects of one kind: lists them, then waits for changes, and lists again when
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/NodeCrashingRequestsTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/NodeCrashingRequestsTest.java
@@ -12,15 +12,13 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import org.apache.hc.core5.http.message.BasicHttpRequest;
-
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.Workspace;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
-
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.fawnvale.serving.core.model.NodeIncarnation;
-import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 
 /**
  * What users saw: care sheets were refused for seconds together, three times in a day. One request
@@ -145,7 +143,8 @@
   }
 
   private static Set<NodeIncarnation> lives() {
-    return Set.of(NodeIncarnation.only("x1"), NodeIncarnation.only("x2"), NodeIncarnation.only("x3"));
+    return Set.of(
+        NodeIncarnation.only("x1"), NodeIncarnation.only("x2"), NodeIncarnation.only("x3"));
   }
 
   private CompletableFuture<Integer> askLater(String path, String body) {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
@@ -7,23 +7,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.peer.DataCentreDigest;
-
-
-import org.fawnvale.serving.core.quarantine.Fingerprint;
-
-
-import org.fawnvale.serving.core.watch.StoreEra;
-
-import org.junit.jupiter.api.Test;
-import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.peer.LeaderEligibility;
 import org.fawnvale.serving.core.peer.PeerMessage;
+import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.core.watch.CopyPositions;
+import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePosition;
+import org.junit.jupiter.api.Test;
 
 /** A note comes out as it went in. */
 class NoteCodecTest {
@@ -58,7 +52,9 @@
                   List.of("n4@2", "n4@2"),
                   List.of("n8", "n9"),
                   true,
-                  List.of(new DataCentreDigest.Member("edge-9", "127.0.0.9", 4, LeaderEligibility.ELIGIBLE)))),
+                  List.of(
+                      new DataCentreDigest.Member(
+                          "edge-9", "127.0.0.9", 4, LeaderEligibility.ELIGIBLE)))),
           List.of(
               new QuarantineRecord(
                   new Fingerprint(-17),
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StoreRollbackModel.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StoreRollbackModel.java
@@ -7,13 +7,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-
+import org.fawnvale.serving.core.watch.EraFilter;
 import org.fawnvale.serving.core.watch.StoreEra;
-
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.spi.Page;
 import org.jspecify.annotations.Nullable;
-import org.fawnvale.serving.core.watch.EraFilter;
-import org.fawnvale.serving.core.watch.StorePosition;
 
 /**
  * A store with a configuration and a node, a daemon that watches it and one that takes copies from
