--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
@@ -26,7 +26,7 @@
 import org.fawnvale.serving.spi.Platform;
 import org.jspecify.annotations.Nullable;
 
-/** Runs the group planner while this daemon leads. All calls hold the guard. */
+/** Runs the group planner while this daemon is the leader. Callers of the methods hold the lock. */
 public final class FormationService {
 
   private static final Logger LOG = LogManager.getLogger("formation");
@@ -42,16 +42,16 @@
   private final PlanPacing pacing = new PlanPacing();
   private @Nullable GroupPlanner planner;
   private long plannerFence;
-  private int planners;
+  private int plannerCount;
 
   /**
    * Creates the service.
    *
    * @param settings the daemon's settings
-   * @param peers who leads
-   * @param client sends orders
-   * @param platform makes the calls
-   * @param incarnation the number of this start
+   * @param peers provides the leadership
+   * @param client sends orders to nodes
+   * @param platform encodes the orders
+   * @param incarnation number of this start of the daemon
    */
   public FormationService(
       Settings settings, Peers peers, NodeClient client, Platform platform, long incarnation) {
@@ -66,15 +66,15 @@
     }
   }
 
-  /** Forgets what was planned, since another daemon leads. */
+  /** Discards the planner because another daemon is the leader. */
   public void stopLeading() {
     planner = null;
   }
 
   /**
-   * Tells whether groups are on their way or being taken apart.
+   * Returns whether any group is being formed or dissolved.
    *
-   * @return true while this daemon leads and there is such a group
+   * @return true if this daemon is the leader and there is such a group
    */
   public boolean isForming() {
     GroupPlanner current = planner;
@@ -82,11 +82,11 @@
   }
 
   /**
-   * Tells whether there is anything new to decide on.
+   * Returns whether a new plan is due.
    *
-   * @param shown the place that the list of nodes shows
-   * @param suspected whether any daemon holds a head to be standing still
-   * @return true when a plan may differ from the last one
+   * @param shown position in the store's history that the list of nodes reflects
+   * @param suspected whether any daemon suspects a head of a stall
+   * @return true if a plan may differ from the last one
    */
   public boolean isPlanDue(StorePlace shown, boolean suspected) {
     GroupPlanner current = planner;
@@ -95,50 +95,53 @@
   }
 
   /**
-   * Makes and sends the orders that are due, while this daemon leads.
+   * Plans groups and sends the orders that are due. Called while this daemon is the leader.
    *
-   * @param nodes the nodes of the engine service
-   * @param engine their arithmetic
-   * @param demand how much of the fleet each model needs
-   * @param witnesses what each live daemon tells of the heads
-   * @param inSight data centres that this daemon reaches
-   * @param resting ids of nodes that want nothing from this daemon for a while
+   * @param nodes nodes of the engine service
+   * @param engine timing parameters of the engine
+   * @param demand share of the nodes that each model needs
+   * @param witnesses observations of the heads by each live daemon
+   * @param reachable data centres that this daemon reaches
+   * @param paused ids of nodes in a Retry-After pause
    */
   public void planAndSend(
       Collection<Node> nodes,
       EngineSpec engine,
       ModelDemand demand,
       List<StallEvidence.Witness> witnesses,
-      Set<String> inSight,
-      Set<String> resting) {
+      Set<String> reachable,
+      Set<String> paused) {
     long now = System.nanoTime();
     GroupPlanner current = planner();
     Map<String, String> dataCentres = new HashMap<>();
     nodes.forEach(node -> dataCentres.put(node.id(), node.dataCentre()));
-    Set<String> stalled = evidence.confirmed(witnesses, dataCentres, inSight, now);
+    Set<String> stalled = evidence.confirmed(witnesses, dataCentres, reachable, now);
     GroupPlanner.Input input =
         new GroupPlanner.Input(
-            nodes, engine, demand, stalled, inSight, resting, peers.leadership().fence());
+            nodes, engine, demand, stalled, reachable, paused, peers.leadership().fence());
     List<GroupOrder> orders = current.plan(input, now);
     current.drainRemarks().forEach(LOG::info);
     for (GroupOrder order : orders) {
       if (order.kind() == GroupOrder.Kind.REPORT) {
         sender.report(
             order,
-            held -> conclude(current, held, GroupOrder.Outcome.HELD),
-            (question, report) -> learn(current, question, report));
+            held -> recordOutcome(current, held, GroupOrder.Outcome.HELD),
+            (reportOrder, report) -> recordReport(current, reportOrder, report));
       } else {
-        sender.send(order, (sent, outcome) -> conclude(current, sent, outcome));
+        sender.send(order, (sent, outcome) -> recordOutcome(current, sent, outcome));
       }
     }
   }
 
-  /** Bounds loads from the weight store, since callers' requests have come. */
+  /** Limits concurrent loads from the weight store, because callers' requests have arrived. */
   public void boundLoads() {
     limiter.bound();
   }
 
-  /** A new claim starts from what the nodes tell; it remembers nothing of the one before. */
+  /**
+   * Returns the planner of the current fence. A new fence gets a new planner, which starts from the
+   * nodes' reports.
+   */
   private GroupPlanner planner() {
     long fence = peers.leadership().fence();
     GroupPlanner current = planner;
@@ -156,18 +159,22 @@
     return current;
   }
 
-  /** Numbered by planner, not by term: a daemon may lead the same term twice. */
+  /**
+   * Returns the group name prefix of a new planner. It counts planners since a daemon may lead
+   * twice in one term.
+   */
   private String nextPrefix() {
-    planners++;
-    return settings.name() + "-" + Long.toString(incarnation, RADIX) + "-" + planners + "-";
+    plannerCount++;
+    return settings.name() + "-" + Long.toString(incarnation, RADIX) + "-" + plannerCount + "-";
   }
 
-  private void learn(GroupPlanner current, GroupOrder question, @Nullable NodeReport report) {
+  private void recordReport(
+      GroupPlanner current, GroupOrder reportOrder, @Nullable NodeReport report) {
     pacing.answered();
-    current.report(question.node(), report, System.nanoTime());
+    current.report(reportOrder.node(), report, System.nanoTime());
   }
 
-  private void conclude(GroupPlanner current, GroupOrder order, GroupOrder.Outcome outcome) {
+  private void recordOutcome(GroupPlanner current, GroupOrder order, GroupOrder.Outcome outcome) {
     long now = System.nanoTime();
     pacing.answered();
     current.outcome(order, outcome, now);
@@ -180,20 +187,21 @@
   }
 
   /**
-   * Groups that began to serve a short while ago.
+   * Returns the groups that have recently started to serve.
    *
-   * @return the groups; empty when this daemon does not lead
+   * @return groups; empty if this daemon is not the leader
    */
   public List<PeerNote.ServingGroup> recentlyOpened() {
     GroupPlanner current = planner;
     List<PeerNote.ServingGroup> opened = new ArrayList<>();
     if (current != null) {
-      current.recent().opened().forEach((key, model) -> addOpened(opened, key, model));
+      current.recent().opened().forEach((key, model) -> addRecentlyOpened(opened, key, model));
     }
     return opened;
   }
 
-  private static void addOpened(List<PeerNote.ServingGroup> opened, GroupKey key, String model) {
+  private static void addRecentlyOpened(
+      List<PeerNote.ServingGroup> opened, GroupKey key, String model) {
     String head = key.head();
     if (head != null) {
       opened.add(new PeerNote.ServingGroup(head, key.name(), key.epoch(), model));
@@ -201,9 +209,9 @@
   }
 
   /**
-   * Heads whose groups are being taken apart since a short while ago.
+   * Returns the heads whose groups have recently started to dissolve.
    *
-   * @return the heads as {@code ID@EPOCH}; empty when this daemon does not lead
+   * @return heads as {@code ID@EPOCH}; empty if this daemon is not the leader
    */
   public List<String> recentlyClosed() {
     GroupPlanner current = planner;
@@ -215,9 +223,9 @@
   }
 
   /**
-   * Orders sent so far.
+   * Returns the number of orders sent.
    *
-   * @return their number
+   * @return number of orders, without requests for reports
    */
   public long sent() {
     return sender.sent();
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/OrderSender.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/OrderSender.java
@@ -14,7 +14,7 @@
 import org.fawnvale.serving.spi.Platform;
 import org.jspecify.annotations.Nullable;
 
-/** Sends orders to nodes and tells what came of each. */
+/** Sends orders to nodes and reports the outcome of each. */
 final class OrderSender {
 
   private static final Logger LOG = LogManager.getLogger("formation");
@@ -57,44 +57,44 @@
   }
 
   /**
-   * Asks a node for its report.
+   * Requests a report from a node.
    *
-   * @param question the question
-   * @param held told when it was not sent, since the node rests: that says nothing of the node
-   * @param done told of the report; null when none came
+   * @param reportOrder order of kind {@code REPORT}
+   * @param held receives the order if it was not sent because the node is in a Retry-After pause
+   * @param done receives the order and the report, or null if no valid report was received
    */
   void report(
-      GroupOrder question,
+      GroupOrder reportOrder,
       Consumer<GroupOrder> held,
       BiConsumer<GroupOrder, @Nullable NodeReport> done) {
     client.call(
-        question.node(),
-        platform.order(question),
+        reportOrder.node(),
+        platform.order(reportOrder),
         REPORT_MILLIS,
         reply -> {
           if (isHeld(reply)) {
-            held.accept(question);
+            held.accept(reportOrder);
             return;
           }
           NodeReport report = read(reply);
-          logReport(question, report);
-          done.accept(question, report);
+          logReport(reportOrder, report);
+          done.accept(reportOrder, report);
         });
   }
 
-  private static void logReport(GroupOrder question, @Nullable NodeReport report) {
-    String node = question.node().id();
+  private static void logReport(GroupOrder reportOrder, @Nullable NodeReport report) {
+    String node = reportOrder.node().id();
     if (report == null) {
       LOG.info("node={} order=REPORT outcome=UNKNOWN", node);
       return;
     }
-    Membership place = report.membership();
+    Membership membership = report.membership();
     LOG.info(
         "node={} order=REPORT outcome=DONE orders={} group={} state={}",
         node,
         report.orders(),
-        place == null ? "" : place.group(),
-        place == null ? "" : place.state());
+        membership == null ? "" : membership.group(),
+        membership == null ? "" : membership.state());
   }
 
   private @Nullable NodeReport read(WholeCall.Reply reply) {
@@ -104,7 +104,7 @@
     try {
       return platform.report(answer.body());
     } catch (IOException e) {
-      LOG.warn("A report can't be read: {}.", e.toString());
+      LOG.warn("Ignoring a malformed node report: {}.", e.toString());
       return null;
     }
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/package-info.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/package-info.java
@@ -1,4 +1,4 @@
-/** Sends the group planner's orders. */
+/** Runs the group planner and sends its orders to nodes. */
 @NullMarked
 package org.fawnvale.serving.formation;
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/CallerExchange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/CallerExchange.java
@@ -24,7 +24,7 @@
 import org.fawnvale.serving.http.ServerExchange;
 import org.jspecify.annotations.Nullable;
 
-/** One request on a caller's connection: reads it whole, then writes what the forwarder gives. */
+/** Buffers one request of a caller, hands it to the gateway and writes the response. */
 final class CallerExchange implements ServerExchange, CallerResponse {
 
   private static final Logger LOG = LogManager.getLogger("gateway");
@@ -37,11 +37,11 @@
   private @Nullable HttpContext context;
   private @Nullable DataStreamChannel output;
   private @Nullable Forwarder forwarder;
-  private boolean started;
-  private boolean ended;
+  private boolean requestComplete;
+  private boolean responseComplete;
   private boolean endSent;
   private boolean aborted;
-  private boolean over;
+  private boolean closed;
 
   CallerExchange(Gateway gateway) {
     this.gateway = gateway;
@@ -53,7 +53,7 @@
       @Nullable EntityDetails details,
       ResponseChannel channel,
       HttpContext httpContext) {
-    synchronized (gateway.guard()) {
+    synchronized (gateway.lock()) {
       request = received;
       responses = channel;
       context = httpContext;
@@ -70,13 +70,13 @@
 
   @Override
   public void consume(ByteBuffer data) {
-    synchronized (gateway.guard()) {
-      if (started) {
+    synchronized (gateway.lock()) {
+      if (requestComplete) {
         return;
       }
       if (body.size() + data.remaining() > gateway.maxBodyBytes()) {
-        started = true;
-        whole(413, List.of(), new byte[0]);
+        requestComplete = true;
+        respond(413, List.of(), new byte[0]);
         return;
       }
       byte[] part = new byte[data.remaining()];
@@ -87,48 +87,48 @@
 
   @Override
   public void streamEnd(@Nullable List<? extends Header> trailers) {
-    synchronized (gateway.guard()) {
-      if (!started) {
+    synchronized (gateway.lock()) {
+      if (!requestComplete) {
         start();
       }
     }
   }
 
   private void start() {
-    started = true;
+    requestComplete = true;
     HttpRequest received = request;
     long receivedNanos = System.nanoTime();
     if (received != null) {
-      gateway.whenFleetIsKnown(() -> forward(received, receivedNanos));
+      gateway.whenFleetKnown(() -> forward(received, receivedNanos));
     }
   }
 
   private void forward(HttpRequest received, long receivedNanos) {
-    if (!over) {
+    if (!closed) {
       forwarder = gateway.forward(received, body.toByteArray(), this, receivedNanos);
     }
   }
 
   @Override
-  public void whole(int status, List<Header> headers, byte[] content) {
-    if (over || ended) {
+  public void respond(int status, List<Header> headers, byte[] content) {
+    if (closed || responseComplete) {
       return;
     }
-    ended = true;
+    responseComplete = true;
     if (content.length > 0) {
       pending.add(ByteBuffer.wrap(content));
     }
-    respond(status, headers, content.length > 0 ? content.length : 0);
+    sendHead(status, headers, content.length > 0 ? content.length : 0);
   }
 
   @Override
   public void begin(int status, List<Header> headers) {
-    respond(status, headers, -1);
+    sendHead(status, headers, -1);
   }
 
-  private void respond(int status, List<Header> headers, long length) {
+  private void sendHead(int status, List<Header> headers, long length) {
     ResponseChannel channel = responses;
-    if (channel == null || over) {
+    if (channel == null || closed) {
       return;
     }
     HttpResponse response = new BasicHttpResponse(status);
@@ -147,14 +147,14 @@
     try {
       channel.sendResponse(response, details, context);
     } catch (HttpException | IOException e) {
-      LOG.debug("An answer could not be given: {}.", e.toString());
-      over = true;
+      LOG.debug("The response head could not be sent to the caller: {}.", e.toString());
+      closed = true;
     }
   }
 
   @Override
   public void write(byte[] part) {
-    if (over || ended || part.length == 0) {
+    if (closed || responseComplete || part.length == 0) {
       return;
     }
     pending.add(ByteBuffer.wrap(part));
@@ -163,8 +163,8 @@
 
   @Override
   public void end() {
-    if (!over) {
-      ended = true;
+    if (!closed) {
+      responseComplete = true;
       flush();
     }
   }
@@ -173,30 +173,30 @@
   public void abort() {
     aborted = true;
     DataStreamChannel channel = output;
-    if (channel != null && !over) {
+    if (channel != null && !closed) {
       channel.requestOutput();
     }
   }
 
   @Override
   public int available() {
-    synchronized (gateway.guard()) {
+    synchronized (gateway.lock()) {
       int bytes = 0;
       for (ByteBuffer part : pending) {
         bytes += part.remaining();
       }
-      return bytes > 0 || !ended && !aborted ? bytes : 1;
+      return bytes > 0 || !responseComplete && !aborted ? bytes : 1;
     }
   }
 
   @Override
   public void produce(DataStreamChannel channel) throws IOException {
-    synchronized (gateway.guard()) {
+    synchronized (gateway.lock()) {
       output = channel;
       if (aborted) {
-        throw new IOException("The answer is broken off.");
+        throw new IOException("The response was aborted before it was complete.");
       }
-      drain(channel);
+      writePending(channel);
     }
   }
 
@@ -206,13 +206,13 @@
       return;
     }
     try {
-      drain(channel);
+      writePending(channel);
     } catch (IOException e) {
-      LOG.debug("An answer could not be passed on: {}.", e.toString());
+      LOG.debug("The response body could not be written to the caller: {}.", e.toString());
     }
   }
 
-  private void drain(DataStreamChannel channel) throws IOException {
+  private void writePending(DataStreamChannel channel) throws IOException {
     while (!pending.isEmpty()) {
       ByteBuffer part = pending.peekFirst();
       channel.write(part);
@@ -222,7 +222,7 @@
       }
       pending.removeFirst();
     }
-    if (ended && !endSent) {
+    if (responseComplete && !endSent) {
       endSent = true;
       channel.endStream();
     }
@@ -230,35 +230,35 @@
 
   @Override
   public boolean owesAnswer() {
-    synchronized (gateway.guard()) {
-      return !over && started && !ended;
+    synchronized (gateway.lock()) {
+      return !closed && requestComplete && !responseComplete;
     }
   }
 
   @Override
   public void callerClosed() {
-    callerGone();
+    callerDisconnected();
   }
 
   @Override
   public void failed(Exception cause) {
-    callerGone();
+    callerDisconnected();
   }
 
   @Override
   public void releaseResources() {
-    callerGone();
+    callerDisconnected();
   }
 
-  private void callerGone() {
-    synchronized (gateway.guard()) {
-      if (over) {
+  private void callerDisconnected() {
+    synchronized (gateway.lock()) {
+      if (closed) {
         return;
       }
-      over = true;
+      closed = true;
       Forwarder running = forwarder;
-      if (running != null && !ended) {
-        running.callerGone();
+      if (running != null && !responseComplete) {
+        running.callerDisconnected();
       }
     }
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/CallerRequest.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/CallerRequest.java
@@ -9,18 +9,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A caller's request that may be forwarded.
+ * A caller's request that has passed the checks and may be forwarded.
  *
- * @param id its id
- * @param head its head
- * @param body its body
- * @param route its route
- * @param demand what it asks of the dispatcher
- * @param size how much work it is
- * @param workspace the workspace behind its key; null when the route needs none
- * @param version the version of the configuration that decided so
- * @param receivedNanos when it was whole, by the steady clock
- * @param untilNanos when it must be answered, by the steady clock
+ * @param id id of this attempt of the caller
+ * @param head request line and headers
+ * @param body complete body
+ * @param route matching route
+ * @param demand what the dispatcher needs to choose an upstream
+ * @param size size that the request states
+ * @param workspace workspace of the caller's key; null when the key is unknown and not required
+ * @param configurationVersion version of the configuration that the route comes from
+ * @param receivedNanos time at which the request was complete, by {@link System#nanoTime}
+ * @param deadlineNanos time by which the caller must have the response, by the same clock
  */
 record CallerRequest(
     String id,
@@ -30,11 +30,11 @@
     Demand demand,
     RequestSize size,
     @Nullable Workspace workspace,
-    long version,
+    long configurationVersion,
     long receivedNanos,
-    long untilNanos) {
+    long deadlineNanos) {
 
-  /** What its repeats have in common with it; made anew with each call. */
+  /** Computes the fingerprint that all repeats of the request share; not cached. */
   Fingerprint fingerprint() {
     return Fingerprints.of(head, body, workspace);
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/CallerResponse.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/CallerResponse.java
@@ -3,36 +3,29 @@
 import java.util.List;
 import org.apache.hc.core5.http.Header;
 
-/** The answer to a caller, as the forwarder gives it. */
+/** Writes the response to a caller. */
 interface CallerResponse {
 
   /**
-   * Gives a whole answer.
+   * Sends a complete response.
    *
-   * @param status its status
-   * @param headers its headers, without those that frame the body
-   * @param body its body
+   * @param headers headers, without those that frame the body
    */
-  void whole(int status, List<Header> headers, byte[] body);
+  void respond(int status, List<Header> headers, byte[] body);
 
   /**
-   * Begins an answer whose body follows in parts.
+   * Sends the head of a response whose body follows in parts.
    *
-   * @param status its status
-   * @param headers its headers, without those that frame the body
+   * @param headers headers, without those that frame the body
    */
   void begin(int status, List<Header> headers);
 
-  /**
-   * Passes a part of the body on.
-   *
-   * @param part the part
-   */
+  /** Writes the next part of the body. */
   void write(byte[] part);
 
-  /** Ends the answer as complete. */
+  /** Ends the response as complete. */
   void end();
 
-  /** Breaks the answer off, so that the caller sees that it is not complete. */
+  /** Aborts the response so that the caller can detect that it is incomplete. */
   void abort();
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/EventSplitter.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/EventSplitter.java
@@ -6,25 +6,24 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Cuts a stream of events where one ends, so that only whole events are passed on. An event ends
- * with an empty line; its id stands in a line that begins with {@code id:}.
+ * Splits a server-sent event stream at event boundaries so that only complete events are forwarded.
+ * An empty line ends an event; a line that begins with {@code id:} holds its id.
  */
 final class EventSplitter {
 
   private static final byte LINE_FEED = '\n';
-  private static final byte RETURN = '\r';
+  private static final byte CARRIAGE_RETURN = '\r';
   private static final byte[] ID = "id:".getBytes(StandardCharsets.US_ASCII);
-  private static final int FIRST_CAPACITY = 256;
+  private static final int INITIAL_CAPACITY = 256;
 
-  private byte[] buffer = new byte[FIRST_CAPACITY];
+  private byte[] buffer = new byte[INITIAL_CAPACITY];
   private int length;
   private @Nullable String lastId;
 
   /**
-   * Adds bytes and takes out the whole events that are there.
+   * Appends bytes and removes the events that are complete.
    *
-   * @param data the bytes
-   * @return the whole events; empty when none is complete
+   * @return the complete events; empty when there is none
    */
   byte[] add(ByteBuffer data) {
     int count = data.remaining();
@@ -34,37 +33,29 @@
     data.get(buffer, length, count);
     length += count;
     int end = endOfLastEvent();
-    byte[] whole = Arrays.copyOf(buffer, end);
+    byte[] complete = Arrays.copyOf(buffer, end);
     if (end > 0) {
-      String id = lastIdIn(whole);
+      String id = findLastId(complete);
       lastId = id == null ? lastId : id;
       System.arraycopy(buffer, end, buffer, 0, length - end);
       length -= end;
     }
-    return whole;
+    return complete;
   }
 
-  /** Forgets an event that has not ended, since another upstream tells it again. */
-  void dropRest() {
+  /** Discards an incomplete event, because another upstream sends it again. */
+  void discardPartial() {
     length = 0;
   }
 
-  /**
-   * Takes what follows the last whole event.
-   *
-   * @return the bytes
-   */
-  byte[] rest() {
-    byte[] rest = Arrays.copyOf(buffer, length);
+  /** Removes and returns the bytes after the last complete event. */
+  byte[] takePartial() {
+    byte[] partial = Arrays.copyOf(buffer, length);
     length = 0;
-    return rest;
+    return partial;
   }
 
-  /**
-   * The id of the last whole event.
-   *
-   * @return the id; null when no event had one
-   */
+  /** Returns the id of the last complete event that had one; null when there was none. */
   @Nullable String lastId() {
     return lastId;
   }
@@ -79,19 +70,19 @@
   }
 
   private boolean endsEmptyLine(int index) {
-    int before = index - 1;
-    if (buffer[before] == RETURN) {
-      before--;
+    int previous = index - 1;
+    if (buffer[previous] == CARRIAGE_RETURN) {
+      previous--;
     }
-    return before >= 0 && buffer[before] == LINE_FEED;
+    return previous >= 0 && buffer[previous] == LINE_FEED;
   }
 
-  private static @Nullable String lastIdIn(byte[] events) {
+  private static @Nullable String findLastId(byte[] events) {
     String id = null;
     int start = 0;
     for (int index = 0; index < events.length; index++) {
       if (events[index] == LINE_FEED) {
-        if (beginsWithId(events, start, index)) {
+        if (startsWithId(events, start, index)) {
           int from = start + ID.length;
           id = new String(events, from, index - from, StandardCharsets.US_ASCII).trim();
         }
@@ -101,7 +92,7 @@
     return id;
   }
 
-  private static boolean beginsWithId(byte[] events, int start, int end) {
+  private static boolean startsWithId(byte[] events, int start, int end) {
     return end - start > ID.length
         && Arrays.equals(events, start, start + ID.length, ID, 0, ID.length);
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Fingerprints.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Fingerprints.java
@@ -11,29 +11,31 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Makes fingerprints of requests. It is done only for requests that are doubted, never for all: a
- * digest of 2 KB costs about as much as the reading of the request.
+ * Computes fingerprints of requests. The gateway computes one only for suspected requests, since
+ * hashing a body costs about as much as reading the request.
  */
 final class Fingerprints {
 
-  /** Part of every Java platform; callers can't make two requests with one fingerprint by it. */
+  /** A cryptographic hash that every Java platform supports. */
   private static final String ALGORITHM = "SHA-256";
 
   private Fingerprints() {}
 
   static Fingerprint of(HttpRequest head, byte[] body, @Nullable Workspace workspace) {
     MessageDigest digest = digest();
-    add(digest, workspace == null ? "" : workspace.name());
-    add(digest, head.getMethod());
+    update(digest, workspace == null ? "" : workspace.name());
+    update(digest, head.getMethod());
     String host = Headers.value(head, HttpHeaders.HOST);
-    add(digest, host == null ? "" : host);
-    add(digest, head.getRequestUri());
+    update(digest, host == null ? "" : host);
+    update(digest, head.getRequestUri());
     digest.update(body);
     return new Fingerprint(ByteBuffer.wrap(digest.digest()).getLong());
   }
 
-  /** Parts end with a byte that none of them holds, so that they can't be mistaken for others. */
-  private static void add(MessageDigest digest, String part) {
+  /**
+   * Terminates each part with a zero byte, which no part contains, to keep the input unambiguous.
+   */
+  private static void update(MessageDigest digest, String part) {
     digest.update(part.getBytes(StandardCharsets.UTF_8));
     digest.update((byte) 0);
   }
@@ -42,7 +44,8 @@
     try {
       return MessageDigest.getInstance(ALGORITHM);
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException(ALGORITHM + " is missing; use a complete Java runtime.", e);
+      throw new IllegalStateException(
+          ALGORITHM + " is not available; use a complete Java runtime.", e);
     }
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
@@ -26,8 +26,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One caller's request on its way: chooses upstreams, sends, repeats what may be repeated, takes a
- * stream up elsewhere, and gives exactly one final answer. All calls hold the guard.
+ * Forwards one request of a caller: chooses upstreams, retries where the route permits, resumes
+ * broken streams at other upstreams and gives the caller exactly one final response. Callers of the
+ * methods hold the lock.
  */
 final class Forwarder {
 
@@ -39,13 +40,15 @@
   private static final int SUCCESS = 200;
   private static final int MAX_REJECTIONS = 3;
 
-  /** Owners that are asked for leave for one request: each question keeps the caller waiting. */
-  private static final int MOST_QUESTIONS = 3;
+  /**
+   * Limit of the permit requests for one caller's request, since the caller waits for each reply.
+   */
+  private static final int MAX_PERMIT_REQUESTS = 3;
 
-  private static final int LOOK_AGAIN_MILLIS = 100;
-  private static final String BROKEN = "connection broken";
+  private static final int CHOICE_RETRY_MILLIS = 100;
+  private static final String CONNECTION_BROKEN = "connection broken";
   private static final String BARRED = "ends the nodes that run it";
-  private static final long PLACE_PATIENCE_NANOS = 1_500_000_000L;
+  private static final long UPSTREAM_WAIT_NANOS = 1_500_000_000L;
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
   private final Gateway gateway;
@@ -56,14 +59,14 @@
   private @Nullable Fingerprint fingerprint;
   private @Nullable Attempt attempt;
   private @Nullable ScheduledFuture<?> timeout;
-  private long placelessSinceNanos;
-  private int runs;
+  private long noUpstreamSinceNanos;
+  private int executedAttempts;
   private int rejections;
-  private int questions;
-  private boolean askedForTrial;
+  private int permitRequests;
+  private boolean trialRequested;
   private boolean mayHaveRun;
-  private boolean begun;
-  private boolean over;
+  private boolean callerResponseStarted;
+  private boolean finished;
   private long lastEventNanos;
   private int eventCount;
 
@@ -74,13 +77,13 @@
   }
 
   void start() {
-    long left = (request.untilNanos() - System.nanoTime()) / NANOS_PER_MILLI;
-    timeout = gateway.timers().after(left, this::expire);
-    next("first");
+    long remainingMillis = (request.deadlineNanos() - System.nanoTime()) / NANOS_PER_MILLI;
+    timeout = gateway.timers().after(remainingMillis, this::expire);
+    sendToNextUpstream("first");
   }
 
-  boolean isOver() {
-    return over;
+  boolean isFinished() {
+    return finished;
   }
 
   @Nullable Node upstream() {
@@ -88,11 +91,11 @@
     return running == null ? null : running.node;
   }
 
-  boolean streams() {
+  boolean isStreaming() {
     return request.route().kind() == RouteKind.STREAMING;
   }
 
-  /** What repeats of the request have in common with it; made when it is first asked for. */
+  /** Returns the fingerprint that all repeats of the request share; computed on first use. */
   Fingerprint fingerprint() {
     Fingerprint made = fingerprint;
     if (made == null) {
@@ -102,188 +105,201 @@
     return made;
   }
 
-  /** Gives the request up, wherever it is: it has been found to end the nodes that run it. */
-  void bar() {
-    if (over) {
+  /** Cancels the request because it is barred: it crashes the nodes that run it. */
+  void abortAsBarred() {
+    if (finished) {
       return;
     }
     Attempt running = attempt;
     if (running != null) {
-      running.giveUp(false);
+      running.cancel(false);
       mayHaveRun = true;
     }
     refuse(BARRED);
   }
 
-  private void next(String why) {
+  private void sendToNextUpstream(String reason) {
     if (gateway.quarantine().isBarred(this)) {
-      tryOrRefuse(why);
+      requestTrialOrRefuse(reason);
       return;
     }
     Choice choice = gateway.dispatcher().choose(demand(), tried);
     if (choice instanceof Choice.Refuse refuse) {
-      if (mayWaitForPlace()) {
+      if (mayWaitForUpstream()) {
         attempt = null;
-        gateway.timers().after(LOOK_AGAIN_MILLIS, () -> lookAgain(why));
+        gateway.timers().after(CHOICE_RETRY_MILLIS, () -> retryChoice(reason));
       } else {
         refuse(refuse.reason());
       }
       return;
     }
-    placelessSinceNanos = 0;
+    noUpstreamSinceNanos = 0;
     Choice.Send send = (Choice.Send) choice;
     if (send.mustAsk()) {
-      askForLeave(send.node(), why);
+      requestPermit(send.node(), reason);
     } else {
-      send(send.node(), why);
+      send(send.node(), reason);
     }
   }
 
   /**
-   * One of all that ask for a barred request may try it once more after a while, wherever it is.
+   * Requests a trial for a barred request. The daemon that owns the request grants a trial to one
+   * of the daemons that ask, after the request has been barred for a while.
    */
-  private void tryOrRefuse(String why) {
-    boolean mayAsk = !askedForTrial && gateway.quarantine().isWorthATrial(this);
-    if (!mayAsk) {
+  private void requestTrialOrRefuse(String reason) {
+    boolean mayRequestTrial = !trialRequested && gateway.quarantine().mayRequestTrial(this);
+    if (!mayRequestTrial) {
       refuse(BARRED);
       return;
     }
-    askedForTrial = true;
+    trialRequested = true;
     attempt = null;
-    gateway.quarantine().askForTrial(this, granted -> goOnAfterTrialQuestion(why));
+    gateway.quarantine().requestTrial(this, granted -> continueAfterTrialReply(reason));
   }
 
-  private void goOnAfterTrialQuestion(String why) {
-    if (!over) {
-      next(why);
+  private void continueAfterTrialReply(String reason) {
+    if (!finished) {
+      sendToNextUpstream(reason);
     }
   }
 
   /**
-   * Another daemon spends the limit of the only nodes that have room. Without leave the node has no
-   * room for a while, so the next choice is another one.
+   * Requests a permit from the daemon that owns the node's limit. A denial marks the node as full
+   * for a while, so the next choice is another node.
    */
-  private void askForLeave(Node node, String why) {
+  private void requestPermit(Node node, String reason) {
     attempt = null;
-    if (questions == MOST_QUESTIONS) {
+    if (permitRequests == MAX_PERMIT_REQUESTS) {
       refuse("every upstream is at its limit");
       return;
     }
-    questions++;
-    gateway.permitRequester().ask(node, granted -> goOnAfterQuestion(node, why, granted));
+    permitRequests++;
+    gateway
+        .permitRequester()
+        .request(node, granted -> continueAfterPermitReply(node, reason, granted));
   }
 
-  private void goOnAfterQuestion(Node node, String why, boolean granted) {
-    if (over) {
+  private void continueAfterPermitReply(Node node, String reason, boolean granted) {
+    if (finished) {
       return;
     }
     if (granted) {
-      send(node, why);
+      send(node, reason);
     } else {
-      next(why);
+      sendToNextUpstream(reason);
     }
   }
 
   /**
-   * A request whose work was cut off can't be refused any more: while its caller would still take
-   * the rest, it waits for a place elsewhere. Groups are formed anew in about a second.
+   * Returns whether an interrupted request may wait for another upstream. The gateway can no longer
+   * refuse it as not run, and a replacement group usually forms in about a second.
    */
-  private boolean mayWaitForPlace() {
-    if (runs == 0 || !request.route().repeatable()) {
+  private boolean mayWaitForUpstream() {
+    if (executedAttempts == 0 || !request.route().repeatable()) {
       return false;
     }
     long now = System.nanoTime();
-    if (placelessSinceNanos == 0) {
-      placelessSinceNanos = now;
+    if (noUpstreamSinceNanos == 0) {
+      noUpstreamSinceNanos = now;
     }
-    return now - placelessSinceNanos < PLACE_PATIENCE_NANOS;
+    return now - noUpstreamSinceNanos < UPSTREAM_WAIT_NANOS;
   }
 
-  private void lookAgain(String why) {
-    if (!over) {
-      next(why);
+  private void retryChoice(String reason) {
+    if (!finished) {
+      sendToNextUpstream(reason);
     }
   }
 
   private Demand demand() {
-    return runs > 0 ? request.demand().returning() : request.demand();
+    return executedAttempts > 0 ? request.demand().returning() : request.demand();
   }
 
-  private void send(Node node, String why) {
+  private void send(Node node, String reason) {
     tried.add(node.id());
     Attempt sent = new Attempt(node);
     attempt = sent;
-    gateway.log().sent(request, node, why, runs + rejections);
-    gateway.quarantine().sent(this);
+    gateway.log().sent(request, node, reason, executedAttempts + rejections);
+    gateway.quarantine().recordSend(this);
     sent.state.sent(System.nanoTime());
-    sent.exchange = gateway.client().send(node, outgoing(node), request.body(), sent);
+    sent.exchange = gateway.client().send(node, upstreamRequest(node), request.body(), sent);
   }
 
-  private BasicHttpRequest outgoing(Node node) {
+  private BasicHttpRequest upstreamRequest(Node node) {
     HeaderNames names = gateway.headers();
-    BasicHttpRequest out =
+    BasicHttpRequest outgoing =
         new BasicHttpRequest(request.head().getMethod(), request.head().getRequestUri());
-    for (Header header : Headers.passing(request.head())) {
-      if (!gateway.setsItself(header.getName().toLowerCase(Locale.ROOT))) {
-        out.addHeader(header);
+    for (Header header : Headers.endToEnd(request.head())) {
+      if (!gateway.isSetByGateway(header.getName().toLowerCase(Locale.ROOT))) {
+        outgoing.addHeader(header);
       }
     }
-    long left = Math.max(1, (request.untilNanos() - System.nanoTime()) / NANOS_PER_MILLI);
-    out.addHeader(names.deadline(), String.valueOf(left));
-    out.addHeader(names.expectedNode(), node.id());
+    long remainingMillis =
+        Math.max(1, (request.deadlineNanos() - System.nanoTime()) / NANOS_PER_MILLI);
+    outgoing.addHeader(names.deadline(), String.valueOf(remainingMillis));
+    outgoing.addHeader(names.expectedNode(), node.id());
     if (request.workspace() != null) {
-      out.addHeader(names.workspace(), request.workspace().name());
+      outgoing.addHeader(names.workspace(), request.workspace().name());
     }
     String lastEvent = events.lastId();
     if (lastEvent != null) {
-      out.setHeader(names.lastEvent(), lastEvent);
+      outgoing.setHeader(names.lastEvent(), lastEvent);
     }
-    out.addHeader(names.priority(), String.valueOf(gateway.rank(request)));
-    return out;
+    outgoing.addHeader(names.priority(), String.valueOf(gateway.rank(request)));
+    return outgoing;
   }
 
-  /** Takes the stream up elsewhere, since its upstream stands still. */
-  boolean moveAway(String why) {
+  /**
+   * Moves the stream to another upstream because its own is stalled.
+   *
+   * @return whether the stream was moved
+   */
+  boolean moveToAnotherUpstream(String reason) {
     Attempt running = attempt;
     Route route = request.route();
-    if (over || running == null || !route.repeatable() || runs + 1 >= route.maxAttempts()) {
+    if (finished
+        || running == null
+        || !route.repeatable()
+        || executedAttempts + 1 >= route.maxAttempts()) {
       return false;
     }
     Choice choice = gateway.dispatcher().choose(request.demand().returning(), tried);
-    boolean surelyGoes = choice instanceof Choice.Send send && !send.mustAsk();
-    if (!surelyGoes || !gateway.takeRepeat(request.demand().service())) {
+    boolean canSendNow = choice instanceof Choice.Send send && !send.mustAsk();
+    if (!canSendNow || !gateway.takeRetry(request.demand().service())) {
       return false;
     }
-    runs++;
-    running.giveUp(true);
-    events.dropRest();
-    send(((Choice.Send) choice).node(), why);
+    executedAttempts++;
+    running.cancel(true);
+    events.discardPartial();
+    send(((Choice.Send) choice).node(), reason);
     return true;
   }
 
-  private void goOnAfterBreak() {
-    if (!over) {
-      retry(BROKEN, true);
+  private void retryAfterBreak() {
+    if (!finished) {
+      retry(CONNECTION_BROKEN, true);
     }
   }
 
-  private void retry(String why, boolean ran) {
+  private void retry(String reason, boolean attemptMayHaveRun) {
     Route route = request.route();
-    if (ran) {
-      runs++;
+    if (attemptMayHaveRun) {
+      executedAttempts++;
       mayHaveRun = true;
     } else {
       rejections++;
     }
     boolean allowed =
-        ran ? route.repeatable() && runs < route.maxAttempts() : rejections <= MAX_REJECTIONS;
-    if (allowed && gateway.takeRepeat(request.demand().service())) {
-      events.dropRest();
-      next(why);
+        attemptMayHaveRun
+            ? route.repeatable() && executedAttempts < route.maxAttempts()
+            : rejections <= MAX_REJECTIONS;
+    if (allowed && gateway.takeRetry(request.demand().service())) {
+      events.discardPartial();
+      sendToNextUpstream(reason);
     } else if (mayHaveRun) {
-      finish(BAD_GATEWAY, why);
+      finish(BAD_GATEWAY, reason);
     } else {
-      refuse(why);
+      refuse(reason);
     }
   }
 
@@ -292,13 +308,13 @@
       finish(BAD_GATEWAY, reason);
       return;
     }
-    if (begun) {
+    if (callerResponseStarted) {
       finish(BAD_GATEWAY, reason);
       return;
     }
     close();
     gateway.log().ended(request, UNAVAILABLE, reason, upstream(), eventCount);
-    caller.whole(
+    caller.respond(
         UNAVAILABLE,
         List.of(
             new BasicHeader(gateway.headers().requestId(), request.id()),
@@ -312,14 +328,16 @@
         : gateway.retryAfterMillis(request, tried);
   }
 
-  /** Ends the request without an upstream's answer: with a status, or by breaking it off. */
+  /**
+   * Ends the request without an upstream's response: sends a status or aborts a started response.
+   */
   private void finish(int status, String reason) {
     close();
     gateway.log().ended(request, status, reason, upstream(), eventCount);
-    if (begun) {
+    if (callerResponseStarted) {
       caller.abort();
     } else {
-      caller.whole(
+      caller.respond(
           status,
           List.of(new BasicHeader(gateway.headers().requestId(), request.id())),
           new byte[0]);
@@ -327,16 +345,16 @@
   }
 
   private void close() {
-    over = true;
+    finished = true;
     ScheduledFuture<?> timer = timeout;
     if (timer != null) {
       timer.cancel(false);
     }
-    gateway.forget(this);
+    gateway.remove(this);
   }
 
   private void expire() {
-    if (over) {
+    if (finished) {
       return;
     }
     Attempt running = attempt;
@@ -344,36 +362,36 @@
       if (running.head == null) {
         gateway.client().distrust(running.node.endpoint());
       }
-      running.giveUp(false);
+      running.cancel(false);
       mayHaveRun = true;
     }
     finish(GATEWAY_TIMEOUT, "timeout");
   }
 
-  /** Ends the upstream's work, since the caller has left. */
-  void callerGone() {
-    if (over) {
+  /** Cancels the upstream exchange because the caller has disconnected. */
+  void callerDisconnected() {
+    if (finished) {
       return;
     }
     close();
     Attempt running = attempt;
     if (running != null) {
-      running.giveUp(false);
+      running.cancel(false);
     }
     gateway.log().ended(request, 0, "caller left", upstream(), eventCount);
   }
 
-  /** One sending of the request to one upstream. */
+  /** One attempt to run the request at one upstream. */
   private final class Attempt implements NodeListener {
     private final Node node;
     private final UpstreamState state;
-    private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private final long sentNanos = System.nanoTime();
     private @Nullable ClientExchange exchange;
     private @Nullable HttpResponse head;
-    private @Nullable NodeAnswer said;
+    private @Nullable NodeAnswer nodeResponse;
     private boolean streaming;
-    private boolean answerBegun;
+    private boolean responseStarted;
     private boolean done;
 
     Attempt(Node node) {
@@ -381,36 +399,36 @@
       this.state = gateway.dispatcher().state(node.id());
     }
 
-    void giveUp(boolean failed) {
+    void cancel(boolean failed) {
       if (done) {
         return;
       }
-      settle(failed);
+      recordEnd(failed);
       ClientExchange running = exchange;
       if (running != null) {
         running.cancel();
       }
     }
 
-    private void settle(boolean failed) {
+    private void recordEnd(boolean failed) {
       done = true;
-      state.ended(answerBegun, failed);
+      state.ended(responseStarted, failed);
     }
 
     @Override
-    public void head(HttpResponse answer, NodeAnswer told) {
-      head = answer;
-      said = told;
-      boolean success = answer.getCode() >= SUCCESS && answer.getCode() < REDIRECT;
-      streaming = streams() && success && isMine(answer);
+    public void head(HttpResponse response, NodeAnswer signals) {
+      head = response;
+      nodeResponse = signals;
+      boolean success = response.getCode() >= SUCCESS && response.getCode() < REDIRECT;
+      streaming = isStreaming() && success && matchesRequest(response);
       state.progressed(System.nanoTime());
     }
 
-    private boolean isMine(HttpResponse answer) {
+    private boolean matchesRequest(HttpResponse response) {
       HeaderNames names = gateway.headers();
-      String id = Headers.value(answer, names.requestId());
-      boolean signed = answer.containsHeader(names.signature());
-      return request.id().equals(id) && (signed || answer.getCode() >= REDIRECT);
+      String id = Headers.value(response, names.requestId());
+      boolean signed = response.containsHeader(names.signature());
+      return request.id().equals(id) && (signed || response.getCode() >= REDIRECT);
     }
 
     @Override
@@ -418,111 +436,115 @@
       if (!streaming) {
         byte[] part = new byte[data.remaining()];
         data.get(part);
-        whole.writeBytes(part);
+        body.writeBytes(part);
         return;
       }
       byte[] events = Forwarder.this.events.add(data);
       if (events.length > 0) {
-        pass(events);
+        forwardEvents(events);
       }
     }
 
-    private void pass(byte[] part) {
+    private void forwardEvents(byte[] part) {
       long now = System.nanoTime();
       gateway
-          .streams()
-          .sawEvent(node, state, now, answerBegun ? lastEventNanos : sentNanos, answerBegun);
+          .streamMonitor()
+          .recordEvent(
+              node, state, now, responseStarted ? lastEventNanos : sentNanos, responseStarted);
       state.progressed(now);
-      if (!answerBegun) {
-        answerBegun = true;
+      if (!responseStarted) {
+        responseStarted = true;
         state.began();
         state.tookRequest();
       }
       lastEventNanos = now;
       eventCount++;
-      beginCaller();
+      startCallerResponse();
       caller.write(part);
     }
 
-    private void beginCaller() {
-      HttpResponse answer = head;
-      if (!begun && answer != null) {
-        begun = true;
-        caller.begin(answer.getCode(), Headers.passing(answer));
-        gateway.log().firstPiece(request, node);
+    private void startCallerResponse() {
+      HttpResponse response = head;
+      if (!callerResponseStarted && response != null) {
+        callerResponseStarted = true;
+        caller.begin(response.getCode(), Headers.endToEnd(response));
+        gateway.log().firstResponsePart(request, node);
       }
     }
 
     @Override
     public void end() {
-      HttpResponse answer = head;
-      NodeAnswer told = said;
-      if (done || answer == null || told == null) {
+      HttpResponse response = head;
+      NodeAnswer signals = nodeResponse;
+      if (done || response == null || signals == null) {
         return;
       }
       if (streaming) {
         endStream();
-      } else if (told.notRun()) {
-        turnedAway(told);
+      } else if (signals.notRun()) {
+        handleRejection(signals);
       } else {
-        endWhole(answer);
+        completeResponse(response);
       }
     }
 
-    private void turnedAway(NodeAnswer told) {
-      settle(false);
+    private void handleRejection(NodeAnswer signals) {
+      recordEnd(false);
       state.turnedAway(System.nanoTime());
-      gateway.log().rejected(request, node, told);
-      retry("rejected with " + told.status(), false);
+      gateway.log().rejected(request, node, signals);
+      retry("rejected with " + signals.status(), false);
     }
 
     private void endStream() {
-      byte[] rest = events.rest();
-      settle(false);
-      gateway.quarantine().answered(Forwarder.this);
-      beginCaller();
-      caller.write(rest);
+      byte[] partial = events.takePartial();
+      recordEnd(false);
+      gateway.quarantine().recordSuccess(Forwarder.this);
+      startCallerResponse();
+      caller.write(partial);
       close();
       gateway.log().ended(request, SUCCESS, "complete", node, eventCount);
       caller.end();
     }
 
-    private void endWhole(HttpResponse answer) {
-      boolean mine = isMine(answer);
-      int status = answer.getCode();
-      settle(!mine || status >= SERVER_ERROR);
+    private void completeResponse(HttpResponse response) {
+      boolean matches = matchesRequest(response);
+      int status = response.getCode();
+      recordEnd(!matches || status >= SERVER_ERROR);
       state.tookRequest();
-      if (!mine) {
+      if (!matches) {
         retry("an answer that is not its own", true);
-      } else if (begun || status >= SERVER_ERROR && mayTryAgain()) {
+      } else if (callerResponseStarted || status >= SERVER_ERROR && mayRetryAfterError()) {
         retry("status " + status, true);
       } else {
         state.progressed(System.nanoTime());
         if (status < REDIRECT) {
-          gateway.quarantine().answered(Forwarder.this);
+          gateway.quarantine().recordSuccess(Forwarder.this);
         }
         close();
         gateway.log().ended(request, status, "answered", node, 1);
-        caller.whole(status, Headers.passing(answer), whole.toByteArray());
+        caller.respond(status, Headers.endToEnd(response), body.toByteArray());
       }
     }
 
-    private boolean mayTryAgain() {
+    private boolean mayRetryAfterError() {
       return request.route().repeatable()
-          && runs + 1 < request.route().maxAttempts()
+          && executedAttempts + 1 < request.route().maxAttempts()
           && gateway.dispatcher().choose(request.demand().returning(), tried)
               instanceof Choice.Send;
     }
 
-    /** A request that one more end bars goes on only once it is known that there was none. */
-    private void broke() {
+    /**
+     * Handles a broken connection. If one more node exit would bar the request, the retry waits
+     * until the probe has shown whether the node exited.
+     */
+    private void handleBreak() {
       mayHaveRun = true;
-      if (gateway.quarantine().isLastTry(Forwarder.this)) {
+      if (gateway.quarantine().isOneExitFromBarred(Forwarder.this)) {
         attempt = null;
-        gateway.quarantine().broke(fingerprint(), node, Forwarder.this::goOnAfterBreak);
+        gateway.quarantine().connectionBroke(fingerprint(), node, Forwarder.this::retryAfterBreak);
       } else {
-        gateway.quarantine().broke(fingerprint(), node, () -> {});
-        retry(BROKEN, true);
+        gateway.quarantine().connectionBroke(fingerprint(), node, () -> {});
+        retry(CONNECTION_BROKEN, true);
       }
     }
 
@@ -531,13 +553,13 @@
       if (done) {
         return;
       }
-      settle(failure != ClientListener.Failure.HELD);
+      recordEnd(failure != ClientListener.Failure.HELD);
       if (failure == ClientListener.Failure.HELD) {
-        next("held back");
+        sendToNextUpstream("held back");
       } else if (failure == ClientListener.Failure.BROKEN) {
         long runMillis = (System.nanoTime() - sentNanos) / NANOS_PER_MILLI;
         gateway.log().upstreamBroke(request, node, fingerprint(), runMillis, cause);
-        broke();
+        handleBreak();
       } else {
         gateway.log().upstreamUnreached(request, node, failure, cause);
         retry("not reached: " + failure, false);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -39,19 +39,19 @@
 import org.fawnvale.serving.spi.Platform;
 import org.jspecify.annotations.Nullable;
 
-/** What all requests share: routes, upstreams, budget, and the requests under way. */
+/** Accepts callers' requests and holds what they share: routes, upstreams, retry budgets. */
 public final class Gateway {
 
   private static final Logger LOG = LogManager.getLogger("gateway");
   private static final int DEFAULT_MAX_BODY = 1 << 20;
 
   /**
-   * Another daemon, or a place that is free, needs no waiting: a caller that is back this soon can
-   * still be answered in time.
+   * Retry-After where another daemon, or this one, can take the request at once. The caller still
+   * has time for a retry.
    */
   private static final int RETRY_AFTER_MILLIS = 60;
 
-  private static final int LOWEST_RANK = 9;
+  private static final int MAX_RANK = 9;
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
   private final Timers timers;
@@ -61,32 +61,32 @@
   private final Settings.Bounds bounds;
   private final Map<String, RetryBudget> budgets = new HashMap<>();
   private final Set<Forwarder> running = new LinkedHashSet<>();
-  private final Set<String> ownHeaders;
-  private final GatewayMetrics figures;
+  private final Set<String> gatewayHeaders;
+  private final GatewayMetrics metrics;
   private final RequestLog log;
-  private final StreamMonitor streams;
-  private final RequestQuarantine repeats;
+  private final StreamMonitor streamMonitor;
+  private final RequestQuarantine quarantine;
   private final OfferedWork offeredWork = new OfferedWork();
   private final ReturningCallers returningCallers = new ReturningCallers();
   private final ReturnTimes returnTimes = new ReturnTimes();
-  private final StartupRequestQueue early;
+  private final StartupRequestQueue startupQueue;
   private @Nullable RouteTable routes;
-  private PermitRequester permitRequester = (node, told) -> told.accept(false);
-  private int daemons = 1;
+  private PermitRequester permitRequester = (node, result) -> result.accept(false);
+  private int daemonCount = 1;
   private boolean draining;
-  private boolean refusing;
-  private boolean served;
-  private int splitTurn;
+  private boolean refusingNew;
+  private boolean requestReceived;
+  private int splitSequence;
 
   /**
    * Creates a gateway.
    *
-   * @param timers holds the guard
-   * @param client sends to upstreams
-   * @param platform names of headers
+   * @param timers runs delayed tasks and holds the lock
+   * @param client sends requests to nodes
+   * @param platform provides header names and parses headers
    * @param dispatcher chooses upstreams
-   * @param bounds times and rates promised
-   * @param figures counts what happens
+   * @param bounds limits from the daemon's settings
+   * @param metrics metrics of the gateway
    */
   public Gateway(
       Timers timers,
@@ -94,19 +94,19 @@
       Platform platform,
       Dispatcher dispatcher,
       Settings.Bounds bounds,
-      GatewayMetrics figures) {
+      GatewayMetrics metrics) {
     this.timers = timers;
     this.client = client;
     this.platform = platform;
     this.dispatcher = dispatcher;
     this.bounds = bounds;
-    this.figures = figures;
-    this.log = new RequestLog(figures, dispatcher);
-    this.streams = new StreamMonitor(dispatcher, figures);
-    this.repeats = new RequestQuarantine(client, dispatcher, figures, this::barred);
-    this.early = new StartupRequestQueue(timers, StartupRequestQueue.PATIENCE_MILLIS);
+    this.metrics = metrics;
+    this.log = new RequestLog(metrics, dispatcher);
+    this.streamMonitor = new StreamMonitor(dispatcher, metrics);
+    this.quarantine = new RequestQuarantine(client, dispatcher, metrics, this::cancelBarred);
+    this.startupQueue = new StartupRequestQueue(timers, StartupRequestQueue.MAX_WAIT_MILLIS);
     HeaderNames names = platform.headers();
-    this.ownHeaders =
+    this.gatewayHeaders =
         Set.of(
             lower(names.deadline()),
             lower(names.expectedNode()),
@@ -115,26 +115,27 @@
             lower(HttpHeaders.AUTHORIZATION));
   }
 
-  /** Asks the owner of a node's limit whether a request may be sent there. */
+  /** Requests permits from the daemons that own the limits of nodes. */
   @FunctionalInterface
   public interface PermitRequester {
 
     /**
-     * Asks for leave for one request.
+     * Requests a permit for one request.
      *
-     * @param node the node
-     * @param told told once, while the guard is held, whether the request may go
+     * @param node node that the request is for
+     * @param result receives whether the permit was granted; called once, with the lock held
      */
-    void ask(Node node, Consumer<Boolean> told);
+    void request(Node node, Consumer<Boolean> result);
   }
 
   /**
-   * Names who asks for leave where another daemon spends a node's limit; without it there is none.
+   * Sets what requests permits for nodes whose limits other daemons own. Until it is set, no permit
+   * is granted.
    *
-   * @param asker asks
+   * @param requester requests the permits
    */
-  public void setPermitRequester(PermitRequester asker) {
-    permitRequester = asker;
+  public void setPermitRequester(PermitRequester requester) {
+    permitRequester = requester;
   }
 
   PermitRequester permitRequester() {
@@ -146,46 +147,46 @@
   }
 
   /**
-   * Makes the handler of one request.
+   * Creates the handler of one request.
    *
-   * @return the handler
+   * @return a new handler
    */
   public AsyncServerExchangeHandler handler() {
     return new CallerExchange(this);
   }
 
   /**
-   * Puts routes in force.
+   * Replaces the routes.
    *
-   * @param table the routes
+   * @param table new routes
    */
   public void routes(RouteTable table) {
     routes = table;
   }
 
-  /** Tells that routes and upstreams are known: requests that came before are sent now. */
+  /** Forwards the requests that waited until routes and upstreams were known. */
   public void onFleetKnown() {
-    early.release();
+    startupQueue.release();
   }
 
   /**
-   * Tells how many daemons share the repeats.
+   * Sets how many daemons share the retry budgets.
    *
-   * @param count their number, this one included
+   * @param count number of daemons, this one included
    */
   public void setDaemonCount(int count) {
-    daemons = count;
+    daemonCount = count;
   }
 
-  /** Asks callers from now on not to use their connections again. */
+  /** Starts to announce with each response that the caller's connection closes after it. */
   public void drain() {
     draining = true;
   }
 
-  /** Refuses requests that come from now on: they could not end before the process does. */
+  /** Starts to refuse new requests, because the process exits before they could complete. */
   public void refuseNew() {
-    refusing = true;
-    early.release();
+    refusingNew = true;
+    startupQueue.release();
   }
 
   boolean isDraining() {
@@ -193,24 +194,24 @@
   }
 
   /**
-   * Requests that are under way.
+   * Returns the number of requests in flight.
    *
-   * @return their number
+   * @return number of requests that have not ended
    */
   public int inFlight() {
     return running.size();
   }
 
   /**
-   * Tells whether a request with a route has come.
+   * Returns whether any valid request has been received.
    *
-   * @return true once one has come
+   * @return true from the first request that was forwarded
    */
   public boolean hasReceivedRequest() {
-    return served;
+    return requestReceived;
   }
 
-  Object guard() {
+  Object lock() {
     return timers.guard();
   }
 
@@ -239,16 +240,18 @@
     return table == null ? DEFAULT_MAX_BODY : table.configuration().maxBodyBytes();
   }
 
-  /** When a caller that is refused may come back: soon only where there is room for it. */
+  /**
+   * Returns the Retry-After of a refused request; short only where an upstream could take it now.
+   */
   int retryAfterMillis(CallerRequest request, Set<String> tried) {
-    long left = (request.untilNanos() - System.nanoTime()) / NANOS_PER_MILLI;
+    long remainingMillis = (request.deadlineNanos() - System.nanoTime()) / NANOS_PER_MILLI;
     return dispatcher.choose(request.demand(), tried) instanceof Choice.Refuse refuse
-        ? returnTimes.next(left, refuse.restNanos() / NANOS_PER_MILLI)
+        ? returnTimes.next(remainingMillis, refuse.restNanos() / NANOS_PER_MILLI)
         : RETRY_AFTER_MILLIS;
   }
 
-  boolean setsItself(String lowerCaseName) {
-    return ownHeaders.contains(lowerCaseName);
+  boolean isSetByGateway(String lowerCaseName) {
+    return gatewayHeaders.contains(lowerCaseName);
   }
 
   static String seconds(int millis) {
@@ -259,44 +262,46 @@
     Workspace workspace = request.workspace();
     boolean ranked = workspace != null && workspace.priority() >= 0;
     int rank = ranked && workspace != null ? workspace.priority() : request.route().priority();
-    return Math.min(LOWEST_RANK, Math.max(0, rank));
+    return Math.min(MAX_RANK, Math.max(0, rank));
   }
 
-  /** Requests that wait until the daemon knows its fleet. */
-  int waitingForFleet() {
-    synchronized (guard()) {
-      return early.waiting();
+  /** Returns the number of requests that wait until the nodes are known. */
+  int queuedForFleet() {
+    synchronized (lock()) {
+      return startupQueue.queued();
     }
   }
 
-  /** Runs a request that has been read, at once or when the daemon knows its fleet. */
-  void whenFleetIsKnown(Runnable request) {
-    early.run(request);
+  /** Runs a received request as soon as the nodes are known. */
+  void whenFleetKnown(Runnable request) {
+    startupQueue.run(request);
   }
 
   @Nullable Forwarder forward(
       HttpRequest head, byte[] body, CallerResponse caller, long receivedNanos) {
     RouteTable table = routes;
     String id = Headers.value(head, headers().requestId());
-    if (table == null || refusing) {
-      answer(caller, id, 503, refusing ? "stopping" : "no configuration yet");
+    if (table == null || refusingNew) {
+      respondDirectly(caller, id, 503, refusingNew ? "stopping" : "no configuration yet");
       return null;
     }
     String host = Headers.value(head, HttpHeaders.HOST);
     Route route = host == null ? null : table.find(host, head.getRequestUri());
     if (route == null) {
-      answer(caller, id, 404, "no route, configuration " + table.configuration().version());
+      respondDirectly(
+          caller, id, 404, "no route, configuration " + table.configuration().version());
       return null;
     }
     if (id == null) {
-      answer(caller, null, 400, "the request names no id");
+      respondDirectly(caller, null, 400, "the request names no id");
       return null;
     }
     String authorization = Headers.value(head, HttpHeaders.AUTHORIZATION);
     String key = authorization == null ? null : platform.key(authorization);
     Workspace workspace = table.workspace(key);
     if (workspace == null && table.needsKey(route)) {
-      answer(caller, id, 401, "unknown key, configuration " + table.configuration().version());
+      respondDirectly(
+          caller, id, 401, "unknown key, configuration " + table.configuration().version());
       return null;
     }
     CallerRequest request =
@@ -311,19 +316,22 @@
             table.configuration().version(),
             receivedNanos,
             receivedNanos
-                + Math.min(route.timeoutMillis(), patienceMillis(head, route)) * NANOS_PER_MILLI);
-    noteOffered(request, table.configuration());
+                + Math.min(route.timeoutMillis(), callerTimeoutMillis(head, route))
+                    * NANOS_PER_MILLI);
+    recordOfferedWork(request, table.configuration());
     Forwarder forwarder = new Forwarder(this, request, caller);
     running.add(forwarder);
-    served = true;
+    requestReceived = true;
     budget(request.demand().service()).request(receivedNanos);
-    figures.received(request.route().name());
+    metrics.received(request.route().name());
     forwarder.start();
     return forwarder;
   }
 
-  /** Callers that come back have been counted before. */
-  private void noteOffered(CallerRequest request, Configuration configuration) {
+  /**
+   * Adds a request to the offered work, unless it is a caller's retry, which is counted already.
+   */
+  private void recordOfferedWork(CallerRequest request, Configuration configuration) {
     Demand demand = request.demand();
     ServiceSpec service = configuration.services().get(demand.service());
     EngineSpec engine = service == null ? null : service.engine();
@@ -335,17 +343,18 @@
   }
 
   /**
-   * The work that callers ask of each model at this daemon.
+   * Returns the work that callers offer this daemon.
    *
-   * @return by model, how many groups it would keep busy
+   * @return number of groups that the work would keep busy, by model
    */
   public Map<String, Double> offeredWork() {
     return offeredWork.groupsKeptBusy(System.nanoTime());
   }
 
-  private void answer(CallerResponse caller, @Nullable String id, int status, String reason) {
+  private void respondDirectly(
+      CallerResponse caller, @Nullable String id, int status, String reason) {
     LOG.info("request={} status={} reason={}", id, status, reason);
-    figures.ended("none", status, 0);
+    metrics.ended("none", status, 0);
     List<Header> headers = new ArrayList<>();
     if (id != null) {
       headers.add(new BasicHeader(headers().requestId(), id));
@@ -353,30 +362,34 @@
     if (status == 503) {
       headers.add(new BasicHeader(HttpHeaders.RETRY_AFTER, seconds(RETRY_AFTER_MILLIS)));
     }
-    caller.whole(status, headers, new byte[0]);
+    caller.respond(status, headers, new byte[0]);
   }
 
   private Demand demand(HttpRequest head, Route route) {
     String model = Headers.value(head, headers().model());
-    boolean returning = returningCallers.isReturning(route.name(), patienceMillis(head, route));
+    boolean returning =
+        returningCallers.isReturning(route.name(), callerTimeoutMillis(head, route));
     Demand.Claim claim = returning ? Demand.Claim.RETURNING : Demand.Claim.FIRST;
     return new Demand(service(route), model == null ? "" : model, claim);
   }
 
-  /** How long the caller will wait; as long as its route allows when it does not say so. */
-  private long patienceMillis(HttpRequest head, Route route) {
+  /** Returns how long the caller waits, by its deadline header or else the timeout of the route. */
+  private long callerTimeoutMillis(HttpRequest head, Route route) {
     String deadline = Headers.value(head, headers().deadline());
     if (deadline != null) {
       try {
         return Long.parseLong(deadline.trim());
       } catch (NumberFormatException e) {
-        LOG.debug("A deadline can't be read and counts as absent: {}.", deadline);
+        LOG.debug("Ignoring an invalid deadline header: {}.", deadline);
       }
     }
     return route.timeoutMillis();
   }
 
-  /** Spreads requests over the services of a route by their weights, evenly in turn. */
+  /**
+   * Distributes requests evenly over the services of a route by weight, with a low-discrepancy
+   * sequence.
+   */
   private String service(Route route) {
     List<Route.Destination> destinations = route.destinations();
     if (destinations.size() == 1) {
@@ -386,9 +399,9 @@
     for (Route.Destination destination : destinations) {
       total += destination.weight();
     }
-    splitTurn++;
+    splitSequence++;
     double golden = 0.618_033_988_75;
-    double point = total * (splitTurn * golden - Math.floor(splitTurn * golden));
+    double point = total * (splitSequence * golden - Math.floor(splitSequence * golden));
     for (Route.Destination destination : destinations) {
       point -= destination.weight();
       if (point < 0) {
@@ -408,13 +421,13 @@
                 bounds.retryWindowMillis() * NANOS_PER_MILLI));
   }
 
-  boolean takeRepeat(String service) {
-    boolean taken = budget(service).take(daemons, System.nanoTime());
-    figures.repeat(taken);
+  boolean takeRetry(String service) {
+    boolean taken = budget(service).take(daemonCount, System.nanoTime());
+    metrics.retry(taken);
     return taken;
   }
 
-  void forget(Forwarder forwarder) {
+  void remove(Forwarder forwarder) {
     running.remove(forwarder);
   }
 
@@ -422,40 +435,40 @@
     return log;
   }
 
-  StreamMonitor streams() {
-    return streams;
+  StreamMonitor streamMonitor() {
+    return streamMonitor;
   }
 
   /**
-   * What is known of requests that end the nodes that run them.
+   * Returns the quarantine of requests that crash nodes.
    *
-   * @return the guard against their repeats
+   * @return the quarantine
    */
   public RequestQuarantine quarantine() {
-    return repeats;
+    return quarantine;
   }
 
   /**
-   * Gives up what is under way of a request that is barred from now on. It may be waiting at a node
-   * that has not begun to run it: up to 0.8 s in a bad moment.
+   * Cancels the attempts of a request that has just been barred. A node may have queued the request
+   * without running it yet.
    */
-  private void barred(Fingerprint fingerprint) {
+  private void cancelBarred(Fingerprint fingerprint) {
     for (Forwarder forwarder : List.copyOf(running)) {
       if (forwarder.fingerprint().equals(fingerprint)) {
-        forwarder.bar();
+        forwarder.abortAsBarred();
       }
     }
   }
 
   /**
-   * Looks for heads that stand still, and takes their streams up elsewhere.
+   * Detects stalled heads and moves their streams to other upstreams.
    *
-   * @param peerSuspects heads that other daemons hold to be standing still
+   * @param peerSuspects ids of the heads that other daemons suspect of a stall
    */
   public void checkStreams(Set<String> peerSuspects) {
     RouteTable table = routes;
     if (table != null) {
-      streams.look(running, table.configuration(), peerSuspects);
+      streamMonitor.check(running, table.configuration(), peerSuspects);
     }
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/GatewayMetrics.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/GatewayMetrics.java
@@ -16,9 +16,9 @@
   private final Map<String, DistributionSummary> histograms = new HashMap<>();
 
   /**
-   * Creates the figures.
+   * Creates the metrics.
    *
-   * @param registry holds them
+   * @param registry registry that holds them
    */
   public GatewayMetrics(MeterRegistry registry) {
     this.registry = registry;
@@ -33,25 +33,25 @@
     record("fawnvale.answer.ms", "route", route, millis);
   }
 
-  void firstPiece(String route, long millis) {
+  void firstResponsePart(String route, long millis) {
     record("fawnvale.first.piece.ms", "route", route, millis);
   }
 
-  void event(@Nullable String model, boolean between, long millis) {
-    String name = between ? "fawnvale.event.gap.ms" : "fawnvale.first.event.ms";
+  void event(@Nullable String model, boolean betweenEvents, long millis) {
+    String name = betweenEvents ? "fawnvale.event.gap.ms" : "fawnvale.first.event.ms";
     record(name, "model", model == null ? "none" : model, millis);
   }
 
-  void repeat(boolean taken) {
+  void retry(boolean taken) {
     count("fawnvale.repeats", "outcome", taken ? "sent" : "over_budget");
   }
 
-  void quarantine(Quarantine quarantine) {
+  void registerQuarantine(Quarantine quarantine) {
     registry.gauge("fawnvale.quarantine.records", quarantine, Quarantine::size);
     registry.gauge("fawnvale.quarantine.barred", quarantine, Quarantine::barred);
   }
 
-  void ended(boolean barred) {
+  void nodeExit(boolean barred) {
     count("fawnvale.ends.under.requests", "outcome", barred ? "barred" : "noted");
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Headers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Headers.java
@@ -8,10 +8,10 @@
 import org.apache.hc.core5.http.HttpMessage;
 import org.jspecify.annotations.Nullable;
 
-/** Headers that may pass from one connection to the next. */
+/** Selects the headers that the gateway forwards. */
 final class Headers {
 
-  private static final Set<String> SINGLE_CONNECTION =
+  private static final Set<String> NOT_FORWARDED =
       Set.of(
           "connection",
           "keep-alive",
@@ -28,25 +28,23 @@
   private Headers() {}
 
   /**
-   * The headers that concern more than a single connection.
-   *
-   * @param message the message
-   * @return its headers without those of the connection and those that it names as such
+   * Returns the end-to-end headers of a message: all but the hop-by-hop headers, those that its
+   * {@code Connection} header lists, {@code Content-Length} and {@code Expect}.
    */
-  static List<Header> passing(HttpMessage message) {
-    String named = value(message, "Connection");
+  static List<Header> endToEnd(HttpMessage message) {
+    String connection = value(message, "Connection");
     Set<String> dropped =
-        named == null
+        connection == null
             ? Set.of()
-            : Set.of(named.toLowerCase(Locale.ROOT).replace(" ", "").split(","));
-    List<Header> passing = new ArrayList<>();
+            : Set.of(connection.toLowerCase(Locale.ROOT).replace(" ", "").split(","));
+    List<Header> endToEnd = new ArrayList<>();
     for (Header header : message.getHeaders()) {
       String name = header.getName().toLowerCase(Locale.ROOT);
-      if (!SINGLE_CONNECTION.contains(name) && !dropped.contains(name)) {
-        passing.add(header);
+      if (!NOT_FORWARDED.contains(name) && !dropped.contains(name)) {
+        endToEnd.add(header);
       }
     }
-    return passing;
+    return endToEnd;
   }
 
   static @Nullable String value(HttpMessage message, String name) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/NodeExitProbe.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/NodeExitProbe.java
@@ -10,10 +10,9 @@
 import org.fawnvale.serving.http.NodeClient;
 
 /**
- * Finds out whether a node whose connection broke has ended: then nothing listens at its address. A
- * broken connection alone says little: up to four in ten answers are lost that way while networks
- * are in trouble, and five harmless requests were held guilty within four seconds (semilla-viva, a
- * day with lost answers). One look at an address serves all that wait for it.
+ * Determines whether a node whose connection broke has exited, which is the case when nothing
+ * listens at its address. A broken connection alone is no proof: an unreliable network breaks
+ * connections to running nodes as well. Callers that ask for the same address share a probe.
  */
 final class NodeExitProbe {
 
@@ -24,34 +23,38 @@
     this.client = client;
   }
 
-  /** Tells whether the process at an address has ended by now. */
-  void ask(Endpoint endpoint, Consumer<Boolean> told) {
-    List<Consumer<Boolean>> others = waiting.get(endpoint);
-    if (others != null) {
-      others.add(told);
+  /**
+   * Probes an address.
+   *
+   * @param result receives whether the process at the address has exited
+   */
+  void probe(Endpoint endpoint, Consumer<Boolean> result) {
+    List<Consumer<Boolean>> callbacks = waiting.get(endpoint);
+    if (callbacks != null) {
+      callbacks.add(result);
     } else {
-      look(endpoint, List.of(told));
+      startProbe(endpoint, List.of(result));
     }
   }
 
-  private void look(Endpoint endpoint, List<Consumer<Boolean>> asked) {
+  private void startProbe(Endpoint endpoint, List<Consumer<Boolean>> callbacks) {
     waiting.put(endpoint, new ArrayList<>());
-    client.look(endpoint, listening -> tell(endpoint, asked, listening));
+    client.look(endpoint, listening -> complete(endpoint, callbacks, listening));
   }
 
-  /** Whoever came while the look was under way may have seen a break that is later than it. */
-  private void tell(
-      Endpoint endpoint, List<Consumer<Boolean>> asked, HttpClient.Listening listening) {
-    boolean ended = listening == HttpClient.Listening.NO;
-    List<Consumer<Boolean>> later = waiting.remove(endpoint);
-    asked.forEach(told -> told.accept(ended));
-    if (later == null || later.isEmpty()) {
+  /** Callers that asked during the probe may have observed a later break and need another probe. */
+  private void complete(
+      Endpoint endpoint, List<Consumer<Boolean>> callbacks, HttpClient.Listening listening) {
+    boolean exited = listening == HttpClient.Listening.NO;
+    List<Consumer<Boolean>> askedDuringProbe = waiting.remove(endpoint);
+    callbacks.forEach(result -> result.accept(exited));
+    if (askedDuringProbe == null || askedDuringProbe.isEmpty()) {
       return;
     }
-    if (ended) {
-      later.forEach(told -> told.accept(true));
+    if (exited) {
+      askedDuringProbe.forEach(result -> result.accept(true));
     } else {
-      look(endpoint, later);
+      startProbe(endpoint, askedDuringProbe);
     }
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestLog.java
@@ -10,52 +10,52 @@
 import org.fawnvale.serving.http.ClientListener;
 import org.jspecify.annotations.Nullable;
 
-/** Tells what happened to each request: one line and one figure for each decision. */
+/** Logs and counts the decisions about each request. */
 final class RequestLog {
 
   private static final Logger LOG = LogManager.getLogger("gateway");
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  private final GatewayMetrics figures;
+  private final GatewayMetrics metrics;
   private final Dispatcher dispatcher;
 
-  RequestLog(GatewayMetrics figures, Dispatcher dispatcher) {
-    this.figures = figures;
+  RequestLog(GatewayMetrics metrics, Dispatcher dispatcher) {
+    this.metrics = metrics;
     this.dispatcher = dispatcher;
   }
 
-  void sent(CallerRequest request, Node node, String why, int earlier) {
+  void sent(CallerRequest request, Node node, String reason, int earlierAttempts) {
     LOG.info(
         "request={} sent_to={} route={} config={} why={} claim={} earlier={} load={}",
         request.id(),
         node.id(),
         request.route().name(),
-        request.version(),
-        why,
+        request.configurationVersion(),
+        reason,
         request.demand().claim(),
-        earlier,
+        earlierAttempts,
         String.format(Locale.ROOT, "%.2f", dispatcher.load(node)));
   }
 
-  void firstPiece(CallerRequest request, Node node) {
+  void firstResponsePart(CallerRequest request, Node node) {
     long millis = (System.nanoTime() - request.receivedNanos()) / NANOS_PER_MILLI;
-    figures.firstPiece(request.route().name(), millis);
+    metrics.firstResponsePart(request.route().name(), millis);
     if (millis > request.route().targetMillis()) {
       LOG.info(
           "request={} node={} first_piece_ms={} outcome=late", request.id(), node.id(), millis);
     }
   }
 
-  void rejected(CallerRequest request, Node node, NodeAnswer said) {
+  void rejected(CallerRequest request, Node node, NodeAnswer signals) {
     LOG.info(
         "request={} node={} status={} faulty={} rest_ms={} leaving={} outcome=not_run",
         request.id(),
         node.id(),
-        said.status(),
-        said.faultyNode(),
-        said.restMillis(),
-        said.leaving());
-    if (isHead(node) && said.faultyNode() != null) {
+        signals.status(),
+        signals.faultyNode(),
+        signals.restMillis(),
+        signals.leaving());
+    if (isHead(node) && signals.faultyNode() != null) {
       dispatcher.state(node.id()).suspect(System.nanoTime());
     }
   }
@@ -77,7 +77,7 @@
     }
   }
 
-  /** The fingerprint tells which other attempts are repeats of the same request. */
+  /** The logged fingerprint identifies other attempts of the same request. */
   void upstreamBroke(
       CallerRequest request, Node node, Fingerprint fingerprint, long runMillis, Exception cause) {
     LOG.info(
@@ -92,7 +92,7 @@
 
   void ended(CallerRequest request, int status, String reason, @Nullable Node node, int events) {
     long millis = (System.nanoTime() - request.receivedNanos()) / NANOS_PER_MILLI;
-    figures.ended(request.route().name(), status, millis);
+    metrics.ended(request.route().name(), status, millis);
     LOG.info(
         "request={} status={} reason={} node={} events={} ms={}",
         request.id(),
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
@@ -15,184 +15,192 @@
 import org.fawnvale.serving.http.NodeClient;
 
 /**
- * Keeps requests that end the nodes that run them from being sent on and on. What one attempt has
- * done is not enough to know: the caller comes back with another id, to another daemon. All calls
- * hold the guard.
+ * Stops requests that crash nodes from being retried on further nodes. It identifies them by
+ * fingerprint, since the caller retries with a new id and at another daemon, and exchanges records
+ * with the other daemons. Callers of the methods hold the lock.
  */
 public final class RequestQuarantine {
 
   private static final Logger LOG = LogManager.getLogger("gateway");
 
-  /** A request that is barred will be refused for long; callers heed what they have time for. */
+  /** Retry-After of barred requests, in milliseconds: the time until a trial is allowed. */
   static final int RETRY_AFTER_MILLIS =
       (int) TimeUnit.NANOSECONDS.toMillis(Quarantine.TRIAL_AFTER_NANOS);
 
   /**
-   * A cut may reset all connections to a data centre, and refuse new ones. It is out of sight after
-   * half a second, in large fleets after a second.
+   * Delay before an exit of a node in another data centre is recorded. A network partition may
+   * reset connections and refuse new ones; the data centre then becomes unreachable within about a
+   * second.
    */
-  private static final long FAR_NANOS = 1_100_000_000L;
+  private static final long REMOTE_CONFIRMATION_NANOS = 1_100_000_000L;
 
-  /** Told of a request that is sent to no node any more. */
+  /** Receives the requests that become barred. */
   @FunctionalInterface
   public interface BarredListener {
 
     /**
-     * Hears of a request.
+     * Called when a request becomes barred.
      *
-     * @param told what is known of it
-     * @param own whether this daemon saw the last end; otherwise it heard of it
+     * @param requestRecord record of the request
+     * @param own whether this daemon observed the last node exit; false if a peer reported it
      */
-    void barred(RequestRecord told, boolean own);
+    void barred(RequestRecord requestRecord, boolean own);
   }
 
   private final Quarantine quarantine = new Quarantine();
   private final Dispatcher dispatcher;
-  private final NodeExitProbe proofs;
-  private final Deque<FarEnd> farEnds = new ArrayDeque<>();
-  private final GatewayMetrics figures;
-  private final Consumer<Fingerprint> giveUp;
-  private BarredListener barredListener = (told, own) -> {};
-  private TrialRequester trialRequester = (fingerprint, told) -> told.accept(false);
+  private final NodeExitProbe exitProbe;
+  private final Deque<RemoteExit> remoteExits = new ArrayDeque<>();
+  private final GatewayMetrics metrics;
+  private final Consumer<Fingerprint> cancelRequests;
+  private BarredListener barredListener = (requestRecord, own) -> {};
+  private TrialRequester trialRequester = (fingerprint, result) -> result.accept(false);
   private Consumer<Fingerprint> clearedListener = fingerprint -> {};
 
-  /** The end of a node elsewhere, which may only have gone out of sight. */
-  private record FarEnd(Fingerprint fingerprint, Node node, long dueNanos) {}
+  /**
+   * The apparent exit of a node in another data centre; recorded if the node is reachable at the
+   * due time.
+   */
+  private record RemoteExit(Fingerprint fingerprint, Node node, long dueNanos) {}
 
   RequestQuarantine(
       NodeClient client,
       Dispatcher dispatcher,
-      GatewayMetrics figures,
-      Consumer<Fingerprint> giveUp) {
-    this.giveUp = giveUp;
+      GatewayMetrics metrics,
+      Consumer<Fingerprint> cancelRequests) {
+    this.cancelRequests = cancelRequests;
     this.dispatcher = dispatcher;
-    this.proofs = new NodeExitProbe(client);
-    this.figures = figures;
-    figures.quarantine(quarantine);
+    this.exitProbe = new NodeExitProbe(client);
+    this.metrics = metrics;
+    metrics.registerQuarantine(quarantine);
     quarantine.mayTry(false);
   }
 
-  /** Tells whether a request may not be sent; costs a digest only while any request is doubted. */
+  /**
+   * Returns whether a request is barred; computes its fingerprint only while any request is
+   * suspected.
+   */
   boolean isBarred(Forwarder forwarder) {
     return !quarantine.isEmpty() && quarantine.isBarred(forwarder.fingerprint(), System.nanoTime());
   }
 
-  /** Notes that a request is sent to a node now. */
-  void sent(Forwarder forwarder) {
+  /** Records that a request is sent to a node. */
+  void recordSend(Forwarder forwarder) {
     if (!quarantine.isEmpty()) {
       quarantine.sent(forwarder.fingerprint());
     }
   }
 
-  /** Asks the daemon that gives leave for the trial of a barred request. */
+  /** Requests trials of barred requests from the daemons that own them. */
   @FunctionalInterface
   public interface TrialRequester {
 
     /**
-     * Asks for leave for one trial.
+     * Requests one trial.
      *
-     * @param fingerprint the request
-     * @param told told once, while the guard is held, whether it may be tried
+     * @param fingerprint fingerprint of the request
+     * @param result receives whether the trial was granted; called once, with the lock held
      */
-    void ask(Fingerprint fingerprint, Consumer<Boolean> told);
+    void request(Fingerprint fingerprint, Consumer<Boolean> result);
   }
 
   /**
-   * Names who asks for leave to try a barred request once more; without it there is none.
+   * Sets what requests trials of barred requests. Until it is set, no trial is granted.
    *
-   * @param asker asks
+   * @param requester requests the trials
    */
-  public void setTrialRequester(TrialRequester asker) {
-    trialRequester = asker;
+  public void setTrialRequester(TrialRequester requester) {
+    trialRequester = requester;
   }
 
-  /** Tells whether a barred request may be harmless, so that leave for a trial is worth asking. */
-  boolean isWorthATrial(Forwarder forwarder) {
+  /** Returns whether a barred request may be harmless, so that a trial should be requested. */
+  boolean mayRequestTrial(Forwarder forwarder) {
     return quarantine.isWorthATrial(forwarder.fingerprint(), System.nanoTime());
   }
 
   /**
-   * Asks for leave to try a barred request once more.
+   * Requests a trial of a barred request.
    *
-   * @param told told whether it may be sent now
+   * @param result receives whether the request may be sent now
    */
-  void askForTrial(Forwarder forwarder, Consumer<Boolean> told) {
+  void requestTrial(Forwarder forwarder, Consumer<Boolean> result) {
     Fingerprint fingerprint = forwarder.fingerprint();
-    trialRequester.ask(
+    trialRequester.request(
         fingerprint,
         granted -> {
           LOG.info("fingerprint={} granted={} outcome=trial", fingerprint, granted);
           if (granted) {
             quarantine.mayTryOnce(fingerprint);
           }
-          told.accept(granted);
+          result.accept(granted);
         });
   }
 
   /**
-   * Gives another daemon, or this one, leave to try a barred request once more.
+   * Grants this or another daemon a trial of a barred request.
    *
-   * @param fingerprint the request
-   * @return whether it may
+   * @param fingerprint fingerprint of the request
+   * @return whether the trial is granted
    */
   public boolean grantTrial(Fingerprint fingerprint) {
     return quarantine.giveTrial(fingerprint, System.nanoTime());
   }
 
-  /** Tells whether one more end bars the request: then it goes on only once there was none. */
-  boolean isLastTry(Forwarder forwarder) {
+  /** Returns whether one more node exit bars the request. */
+  boolean isOneExitFromBarred(Forwarder forwarder) {
     return !quarantine.isEmpty()
         && quarantine.count(forwarder.fingerprint()) >= Quarantine.MOST_ENDS - 1;
   }
 
   /**
-   * Finds out whether the node whose connection broke under a request has ended.
+   * Determines whether the node whose connection broke during a request has exited.
    *
-   * @param settled run once it is known, or surely will not be at once
+   * @param probed runs after the probe; an exit in another data centre is confirmed later
    */
-  void broke(Fingerprint fingerprint, Node node, Runnable settled) {
-    proofs.ask(
+  void connectionBroke(Fingerprint fingerprint, Node node, Runnable probed) {
+    exitProbe.probe(
         node.endpoint(),
-        hasEnded -> {
-          if (hasEnded && dispatcher.isNear(node)) {
-            ended(fingerprint, node);
-          } else if (hasEnded) {
-            farEnds.addLast(new FarEnd(fingerprint, node, System.nanoTime() + FAR_NANOS));
+        exited -> {
+          if (exited && dispatcher.isNear(node)) {
+            recordExit(fingerprint, node);
+          } else if (exited) {
+            remoteExits.addLast(
+                new RemoteExit(fingerprint, node, System.nanoTime() + REMOTE_CONFIRMATION_NANOS));
           }
-          settled.run();
+          probed.run();
         });
   }
 
-  private void ended(Fingerprint fingerprint, Node node) {
-    int ends = quarantine.ended(fingerprint, node.life(), System.nanoTime());
-    boolean barred = ends >= Quarantine.MOST_ENDS;
-    figures.ended(barred);
-    LOG.info("fingerprint={} node={} ends={} outcome=ended", fingerprint, node.id(), ends);
+  private void recordExit(Fingerprint fingerprint, Node node) {
+    int exits = quarantine.ended(fingerprint, node.life(), System.nanoTime());
+    boolean barred = exits >= Quarantine.MOST_ENDS;
+    metrics.nodeExit(barred);
+    LOG.info("fingerprint={} node={} ends={} outcome=ended", fingerprint, node.id(), exits);
     if (barred) {
-      LOG.warn("fingerprint={} node={} ends={} outcome=barred", fingerprint, node.id(), ends);
-      tellBarred(fingerprint, true);
-      giveUp.accept(fingerprint);
+      LOG.warn("fingerprint={} node={} ends={} outcome=barred", fingerprint, node.id(), exits);
+      notifyBarred(fingerprint, true);
+      cancelRequests.accept(fingerprint);
     }
   }
 
-  private void tellBarred(Fingerprint fingerprint, boolean own) {
-    RequestRecord told = quarantine.recordOf(fingerprint);
-    if (told != null) {
-      barredListener.barred(told, own);
+  private void notifyBarred(Fingerprint fingerprint, boolean own) {
+    RequestRecord requestRecord = quarantine.recordOf(fingerprint);
+    if (requestRecord != null) {
+      barredListener.barred(requestRecord, own);
     }
   }
 
   /**
-   * Names who is told of each request that is barred.
+   * Sets the listener for requests that become barred.
    *
-   * @param listener told of its record
+   * @param listener receives their records
    */
   public void onBarred(BarredListener listener) {
     barredListener = listener;
   }
 
-  /** Notes that a node has run a request to a good end. */
-  void answered(Forwarder forwarder) {
+  /** Records that a node has completed a request successfully. */
+  void recordSuccess(Forwarder forwarder) {
     if (quarantine.isEmpty()) {
       return;
     }
@@ -205,63 +213,64 @@
   }
 
   /**
-   * Names who is told of each barred request that an answer has shown to be harmless.
+   * Sets the listener for barred requests that a successful response has cleared.
    *
-   * @param listener told of the request
+   * @param listener receives their fingerprints
    */
   public void onCleared(Consumer<Fingerprint> listener) {
     clearedListener = listener;
   }
 
   /**
-   * Takes in what another daemon tells, and gives up what is barred by it.
+   * Merges the records of another daemon and cancels the requests that they bar.
    *
-   * @param records its records
+   * @param records records that the other daemon sent
    */
   public void receive(List<RequestRecord> records) {
     for (Fingerprint fingerprint : quarantine.hear(records, System.nanoTime())) {
       LOG.warn("fingerprint={} outcome=barred by=peers", fingerprint);
-      tellBarred(fingerprint, false);
-      giveUp.accept(fingerprint);
+      notifyBarred(fingerprint, false);
+      cancelRequests.accept(fingerprint);
     }
   }
 
   /**
-   * What is known of the requests that are sent to no node.
+   * Returns the records of the barred requests.
    *
-   * @return their records
+   * @return records of the requests that are sent to no node
    */
   public List<RequestRecord> barredRecords() {
     return quarantine.barredRecords();
   }
 
-  /** Believes ends in other data centres that have stayed in sight since. */
+  /** Records the delayed exits of nodes in other data centres that are still reachable. */
   public void confirmRemoteExits() {
     long now = System.nanoTime();
-    while (!farEnds.isEmpty() && farEnds.peekFirst().dueNanos() <= now) {
-      FarEnd end = farEnds.removeFirst();
-      if (dispatcher.isInSight(end.node())) {
-        ended(end.fingerprint(), end.node());
+    while (!remoteExits.isEmpty() && remoteExits.peekFirst().dueNanos() <= now) {
+      RemoteExit exit = remoteExits.removeFirst();
+      if (dispatcher.isInSight(exit.node())) {
+        recordExit(exit.fingerprint(), exit.node());
       }
     }
   }
 
   /**
-   * Tells whether this daemon has seen what the others should know at once.
+   * Returns whether there is a change that the other daemons should receive at once, and resets the
+   * flag.
    *
-   * @return true when it has, since this was asked last
+   * @return true if there was such a change since the last call
    */
   public boolean takeUrgentUpdate() {
     return quarantine.takeNews();
   }
 
   /**
-   * What to tell the other daemons with the next note.
+   * Returns the records to send to the other daemons with the next message.
    *
-   * @param forOthers whether what others have told is told on, as a relay does
+   * @param forwarded whether to include records received from other daemons, as a relay does
    * @return records of requests
    */
-  public List<RequestRecord> recordsToSend(boolean forOthers) {
-    return quarantine.toTell(forOthers, System.nanoTime());
+  public List<RequestRecord> recordsToSend(boolean forwarded) {
+    return quarantine.toTell(forwarded, System.nanoTime());
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/StartupRequestQueue.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/StartupRequestQueue.java
@@ -5,64 +5,62 @@
 import org.fawnvale.serving.http.Timers;
 
 /**
- * Requests that come to a daemon that has just started and does not know yet where to send them.
- * They wait, in the order in which they came, until it does.
- *
- * <p>The load that it answers: all daemons start at once after a loss of power. Callers repeat a
- * refused request once or twice; refused with "no configuration yet" a request came back within 0.1
- * s, was refused again and was lost. All calls hold the guard.
+ * Queues requests that reach a daemon before it knows the routes and nodes, in order of arrival.
+ * After a power failure all daemons start together; a caller whose request is refused at once
+ * exhausts its one or two retries before the first daemon is ready. Callers of the methods hold the
+ * lock.
  */
 final class StartupRequestQueue {
 
   /**
-   * How long a request waits. The copies are there 0.2 to 0.5 s after the listener is; a store that
-   * says nothing is known to be away after 1.5 s, and then nobody can tell how long it takes.
+   * Maximum wait of a request, in milliseconds. Exceeds the 1.5 s after which a daemon regards a
+   * silent store as unavailable.
    */
-  static final int PATIENCE_MILLIS = 2_000;
+  static final int MAX_WAIT_MILLIS = 2_000;
 
-  /** The most that wait; a body takes up to a megabyte. More are answered at once. */
-  static final int MOST = 64;
+  /** Maximum number of queued requests; further ones run at once. A body takes up to 1 MB. */
+  static final int MAX_QUEUED = 64;
 
   private final Timers timers;
-  private final int patienceMillis;
-  private final Deque<Runnable> waiting = new ArrayDeque<>();
+  private final int maxWaitMillis;
+  private final Deque<Runnable> queued = new ArrayDeque<>();
   private boolean released;
 
-  StartupRequestQueue(Timers timers, int patienceMillis) {
+  StartupRequestQueue(Timers timers, int maxWaitMillis) {
     this.timers = timers;
-    this.patienceMillis = patienceMillis;
+    this.maxWaitMillis = maxWaitMillis;
   }
 
   /**
-   * Runs a request now, or as soon as the daemon knows its fleet, or when that takes too long.
+   * Runs a request as soon as the daemon knows the nodes, at the latest after the maximum wait.
    *
-   * @param request answers the request with what is known then
+   * @param request handles the request with the routes and nodes known at that time
    */
   void run(Runnable request) {
-    if (released || waiting.size() >= MOST) {
+    if (released || queued.size() >= MAX_QUEUED) {
       request.run();
       return;
     }
-    waiting.addLast(request);
-    timers.after(patienceMillis, () -> giveUp(request));
+    queued.addLast(request);
+    timers.after(maxWaitMillis, () -> runOnTimeout(request));
   }
 
-  private void giveUp(Runnable request) {
-    if (waiting.remove(request)) {
+  private void runOnTimeout(Runnable request) {
+    if (queued.remove(request)) {
       request.run();
     }
   }
 
-  /** How many wait. */
-  int waiting() {
-    return waiting.size();
+  /** Returns the number of queued requests. */
+  int queued() {
+    return queued.size();
   }
 
-  /** Runs all that wait; what comes from now on runs at once. */
+  /** Runs all queued requests; later requests run at once. */
   void release() {
     released = true;
-    while (!waiting.isEmpty()) {
-      waiting.removeFirst().run();
+    while (!queued.isEmpty()) {
+      queued.removeFirst().run();
     }
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/StreamMonitor.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/StreamMonitor.java
@@ -14,63 +14,63 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.ServiceSpec;
 
-/** Detects from the pauses of streams that a head stands still. */
+/** Detects stalled heads by the pauses in their streams. */
 final class StreamMonitor {
 
   private static final Logger LOG = LogManager.getLogger("gateway");
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
   private final Dispatcher dispatcher;
-  private final GatewayMetrics figures;
+  private final GatewayMetrics metrics;
 
-  StreamMonitor(Dispatcher dispatcher, GatewayMetrics figures) {
+  StreamMonitor(Dispatcher dispatcher, GatewayMetrics metrics) {
     this.dispatcher = dispatcher;
-    this.figures = figures;
+    this.metrics = metrics;
   }
 
   /**
-   * Looks for heads that stand still, and takes their streams up elsewhere.
+   * Detects stalled heads and moves their streams to other upstreams.
    *
-   * @param running the requests under way
-   * @param configuration the configuration in force
-   * @param peerSuspects heads that other daemons hold to be standing still
+   * @param running requests in flight
+   * @param configuration current configuration
+   * @param peerSuspects ids of the heads that other daemons suspect of a stall
    */
-  void look(Collection<Forwarder> running, Configuration configuration, Set<String> peerSuspects) {
+  void check(Collection<Forwarder> running, Configuration configuration, Set<String> peerSuspects) {
     long now = System.nanoTime();
     for (Forwarder forwarder : List.copyOf(running)) {
       Node node = forwarder.upstream();
-      if (node != null && forwarder.streams() && !forwarder.isOver()) {
-        long patience = patience(node, configuration);
-        if (patience > 0) {
-          judge(forwarder, node, patience, peerSuspects, now);
+      if (node != null && forwarder.isStreaming() && !forwarder.isFinished()) {
+        long stallTimeout = stallTimeout(node, configuration);
+        if (stallTimeout > 0) {
+          checkHead(forwarder, node, stallTimeout, peerSuspects, now);
         }
       }
     }
   }
 
-  private void judge(
-      Forwarder forwarder, Node node, long patience, Set<String> peerSuspects, long now) {
+  private void checkHead(
+      Forwarder forwarder, Node node, long stallTimeout, Set<String> peerSuspects, long now) {
     UpstreamState state = dispatcher.state(node.id());
-    boolean shared = peerSuspects.contains(node.id());
-    boolean doubted = shared || !dispatcher.isInSight(node);
-    boolean stalled = StallDetector.stalled(state, patience, doubted, now);
+    boolean suspectedByPeers = peerSuspects.contains(node.id());
+    boolean suspected = suspectedByPeers || !dispatcher.isInSight(node);
+    boolean stalled = StallDetector.stalled(state, stallTimeout, suspected, now);
     if (stalled && !state.isSuspect()) {
       state.suspect(now);
-      long silent = (now - state.lastProgressNanos()) / NANOS_PER_MILLI;
+      long silentMillis = (now - state.lastProgressNanos()) / NANOS_PER_MILLI;
       LOG.info(
           "node={} outcome=stands_still silent_ms={} patience_ms={} streams={} shared={}",
           node.id(),
-          silent,
-          patience / NANOS_PER_MILLI,
+          silentMillis,
+          stallTimeout / NANOS_PER_MILLI,
           state.writing(),
-          shared);
+          suspectedByPeers);
     }
     if (state.isSuspect()) {
-      forwarder.moveAway("upstream stands still");
+      forwarder.moveToAnotherUpstream("upstream stands still");
     }
   }
 
-  private long patience(Node node, Configuration configuration) {
+  private long stallTimeout(Node node, Configuration configuration) {
     ServiceSpec service = configuration.services().get(node.service());
     EngineSpec engine = service == null ? null : service.engine();
     String modelName = node.model();
@@ -82,8 +82,8 @@
     return StallDetector.patienceNanos(engine, model, load);
   }
 
-  void sawEvent(Node node, UpstreamState state, long now, long before, boolean between) {
+  void recordEvent(Node node, UpstreamState state, long now, long previous, boolean betweenEvents) {
     String model = node.model();
-    figures.event(model, between, (now - before) / NANOS_PER_MILLI);
+    metrics.event(model, betweenEvents, (now - previous) / NANOS_PER_MILLI);
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/package-info.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/package-info.java
@@ -1,4 +1,4 @@
-/** The path of a request from the caller to an upstream and back. */
+/** HTTP gateway: forwards callers' requests to upstreams and returns the responses. */
 @NullMarked
 package org.fawnvale.serving.gateway;
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitNoteCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitNoteCodec.java
@@ -8,17 +8,17 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** What daemons tell each other of limits, as MessagePack. */
+/** Encodes the limit records that daemons exchange as MessagePack. */
 public final class LimitNoteCodec {
 
   private LimitNoteCodec() {}
 
   /**
-   * Writes notes.
+   * Writes limit records.
    *
-   * @param packer takes them
-   * @param notes the notes
-   * @throws IOException when they can't be written
+   * @param packer destination
+   * @param notes records
+   * @throws IOException if the packer fails
    */
   public static void write(MessageBufferPacker packer, List<LimitNote> notes) throws IOException {
     packer.packArrayHeader(notes.size());
@@ -32,21 +32,21 @@
   }
 
   /**
-   * Reads notes.
+   * Reads limit records.
    *
-   * @param in gives them
-   * @return the notes
-   * @throws IOException when they can't be read
+   * @param in source
+   * @return records
+   * @throws IOException if the input is malformed
    */
   public static List<LimitNote> read(MessageUnpacker in) throws IOException {
     int count = in.unpackArrayHeader();
     List<LimitNote> notes = new ArrayList<>();
     for (int index = 0; index < count; index++) {
       String id = in.unpackString();
-      NodeLife life = new NodeLife(id, in.unpackLong());
+      NodeLife incarnation = new NodeLife(id, in.unpackLong());
       int stamp = in.unpackInt();
       double perSecond = in.unpackDouble();
-      notes.add(new LimitNote(life, stamp, perSecond, in.unpackLong()));
+      notes.add(new LimitNote(incarnation, stamp, perSecond, in.unpackLong()));
     }
     return notes;
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
@@ -14,32 +14,35 @@
 import org.fawnvale.serving.http.LimitLog;
 
 /**
- * Asks the owners of limits for leave, and answers daemons that ask this one. All calls hold the
- * guard.
+ * Requests permits from the daemons that own limits, and answers other daemons' permit requests.
+ * Callers of the methods hold the lock.
  */
 public final class LimitPermitService {
 
   private static final Logger LOG = LogManager.getLogger("limits");
 
-  /** How long an owner that gave no leave for want of an answer is not asked, in nanoseconds. */
+  /**
+   * How long no permit is requested for a node after its owner did not grant or deny one, in
+   * nanoseconds.
+   */
   private static final long SILENT_OWNER_NANOS = 300_000_000L;
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  private final OwnerClient calls;
+  private final OwnerClient ownerClient;
   private final SharedLimits limits;
   private final MeterRegistry registry;
   private final LimitLog log;
 
   /**
-   * Creates the desk.
+   * Creates the service.
    *
-   * @param calls asks other daemons
-   * @param limits what is known, and what this daemon spends
-   * @param registry holds the figures
+   * @param ownerClient sends requests to the owners
+   * @param limits known limits and the requests that this daemon counts against its own
+   * @param registry registry of the metrics
    */
-  public LimitPermitService(OwnerClient calls, SharedLimits limits, MeterRegistry registry) {
-    this.calls = calls;
+  public LimitPermitService(OwnerClient ownerClient, SharedLimits limits, MeterRegistry registry) {
+    this.ownerClient = ownerClient;
     this.limits = limits;
     this.registry = registry;
     this.log = new LimitLog(registry);
@@ -47,9 +50,9 @@
   }
 
   /**
-   * Takes in what another daemon tells of limits.
+   * Merges the limits that another daemon has sent.
    *
-   * @param notes its notes
+   * @param notes records of limits
    */
   public void receive(List<LimitNote> notes) {
     long now = System.nanoTime();
@@ -60,35 +63,36 @@
   }
 
   /**
-   * Asks the owner of a node's limit for leave for one request.
+   * Requests a permit for one request from the owner of a node's limit. A node without a known
+   * limit needs none.
    *
-   * @param node the node
-   * @param told told once, while the guard is held, whether the request may go
+   * @param node node that the request is for
+   * @param result receives whether the request may be sent; called once, with the lock held
    */
-  public void requestPermit(Node node, Consumer<Boolean> told) {
+  public void requestPermit(Node node, Consumer<Boolean> result) {
     LimitNote known = limits.noteOf(node.life(), System.nanoTime());
     if (known == null) {
-      told.accept(true);
+      result.accept(true);
       return;
     }
     Owners.Daemon owner = limits.ownerOf(node);
     try {
       String target = new PermitRequest(known, node.dataCentre()).target();
-      calls.ask(owner, target, body -> told.accept(take(node, owner, body)));
+      ownerClient.call(owner, target, body -> result.accept(applyReply(node, owner, body)));
     } catch (IOException e) {
       LOG.error("node={} outcome=question_not_written cause={}", node.id(), e.toString());
-      told.accept(false);
+      result.accept(false);
     }
   }
 
-  private boolean take(Node node, Owners.Daemon owner, byte[] body) {
-    SharedLimits.Reply said = read(body);
+  private boolean applyReply(Node node, Owners.Daemon owner, byte[] body) {
+    SharedLimits.Reply reply = decode(body);
     long now = System.nanoTime();
     String outcome = "granted";
     long waitNanos = 0;
-    if (said instanceof SharedLimits.Granted) {
+    if (reply instanceof SharedLimits.Granted) {
       limits.granted(node.life(), now);
-    } else if (said instanceof SharedLimits.Denied denied) {
+    } else if (reply instanceof SharedLimits.Denied denied) {
       outcome = "denied";
       waitNanos = denied.nanos();
     } else {
@@ -108,7 +112,7 @@
     return waitNanos == 0;
   }
 
-  private static SharedLimits.Reply read(byte[] body) {
+  private static SharedLimits.Reply decode(byte[] body) {
     if (body.length > 0) {
       try {
         return PermitRequest.readReply(body);
@@ -120,27 +124,27 @@
   }
 
   /**
-   * Tells whether a question is about leave.
+   * Returns whether a path is a permit request for a limit.
    *
-   * @param target the path of the question
-   * @return true when {@link #answer} answers it
+   * @param target path of the HTTP request
+   * @return true if {@link #answer} answers it
    */
   public boolean handles(String target) {
     return PermitRequest.matches(target);
   }
 
   /**
-   * Answers a daemon that asks for leave.
+   * Answers another daemon's permit request.
    *
-   * @param target the path of its question
-   * @return the reply as MessagePack; empty when the question can't be read
+   * @param target path of the HTTP request
+   * @return reply as MessagePack; empty if the request is malformed
    */
   public byte[] answer(String target) {
     try {
-      PermitRequest question = PermitRequest.read(target);
-      receive(List.of(question.limit()));
+      PermitRequest permitRequest = PermitRequest.read(target);
+      receive(List.of(permitRequest.limit()));
       return PermitRequest.write(
-          limits.ask(question.limit().life(), question.dataCentre(), System.nanoTime()));
+          limits.ask(permitRequest.limit().life(), permitRequest.dataCentre(), System.nanoTime()));
     } catch (IOException | RuntimeException e) {
       LOG.warn("outcome=unreadable_question cause={}", e.toString());
       return new byte[0];
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/OwnerClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/OwnerClient.java
@@ -8,24 +8,26 @@
 import org.fawnvale.serving.http.WholeCall;
 import org.fawnvale.serving.spi.Call;
 
-/** Asks the daemon that decides on a matter for all. */
+/** Calls the daemon that owns a limit or a barred request. */
 public final class OwnerClient {
 
   private static final int OK = 200;
 
-  /** A caller waits for this; daemons are milliseconds apart. */
-  private static final long ASK_MILLIS = 60;
+  /**
+   * Timeout of a call. A caller's request waits for the reply, and daemons are milliseconds apart.
+   */
+  private static final long TIMEOUT_MILLIS = 60;
 
   private final HttpClient client;
   private final Timers timers;
   private final int port;
 
   /**
-   * Creates them.
+   * Creates a client.
    *
-   * @param client sends the questions
-   * @param timers bounds their time
-   * @param port where daemons answer each other
+   * @param client sends the HTTP requests
+   * @param timers runs the timeouts
+   * @param port port on which daemons answer each other
    */
   public OwnerClient(HttpClient client, Timers timers, int port) {
     this.client = client;
@@ -34,20 +36,26 @@
   }
 
   /**
-   * Asks a daemon.
+   * Calls a daemon.
    *
-   * @param owner the daemon
-   * @param target the path of the question
-   * @param told told the body of its answer once, while the guard is held; empty without one
+   * @param owner daemon to call
+   * @param target path of the HTTP request
+   * @param result receives the body of the response, or an empty array if there was none with
+   *     status 200; called once, with the lock held
    */
-  void ask(Owners.Daemon owner, String target, Consumer<byte[]> told) {
+  void call(Owners.Daemon owner, String target, Consumer<byte[]> result) {
     Endpoint endpoint = new Endpoint(owner.address(), port);
     WholeCall.send(
-        client, timers, endpoint, Call.get(target), ASK_MILLIS, reply -> told.accept(body(reply)));
+        client,
+        timers,
+        endpoint,
+        Call.get(target),
+        TIMEOUT_MILLIS,
+        reply -> result.accept(body(reply)));
   }
 
   private static byte[] body(WholeCall.Reply reply) {
-    boolean given = reply instanceof WholeCall.Answered answered && answered.status() == OK;
-    return given ? ((WholeCall.Answered) reply).body() : new byte[0];
+    boolean ok = reply instanceof WholeCall.Answered answered && answered.status() == OK;
+    return ok ? ((WholeCall.Answered) reply).body() : new byte[0];
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/PermitRequest.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/PermitRequest.java
@@ -10,12 +10,12 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * A daemon's question to the owner of a limit: may I send one request there? It tells what the
- * asker knows of the limit, since the owner may not have heard of it yet. Both it and the reply are
- * MessagePack.
+ * A daemon's request to the owner of a node's limit for a permit to send one request to the node.
+ * It carries the requester's record of the limit, since the owner may not have received one yet.
+ * Request and reply are encoded as MessagePack.
  *
- * @param limit what the asker knows
- * @param dataCentre the node's data centre
+ * @param limit record of the limit that the requester has
+ * @param dataCentre data centre of the node
  */
 record PermitRequest(LimitNote limit, String dataCentre) {
 
@@ -24,7 +24,7 @@
   private static final long GRANTED = 0;
   private static final long NOT_OWNED = -1;
 
-  /** The path that asks it. */
+  /** Returns the path of the HTTP request, with the encoded permit request. */
   String target() throws IOException {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       LimitNoteCodec.write(packer, List.of(limit));
@@ -42,12 +42,13 @@
     try {
       bytes = Base64.getUrlDecoder().decode(target.substring(PATH.length()));
     } catch (IllegalArgumentException e) {
-      throw new IOException("The question is not in base 64; use one version of the daemons.", e);
+      throw new IOException(
+          "The permit request is not in base 64; use one version of the daemons.", e);
     }
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       List<LimitNote> notes = LimitNoteCodec.read(in);
       if (notes.size() != 1) {
-        throw new IOException("A question is about one limit, not " + notes.size() + ".");
+        throw new IOException("A permit request must contain one limit, not " + notes.size() + ".");
       }
       return new PermitRequest(notes.get(0), in.unpackString());
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialPermitService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialPermitService.java
@@ -8,9 +8,9 @@
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 
 /**
- * Asks the one daemon that gives leave for the trial of a barred request, and answers daemons that
- * ask this one. Callers come to any daemon, so a trial that one daemon makes by itself is not made
- * where they are. All calls hold the guard.
+ * Requests trials of barred requests from the daemons that own them, and answers other daemons'
+ * requests. One daemon decides for all, since a caller may retry at any daemon. Callers of the
+ * methods hold the lock.
  */
 public final class TrialPermitService {
 
@@ -18,74 +18,77 @@
 
   private static final String PATH = "/trials/leave/";
 
-  /** A request belongs to no data centre. */
+  /** A barred request belongs to no data centre. */
   private static final String NO_DATA_CENTRE = "";
 
-  private static final byte[] YES = {1};
-  private static final byte[] NO = {0};
+  private static final byte[] GRANTED = {1};
+  private static final byte[] DENIED = {0};
   private static final int RADIX = 16;
 
-  private final OwnerClient calls;
+  private final OwnerClient ownerClient;
   private final Owners owners;
-  private final Predicate<Fingerprint> gives;
+  private final Predicate<Fingerprint> grantTrial;
 
   /**
-   * Creates the desk.
+   * Creates the service.
    *
-   * @param calls asks other daemons
-   * @param owners tells which daemon gives leave for which request
-   * @param gives gives leave for a request that this daemon decides on
+   * @param ownerClient sends requests to the owners
+   * @param owners determines which daemon owns a request
+   * @param grantTrial decides on trials of the requests that this daemon owns
    */
-  public TrialPermitService(OwnerClient calls, Owners owners, Predicate<Fingerprint> gives) {
-    this.calls = calls;
+  public TrialPermitService(
+      OwnerClient ownerClient, Owners owners, Predicate<Fingerprint> grantTrial) {
+    this.ownerClient = ownerClient;
     this.owners = owners;
-    this.gives = gives;
+    this.grantTrial = grantTrial;
   }
 
-  private static String matter(Fingerprint fingerprint) {
+  private static String ownershipKey(Fingerprint fingerprint) {
     return Long.toUnsignedString(fingerprint.value(), RADIX);
   }
 
   /**
-   * Asks for leave to try a barred request once.
+   * Requests one trial of a barred request.
    *
-   * @param fingerprint the request
-   * @param told told once, while the guard is held, whether it may be tried
+   * @param fingerprint fingerprint of the request
+   * @param result receives whether the trial is granted; called once, with the lock held
    */
-  public void requestPermit(Fingerprint fingerprint, Consumer<Boolean> told) {
-    String matter = matter(fingerprint);
-    if (owners.isOwn(matter, NO_DATA_CENTRE)) {
-      told.accept(gives.test(fingerprint));
+  public void requestPermit(Fingerprint fingerprint, Consumer<Boolean> result) {
+    String ownershipKey = ownershipKey(fingerprint);
+    if (owners.isOwn(ownershipKey, NO_DATA_CENTRE)) {
+      result.accept(grantTrial.test(fingerprint));
       return;
     }
-    Owners.Daemon owner = owners.ownerOf(matter, NO_DATA_CENTRE);
-    calls.ask(
-        owner, PATH + matter, body -> told.accept(body.length == YES.length && body[0] == YES[0]));
+    Owners.Daemon owner = owners.ownerOf(ownershipKey, NO_DATA_CENTRE);
+    ownerClient.call(
+        owner,
+        PATH + ownershipKey,
+        body -> result.accept(body.length == GRANTED.length && body[0] == GRANTED[0]));
   }
 
   /**
-   * Tells whether a question is about the trial of a request.
+   * Returns whether a path is a request for a trial.
    *
-   * @param target the path of the question
-   * @return true when {@link #answer} answers it
+   * @param target path of the HTTP request
+   * @return true if {@link #answer} answers it
    */
   public boolean handles(String target) {
     return target.startsWith(PATH);
   }
 
   /**
-   * Answers a daemon that asks for leave.
+   * Answers another daemon's request for a trial.
    *
-   * @param target the path of its question
-   * @return one byte, 1 for leave; empty when the question can't be read
+   * @param target path of the HTTP request
+   * @return one byte, 1 if the trial is granted and 0 if not; empty if the request is malformed
    */
   public byte[] answer(String target) {
-    String matter = target.substring(PATH.length());
+    String ownershipKey = target.substring(PATH.length());
     try {
-      Fingerprint fingerprint = new Fingerprint(Long.parseUnsignedLong(matter, RADIX));
-      boolean given = owners.isOwn(matter, NO_DATA_CENTRE) && gives.test(fingerprint);
-      LOG.info("fingerprint={} given={} outcome=answered", fingerprint, given);
-      return given ? YES.clone() : NO.clone();
+      Fingerprint fingerprint = new Fingerprint(Long.parseUnsignedLong(ownershipKey, RADIX));
+      boolean granted = owners.isOwn(ownershipKey, NO_DATA_CENTRE) && grantTrial.test(fingerprint);
+      LOG.info("fingerprint={} given={} outcome=answered", fingerprint, granted);
+      return granted ? GRANTED.clone() : DENIED.clone();
     } catch (NumberFormatException e) {
       LOG.warn("target={} outcome=unreadable_question", target);
       return new byte[0];
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/package-info.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/package-info.java
@@ -1,4 +1,4 @@
-/** Limits that nodes name: told in the log, and asked for between daemons. */
+/** Permits for shared limits and for trials of barred requests, exchanged between daemons. */
 @NullMarked
 package org.fawnvale.serving.limit;
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/EventSplitterTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/EventSplitterTest.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Only whole events are passed on, whatever the parts they come in. */
+/** Guards against forwarding incomplete events when the stream arrives in arbitrary parts. */
 class EventSplitterTest {
 
   private final EventSplitter splitter = new EventSplitter();
@@ -17,13 +17,13 @@
   }
 
   @Test
-  void aWholeEventPasses() {
+  void completeEventIsForwarded() {
     assertThat(add("id: 1\ndata: x\n\n")).isEqualTo("id: 1\ndata: x\n\n");
     assertThat(splitter.lastId()).isEqualTo("1");
   }
 
   @Test
-  void aPartWaitsForItsEnd() {
+  void partialEventIsHeldUntilItIsComplete() {
     assertThat(add("id: 1\nda")).isEmpty();
     assertThat(splitter.lastId()).isNull();
     assertThat(add("ta: x\n\nid: 2\n")).isEqualTo("id: 1\ndata: x\n\n");
@@ -31,11 +31,12 @@
   }
 
   @Test
-  void everyCutGivesTheSameEvents() {
+  void everySplitGivesTheSameEvents() {
     String stream = "id: 1\r\ndata: a\r\n\r\nid: 2\ndata: b\n\nid: 33\ndata: c\n\n";
-    for (int cut = 0; cut <= stream.length(); cut++) {
+    for (int split = 0; split <= stream.length(); split++) {
       EventSplitter fresh = new EventSplitter();
-      String joined = text(fresh, stream.substring(0, cut)) + text(fresh, stream.substring(cut));
+      String joined =
+          text(fresh, stream.substring(0, split)) + text(fresh, stream.substring(split));
       assertThat(joined).isEqualTo(stream);
       assertThat(fresh.lastId()).isEqualTo("33");
     }
@@ -47,9 +48,9 @@
   }
 
   @Test
-  void aBrokenPartIsForgottenBeforeTheStreamGoesOnElsewhere() {
+  void partialEventIsDiscardedBeforeTheStreamResumesElsewhere() {
     add("id: 1\ndata: x\n\nid: 2\ndata: ha");
-    splitter.dropRest();
+    splitter.discardPartial();
     assertThat(add("id: 2\ndata: whole\n\n")).isEqualTo("id: 2\ndata: whole\n\n");
     assertThat(splitter.lastId()).isEqualTo("2");
   }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/FingerprintsTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/FingerprintsTest.java
@@ -9,7 +9,7 @@
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.junit.jupiter.api.Test;
 
-/** Repeats of a request have its fingerprint, whatever their ids; other requests have others. */
+/** Repeats of a request share its fingerprint whatever their ids; other requests don't. */
 class FingerprintsTest {
 
   private static final Workspace GARDEN = new Workspace("garden", 1);
@@ -22,14 +22,14 @@
   }
 
   @Test
-  void repeatsHaveOneFingerprint() {
+  void repeatsShareOneFingerprint() {
     Fingerprint first = of("/sheet/", "r1", GARDEN, "rose");
     assertThat(of("/sheet/", "r2", GARDEN, "rose")).isEqualTo(first);
     assertThat(first).hasToString(String.format("%016x", first.value()));
   }
 
   @Test
-  void anotherPathCallerOrBodyMakesAnotherRequest() {
+  void otherPathWorkspaceOrBodyChangesTheFingerprint() {
     Fingerprint first = of("/sheet/", "r1", GARDEN, "rose");
     assertThat(of("/sheet/2", "r1", GARDEN, "rose")).isNotEqualTo(first);
     assertThat(of("/sheet/", "r1", new Workspace("nursery", 1), "rose")).isNotEqualTo(first);
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/GatewayLimitsTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/GatewayLimitsTest.java
@@ -12,14 +12,18 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Whatever a gateway sends to a node that names a limit is counted there. */
+/**
+ * Guards against sending a node more requests than the limit that it advertises, retries included.
+ */
 class GatewayLimitsTest {
 
   private static final int REQUESTS = 30;
   private static final double LIMIT = 0.5;
 
-  /** The first answer tells the limit; up to two requests are saved up. */
-  private static final int BESIDE = 3;
+  /**
+   * Requests beyond the rate: the first, whose response advertises the limit, and a burst of two.
+   */
+  private static final int BURST = 3;
 
   private static final String OK =
       "HTTP/1.1 200 OK\r\nT-Id: <id>\r\nT-Signed: s\r\nContent-Length: 2\r\n\r\nok";
@@ -29,13 +33,13 @@
       "HTTP/1.1 500 No\r\nT-Id: <id>\r\nT-Signed: s\r\nT-Limit: 0.5\r\nContent-Length: 0\r\n\r\n";
 
   private final List<ScriptedUpstream> upstreams = new ArrayList<>();
-  private final long begunNanos = System.nanoTime();
+  private final long startNanos = System.nanoTime();
   private RunningGateway running;
 
   @BeforeEach
   void start() throws IOException {
     running = new RunningGateway();
-    running.knowFleet();
+    running.makeFleetKnown();
   }
 
   @AfterEach
@@ -46,7 +50,7 @@
     running.close();
   }
 
-  private ScriptedUpstream node(String answer) throws IOException {
+  private ScriptedUpstream startNode(String answer) throws IOException {
     List<String> answers = Collections.nCopies(REQUESTS * 4, answer);
     ScriptedUpstream upstream = new ScriptedUpstream(answers.toArray(String[]::new));
     upstreams.add(upstream);
@@ -54,44 +58,44 @@
     return upstream;
   }
 
-  /** What the limit allows since the test began, however long that was. */
+  /** Returns how many requests the limit has allowed since the test began. */
   private int allowed() {
-    double seconds = (System.nanoTime() - begunNanos) / (double) TimeUnit.SECONDS.toNanos(1);
-    return (int) (LIMIT * seconds) + BESIDE;
+    double seconds = (System.nanoTime() - startNanos) / (double) TimeUnit.SECONDS.toNanos(1);
+    return (int) (LIMIT * seconds) + BURST;
   }
 
   @Test
-  void aLimitedNodeGetsWhatItTakesAndTheOtherNodeTheRest() throws Exception {
-    ScriptedUpstream limited = node(LIMITED);
+  void limitedNodeGetsAtMostItsLimitAndTheOtherNodeTheRemainder() throws Exception {
+    ScriptedUpstream limited = startNode(LIMITED);
     while (limited.requests().isEmpty()) {
-      running.ask("/unsafe/order");
+      running.send("/unsafe/order");
     }
-    node(OK);
+    startNode(OK);
     for (int number = 0; number < REQUESTS; number++) {
-      assertThat(running.ask("/unsafe/order").statusCode()).isEqualTo(200);
+      assertThat(running.send("/unsafe/order").statusCode()).isEqualTo(200);
     }
     assertThat(limited.requests()).hasSizeLessThanOrEqualTo(allowed());
   }
 
   @Test
-  void whereAllAreAtTheirLimitsCallersAreRefusedAtOnceAndToldWhenThereIsRoom() throws Exception {
-    ScriptedUpstream limited = node(LIMITED);
-    HttpResponse<String> last = running.ask("/safe/sheet");
+  void callersAreRefusedWithRetryAfterWhenAllNodesAreAtTheirLimits() throws Exception {
+    ScriptedUpstream limited = startNode(LIMITED);
+    HttpResponse<String> last = running.send("/safe/sheet");
     for (int number = 0; number < REQUESTS; number++) {
-      last = running.ask("/safe/sheet");
+      last = running.send("/safe/sheet");
     }
     assertThat(limited.requests()).hasSizeLessThanOrEqualTo(allowed());
     assertThat(last.statusCode()).isEqualTo(503);
     assertThat(last.headers().firstValue("Retry-After")).isPresent();
   }
 
-  /** A node that fails part of its work names its limit with these answers as well. */
+  /** A node advertises its limit with error responses, too. */
   @Test
-  void repeatsAreCountedToo() throws Exception {
-    ScriptedUpstream one = node(LIMITED_AND_FAILS);
-    ScriptedUpstream other = node(LIMITED_AND_FAILS);
+  void retriesCountAgainstTheLimit() throws Exception {
+    ScriptedUpstream one = startNode(LIMITED_AND_FAILS);
+    ScriptedUpstream other = startNode(LIMITED_AND_FAILS);
     for (int number = 0; number < REQUESTS; number++) {
-      running.ask("/safe/sheet");
+      running.send("/safe/sheet");
     }
     assertThat(one.requests()).hasSizeLessThanOrEqualTo(allowed());
     assertThat(other.requests()).hasSizeLessThanOrEqualTo(allowed());
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/GatewayTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/GatewayTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Requests through the real gateway over loopback, to upstreams that follow a script. */
+/** Sends requests over loopback through a real gateway to scripted upstreams. */
 class GatewayTest {
 
   private static final String OK =
@@ -66,7 +66,7 @@
   @BeforeEach
   void start() throws IOException {
     running = new RunningGateway();
-    running.knowFleet();
+    running.makeFleetKnown();
     gateway = running.gateway();
     dispatcher = running.dispatcher();
     port = running.port();
@@ -137,7 +137,7 @@
   }
 
   @Test
-  void aRequestIsAnsweredByTheUpstreamWithTheWorkspaceOfItsKey() throws Exception {
+  void requestIsForwardedWithTheWorkspaceOfItsKey() throws Exception {
     ScriptedUpstream upstream = upstream(OK);
     HttpResponse<String> answer = send("/safe/x?q=1", "secret");
     assertThat(answer.statusCode()).isEqualTo(200);
@@ -151,7 +151,7 @@
   }
 
   @Test
-  void requestsWithoutRouteOrKeyAreRefusedAndNotSent() throws Exception {
+  void requestsWithoutRouteOrValidKeyAreRefusedAndNotSent() throws Exception {
     ScriptedUpstream upstream = upstream(OK);
     assertThat(send("/none/", "secret").statusCode()).isEqualTo(404);
     assertThat(send("/safe/", "wrong").statusCode()).isEqualTo(401);
@@ -159,16 +159,16 @@
   }
 
   @Test
-  void aRequestThatNobodyCanServeIsRefusedAtOnceWithATimeToComeBack() throws Exception {
+  void requestWithoutAnyUpstreamIsRefusedAtOnceWithRetryAfter() throws Exception {
     HttpResponse<String> answer = send("/safe/", "secret");
     assertThat(answer.statusCode()).isEqualTo(503);
     assertThat(answer.headers().firstValue("Retry-After")).isPresent();
   }
 
   @Test
-  void aRequestThatComesTooLateInAStopIsRefusedAndNotSent() throws Exception {
+  void lateRequestDuringShutdownIsRefusedAndNotSent() throws Exception {
     ScriptedUpstream upstream = upstream(OK);
-    synchronized (running.guard()) {
+    synchronized (running.lock()) {
       gateway.drain();
       gateway.refuseNew();
     }
@@ -179,14 +179,14 @@
   }
 
   @Test
-  void anUnsafeRequestThatWasNotRunGoesToAnotherUpstream() throws Exception {
+  void unsafeRequestThatWasNotRunIsSentToAnotherUpstream() throws Exception {
     upstream(NOT_RUN);
     upstream(OK);
     assertThat(send("/unsafe/", "secret").statusCode()).isEqualTo(200);
   }
 
   @Test
-  void anUnsafeRequestThatMayHaveRunIsNeverSentAgainAndNotCalledUnrun() throws Exception {
+  void unsafeRequestThatMayHaveRunIsNeitherRetriedNorReportedAsNotRun() throws Exception {
     ScriptedUpstream first = upstream(ScriptedUpstream.RESET);
     ScriptedUpstream second = upstream(ScriptedUpstream.RESET);
     assertThat(send("/unsafe/", "secret").statusCode()).isEqualTo(502);
@@ -194,19 +194,19 @@
   }
 
   @Test
-  void anAnswerWithAnotherIdIsNeverPassedOn() throws Exception {
+  void responseWithAnotherIdIsNotForwarded() throws Exception {
     upstream(OK.replace("<id>", "stranger"));
     assertThat(send("/unsafe/", "secret").statusCode()).isEqualTo(502);
   }
 
   @Test
-  void aSuccessWithoutSignatureIsNeverPassedOn() throws Exception {
+  void successWithoutSignatureIsNotForwarded() throws Exception {
     upstream(OK.replace("T-Signed: s\r\n", ""));
     assertThat(send("/unsafe/", "secret").statusCode()).isEqualTo(502);
   }
 
   @Test
-  void aBrokenStreamGoesOnElsewhereAfterItsLastWholeEvent() throws Exception {
+  void brokenStreamResumesElsewhereAfterItsLastCompleteEvent() throws Exception {
     upstream(
         STREAM_HEAD
             + chunk("id: 1\ndata: 1\n\n")
@@ -219,7 +219,7 @@
   }
 
   @Test
-  void aBrokenStreamWaitsForAPlaceThatComesSoonAfter() throws Exception {
+  void brokenStreamWaitsForAnUpstreamThatAppearsSoonAfter() throws Exception {
     upstream(STREAM_HEAD + chunk("id: 1\ndata: 1\n\n") + ScriptedUpstream.RESET);
     CompletableFuture<HttpResponse<String>> answer = sendLater("/stream/");
     awaitState("n0", state -> state.failureShare() > 0);
@@ -228,13 +228,13 @@
   }
 
   @Test
-  void aStreamThatWasMovedAwayAndTurnedAwayWaitsForAPlace() throws Exception {
+  void movedStreamThatIsRejectedWaitsForAnUpstream() throws Exception {
     model = "m";
     upstream(STREAM_HEAD + chunk("id: 1\ndata: 1\n\n"));
     CompletableFuture<HttpResponse<String>> answer = sendLater("/stream/");
     awaitState("n0", state -> state.writing() > 0);
     upstream(NOT_RUN);
-    synchronized (running.guard()) {
+    synchronized (running.lock()) {
       dispatcher.state("n0").suspect(System.nanoTime());
       gateway.checkStreams(Set.of());
     }
@@ -244,7 +244,7 @@
   }
 
   @Test
-  void aBrokenStreamForWhichNoPlaceComesNeverLooksComplete() throws Exception {
+  void brokenStreamWithoutAnotherUpstreamIsNotReportedAsComplete() throws Exception {
     upstream(STREAM_HEAD + chunk("id: 1\ndata: 1\n\n") + ScriptedUpstream.RESET);
     CompletableFuture<Boolean> looksComplete =
         sendLater("/stream/")
@@ -263,13 +263,14 @@
         });
   }
 
-  /** Waits until the gateway has seen something of an upstream. */
-  private void awaitState(String node, Predicate<UpstreamState> seen) throws InterruptedException {
-    boolean holds = false;
-    while (!holds) {
+  /** Waits until the gateway's state of an upstream meets a condition. */
+  private void awaitState(String node, Predicate<UpstreamState> condition)
+      throws InterruptedException {
+    boolean met = false;
+    while (!met) {
       Thread.sleep(1);
-      synchronized (running.guard()) {
-        holds = seen.test(dispatcher.state(node));
+      synchronized (running.lock()) {
+        met = condition.test(dispatcher.state(node));
       }
     }
   }
@@ -287,26 +288,26 @@
   }
 
   @Test
-  void aCallerThatClosesEndsTheWorkOfItsUpstream() throws Exception {
-    ScriptedUpstream upstream = upstream(ScriptedUpstream.SILENCE);
+  void upstreamRequestIsCancelledWhenTheCallerCloses() throws Exception {
+    ScriptedUpstream upstream = upstream(ScriptedUpstream.NO_RESPONSE);
     Socket caller = post("/stream/");
     upstream.awaitRequest();
     caller.close();
-    assertThat(upstream.awaitGivenUp()).isTrue();
+    assertThat(upstream.awaitDisconnect()).isTrue();
   }
 
   @Test
-  void aCallerThatResetsEndsTheWorkOfItsUpstream() throws Exception {
-    ScriptedUpstream upstream = upstream(ScriptedUpstream.SILENCE);
+  void upstreamRequestIsCancelledWhenTheCallerResets() throws Exception {
+    ScriptedUpstream upstream = upstream(ScriptedUpstream.NO_RESPONSE);
     try (Socket caller = post("/stream/")) {
       upstream.awaitRequest();
       caller.setSoLinger(true, 0);
     }
-    assertThat(upstream.awaitGivenUp()).isTrue();
+    assertThat(upstream.awaitDisconnect()).isTrue();
   }
 
   @Test
-  void aBodyOverTheLimitIsRefused() throws Exception {
+  void bodyOverTheLimitIsRefused() throws Exception {
     upstream(OK);
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://localhost:" + port + "/safe/"))
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/NodeCrashingRequestsTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/NodeCrashingRequestsTest.java
@@ -21,21 +21,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What users saw: care sheets were refused for seconds together, three times in a day. One request
- * ended each node that began to run it, and with the node its whole group and all streams there.
- * Its caller got 502 and asked again, each time with a new id, and each attempt ended two nodes
- * more: 18, then 20 nodes in all. Nothing of a request was remembered longer than one attempt of
- * its caller at one daemon lasts.
- *
- * <p>The evidence: all 32 nodes that ended gave up every connection within 0.1 s, 55 to 90 ms after
- * they had begun to run one and the same request, and never ended without it.
+ * Guards against a request that crashes every node that runs it and whose caller retries it with a
+ * new id: without the quarantine each retry crashes further nodes.
  */
 class NodeCrashingRequestsTest {
 
   private static final int NODES = 10;
 
-  /** Nodes that a request may end before it is known for it. */
-  private static final int MOST_ENDS = 3;
+  /** Number of nodes that a request crashes before it is barred. */
+  private static final int MAX_EXITS = 3;
 
   private final List<ScriptedUpstream> upstreams = new ArrayList<>();
   private RunningGateway running;
@@ -45,7 +39,7 @@
   @BeforeEach
   void start() throws IOException {
     running = new RunningGateway();
-    running.knowFleet();
+    running.makeFleetKnown();
     gateway = running.gateway();
     port = running.port();
   }
@@ -58,10 +52,10 @@
     running.close();
   }
 
-  /** Nodes that end with the first request that they run. */
-  private void nodesThatEnd() throws IOException {
+  /** Starts nodes that exit at the first request that they run. */
+  private void startCrashingNodes() throws IOException {
     for (int number = 0; number < NODES; number++) {
-      upstreams.add(new ScriptedUpstream(ScriptedUpstream.END));
+      upstreams.add(new ScriptedUpstream(ScriptedUpstream.EXIT));
     }
     serve();
   }
@@ -70,7 +64,7 @@
     running.serve(upstreams, "");
   }
 
-  private int ask(String path, String id, String body) throws Exception {
+  private int send(String path, String id, String body) throws Exception {
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://localhost:" + port + path))
             .header("T-Id", id)
@@ -82,57 +76,59 @@
         .statusCode();
   }
 
-  private int ended() {
+  private int requestsReceived() {
     return upstreams.stream().mapToInt(upstream -> upstream.requests().size()).sum();
   }
 
   @Test
-  void aRequestThatEndedThreeNodesIsSentToNoneMoreHoweverOftenItComes() throws Exception {
-    nodesThatEnd();
+  void requestThatCrashedThreeNodesIsSentToNoFurtherNode() throws Exception {
+    startCrashingNodes();
     for (int attempt = 0; attempt < 5; attempt++) {
-      ask("/safe/sheet", "r" + attempt, "rose");
+      send("/safe/sheet", "r" + attempt, "rose");
     }
-    assertThat(ended()).isEqualTo(MOST_ENDS);
+    assertThat(requestsReceived()).isEqualTo(MAX_EXITS);
   }
 
   @Test
-  void norIsAnUnsafeOne() throws Exception {
-    nodesThatEnd();
+  void unsafeRequestThatCrashedThreeNodesIsSentToNoFurtherNode() throws Exception {
+    startCrashingNodes();
     for (int attempt = 0; attempt < 5; attempt++) {
-      ask("/unsafe/order", "r" + attempt, "rose");
+      send("/unsafe/order", "r" + attempt, "rose");
     }
-    assertThat(ended()).isEqualTo(MOST_ENDS);
+    assertThat(requestsReceived()).isEqualTo(MAX_EXITS);
   }
 
   @Test
-  void aRequestThatPeersHaveFoundOutIsGivenUpWhereItWaits() throws Exception {
-    ScriptedUpstream silent = new ScriptedUpstream(ScriptedUpstream.SILENCE);
+  void pendingRequestIsCancelledWhenPeersReportItAsBarred() throws Exception {
+    ScriptedUpstream silent = new ScriptedUpstream(ScriptedUpstream.NO_RESPONSE);
     upstreams.add(silent);
     serve();
-    CompletableFuture<Integer> status = askLater("/safe/sheet", "rose");
+    CompletableFuture<Integer> status = sendAsync("/safe/sheet", "rose");
     silent.awaitRequest();
-    synchronized (running.guard()) {
+    synchronized (running.lock()) {
       gateway
           .quarantine()
           .receive(
-              List.of(new RequestRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
+              List.of(
+                  new RequestRecord(fingerprint("/safe/sheet", "rose"), incarnations(), Set.of())));
     }
     assertThat(status.get()).isEqualTo(502);
-    assertThat(silent.awaitGivenUp()).isTrue();
+    assertThat(silent.awaitDisconnect()).isTrue();
   }
 
   @Test
-  void itsCallerIsToldThatItWasNotRun() throws Exception {
-    nodesThatEnd();
-    synchronized (running.guard()) {
+  void barredRequestIsRefusedAsNotRun() throws Exception {
+    startCrashingNodes();
+    synchronized (running.lock()) {
       gateway
           .quarantine()
           .receive(
-              List.of(new RequestRecord(fingerprint("/safe/sheet", "rose"), lives(), Set.of())));
+              List.of(
+                  new RequestRecord(fingerprint("/safe/sheet", "rose"), incarnations(), Set.of())));
     }
-    assertThat(ask("/safe/sheet", "r1", "rose")).isEqualTo(503);
-    assertThat(ended()).isZero();
-    assertThat(ask("/safe/sheet", "r2", "tulip")).isEqualTo(502);
+    assertThat(send("/safe/sheet", "r1", "rose")).isEqualTo(503);
+    assertThat(requestsReceived()).isZero();
+    assertThat(send("/safe/sheet", "r2", "tulip")).isEqualTo(502);
   }
 
   private Fingerprint fingerprint(String path, String body) {
@@ -142,31 +138,31 @@
     return Fingerprints.of(head, bytes, new Workspace("garden", 1));
   }
 
-  private static Set<NodeLife> lives() {
+  private static Set<NodeLife> incarnations() {
     return Set.of(NodeLife.only("x1"), NodeLife.only("x2"), NodeLife.only("x3"));
   }
 
-  private CompletableFuture<Integer> askLater(String path, String body) {
+  private CompletableFuture<Integer> sendAsync(String path, String body) {
     return CompletableFuture.supplyAsync(
         () -> {
           try {
-            return ask(path, "r1", body);
+            return send(path, "r1", body);
           } catch (Exception e) {
             throw new IllegalStateException(e);
           }
         });
   }
 
-  /** Answers are lost with their connections while nodes live on: up to four in ten. */
+  /** The connections break, but the nodes keep running, so the request is not suspected. */
   @Test
-  void aRequestWhoseAnswersAreLostIsSentAgain() throws Exception {
+  void requestIsRetriedWhenConnectionsBreakButNodesKeepRunning() throws Exception {
     for (int number = 0; number < NODES; number++) {
       upstreams.add(new ScriptedUpstream(ScriptedUpstream.RESET));
     }
     serve();
     for (int attempt = 0; attempt < 5; attempt++) {
-      ask("/safe/sheet", "r" + attempt, "rose");
+      send("/safe/sheet", "r" + attempt, "rose");
     }
-    assertThat(ended()).isEqualTo(NODES);
+    assertThat(requestsReceived()).isEqualTo(NODES);
   }
 }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RetryAfterPauseTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RetryAfterPauseTest.java
@@ -11,25 +11,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What users saw: for nine seconds over a tenth of three kinds of request weren't served, although
- * eight of fourteen heads were nearly idle. Six heads turned every request away and asked each
- * daemon for three seconds of rest; they got up to 22 requests of one daemon in that time. Of an
- * answer that says "not run" the status alone was looked at, and nothing kept the node's wish. A
- * head that turns away within a millisecond has nothing in flight, so it was chosen first.
- *
- * <p>The evidence: 353 of 478 first tries went to the six heads, all at a load near none, while the
- * other eight answered all that reached them.
+ * Guards against sending requests to nodes that have asked for a Retry-After pause or are leaving.
+ * Such a node rejects requests at once, so it seems idle and is preferred unless the pause is kept.
  */
 class RetryAfterPauseTest {
 
   private static final int REQUESTS = 20;
   private static final String OK =
       "HTTP/1.1 200 OK\r\nT-Id: <id>\r\nT-Signed: s\r\nContent-Length: 2\r\n\r\nok";
-  private static final String LEAVES =
+  private static final String LEAVING =
       "HTTP/1.1 200 OK\r\nT-Id: <id>\r\nT-Signed: s\r\nT-Leaving: 1\r\nContent-Length: 2\r\n\r\nok";
 
-  /** Ten minutes: the rest outlasts the test. */
-  private static final String WANTS_REST =
+  /** Requests a pause of ten minutes, which outlasts the test. */
+  private static final String REQUESTS_PAUSE =
       "HTTP/1.1 503 Full\r\nT-Id: <id>\r\nT-Not-Run: 1\r\nT-Rest-Ms: 600000\r\n"
           + "Content-Length: 0\r\n\r\n";
 
@@ -45,7 +39,7 @@
   @BeforeEach
   void start() throws IOException {
     running = new RunningGateway();
-    running.knowFleet();
+    running.makeFleetKnown();
   }
 
   @AfterEach
@@ -56,7 +50,7 @@
     running.close();
   }
 
-  private ScriptedUpstream node(String first, String then) throws IOException {
+  private ScriptedUpstream startNode(String first, String then) throws IOException {
     List<String> answers = new ArrayList<>();
     answers.add(first);
     for (int number = 1; number < REQUESTS * 4; number++) {
@@ -68,61 +62,61 @@
     return upstream;
   }
 
-  private void askOften(String path) throws Exception {
+  private void sendRepeatedly(String path) throws Exception {
     for (int number = 0; number < REQUESTS; number++) {
-      running.ask(path);
+      running.send(path);
     }
   }
 
   @Test
-  void aNodeThatAskedForRestIsSentNothingUntilItsEnd() throws Exception {
-    ScriptedUpstream resting = node(WANTS_REST, WANTS_REST);
-    node(OK, OK);
-    askOften("/unsafe/order");
-    assertThat(resting.requests()).hasSizeLessThanOrEqualTo(1);
+  void pausedNodeGetsNoRequestBeforeThePauseEnds() throws Exception {
+    ScriptedUpstream paused = startNode(REQUESTS_PAUSE, REQUESTS_PAUSE);
+    startNode(OK, OK);
+    sendRepeatedly("/unsafe/order");
+    assertThat(paused.requests()).hasSizeLessThanOrEqualTo(1);
   }
 
   @Test
-  void whereAllRestCallersAreRefusedAtOnceAndNoNodeIsAsked() throws Exception {
-    ScriptedUpstream one = node(WANTS_REST, WANTS_REST);
-    ScriptedUpstream other = node(WANTS_REST, WANTS_REST);
-    askOften("/safe/sheet");
+  void callersAreRefusedAtOnceWhenAllNodesArePaused() throws Exception {
+    ScriptedUpstream one = startNode(REQUESTS_PAUSE, REQUESTS_PAUSE);
+    ScriptedUpstream other = startNode(REQUESTS_PAUSE, REQUESTS_PAUSE);
+    sendRepeatedly("/safe/sheet");
     assertThat(one.requests()).hasSize(1);
     assertThat(other.requests()).hasSize(1);
-    HttpResponse<String> refused = running.ask("/safe/sheet");
+    HttpResponse<String> refused = running.send("/safe/sheet");
     assertThat(refused.statusCode()).isEqualTo(503);
     assertThat(refused.headers().firstValue("Retry-After")).isPresent();
   }
 
   @Test
-  void aBrokenStreamDoesNotGoOnAtANodeThatRests() throws Exception {
-    ScriptedUpstream resting = node(WANTS_REST, WANTS_REST);
-    while (resting.requests().isEmpty()) {
-      running.ask("/safe/sheet");
+  void brokenStreamDoesNotResumeAtAPausedNode() throws Exception {
+    ScriptedUpstream paused = startNode(REQUESTS_PAUSE, REQUESTS_PAUSE);
+    while (paused.requests().isEmpty()) {
+      running.send("/safe/sheet");
     }
-    ScriptedUpstream breaking = node(BROKEN_STREAM, BROKEN_STREAM);
-    askAndLetBreak("/stream/sheet");
+    ScriptedUpstream breaking = startNode(BROKEN_STREAM, BROKEN_STREAM);
+    sendIgnoringBreak("/stream/sheet");
     assertThat(breaking.requests()).hasSize(1);
-    assertThat(resting.requests()).hasSize(1);
+    assertThat(paused.requests()).hasSize(1);
   }
 
-  /** The caller gets one event and then an end that does not look complete. */
-  private void askAndLetBreak(String path) throws Exception {
+  /** Sends a request whose response may break off after the first event. */
+  private void sendIgnoringBreak(String path) throws Exception {
     try {
-      running.ask(path);
+      running.send(path);
     } catch (IOException e) {
       assertThat(e).hasMessageContaining("EOF");
     }
   }
 
   @Test
-  void aNodeThatSaysInAnAnswerThatItLeavesIsSentNothingMore() throws Exception {
-    ScriptedUpstream leaving = node(LEAVES, LEAVES);
+  void nodeThatSignalsThatItIsLeavingGetsNoFurtherRequest() throws Exception {
+    ScriptedUpstream leaving = startNode(LEAVING, LEAVING);
     while (leaving.requests().isEmpty()) {
-      running.ask("/safe/sheet");
+      running.send("/safe/sheet");
     }
-    node(OK, OK);
-    askOften("/unsafe/order");
+    startNode(OK, OK);
+    sendRepeatedly("/unsafe/order");
     assertThat(leaving.requests()).hasSize(1);
   }
 }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
@@ -22,7 +22,7 @@
 import org.fawnvale.serving.http.NodeClient;
 import org.fawnvale.serving.http.Timers;
 
-/** The real gateway, listening on loopback before upstreams that follow a script. */
+/** Runs a real gateway on loopback in front of scripted upstreams. */
 final class RunningGateway implements AutoCloseable {
 
   private static final int SLOTS = 10;
@@ -43,8 +43,8 @@
     NodeClient toNodes = new NodeClient(client, timers, gate, platform::answer, registry);
     GatewayMetrics figures = new GatewayMetrics(registry);
     gateway = new Gateway(timers, toNodes, platform, dispatcher, bounds, figures);
-    try (ServerSocket free = new ServerSocket(0)) {
-      port = free.getLocalPort();
+    try (ServerSocket freePort = new ServerSocket(0)) {
+      port = freePort.getLocalPort();
     }
     reactor.listen(new Endpoint("127.0.0.1", port), gateway::handler);
   }
@@ -61,7 +61,7 @@
     return timers;
   }
 
-  Object guard() {
+  Object lock() {
     return timers.guard();
   }
 
@@ -69,30 +69,31 @@
     return port;
   }
 
-  /** Puts routes in force and lets requests that wait for them go on. */
-  void knowFleet() {
-    synchronized (guard()) {
+  /** Sets the routes and releases the requests that wait for them. */
+  void makeFleetKnown() {
+    synchronized (lock()) {
       gateway.routes(RouteTable.of(GatewayTest.configuration()));
       gateway.onFleetKnown();
     }
   }
 
-  /** Serves with upstreams that are named n0, n1 and so on; without a model when it is empty. */
+  /** Makes upstreams known as nodes n0, n1 and so on; an empty model means none. */
   void serve(List<ScriptedUpstream> upstreams, String model) {
     List<Node> nodes = new ArrayList<>();
     for (ScriptedUpstream upstream : upstreams) {
-      NodeLife life = NodeLife.only("n" + nodes.size());
+      NodeLife incarnation = NodeLife.only("n" + nodes.size());
       Endpoint endpoint = new Endpoint("127.0.0.1", upstream.port());
-      String ofGroup = model.isEmpty() ? null : model;
-      nodes.add(new Node(life, "s", endpoint, "a", SLOTS, false, "", ofGroup, List.of(), null));
+      String groupModel = model.isEmpty() ? null : model;
+      nodes.add(
+          new Node(incarnation, "s", endpoint, "a", SLOTS, false, "", groupModel, List.of(), null));
     }
-    synchronized (guard()) {
+    synchronized (lock()) {
       dispatcher.serve(nodes);
     }
   }
 
-  /** Sends one caller's request to a path, and waits for its answer. */
-  HttpResponse<String> ask(String path) throws Exception {
+  /** Sends a caller's request to a path and waits for the response. */
+  HttpResponse<String> send(String path) throws Exception {
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://localhost:" + port + path))
             .header("T-Id", "r")
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/ScriptedUpstream.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/ScriptedUpstream.java
@@ -18,33 +18,33 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** An upstream on loopback that answers each request with the next of the given texts. */
+/** An upstream on loopback that answers each request with the next scripted response. */
 final class ScriptedUpstream implements AutoCloseable {
 
-  /** Ends the connection with a reset after what was written. */
+  /** Breaks the connection after the preceding text is written. */
   static final String RESET = "<reset>";
 
-  /** Ends the upstream: nothing listens at its address any more. */
-  static final String END = "<end>";
+  /** Stops the upstream, so that nothing listens at its address. */
+  static final String EXIT = "<end>";
 
-  /** Stands in answers for the id of the request. */
+  /** Placeholder for the id of the request. */
   static final String ID = "<id>";
 
-  /** Stands in answers for the three events of a stream, less those that the caller has. */
+  /** Placeholder for those of the three events of a stream that the caller lacks. */
   static final String EVENTS = "<events>";
 
-  /** Gives no answer and waits until the gateway closes the connection. */
-  static final String SILENCE = "<silence>";
+  /** Sends no response and waits until the gateway closes the connection. */
+  static final String NO_RESPONSE = "<silence>";
 
-  private final CountDownLatch leftAlone = new CountDownLatch(1);
+  private final CountDownLatch disconnected = new CountDownLatch(1);
   private final ServerSocket server;
   private final Thread acceptor;
-  private final Deque<String> answers = new ArrayDeque<>();
+  private final Deque<String> responses = new ArrayDeque<>();
   private final List<Map<String, String>> requests = new ArrayList<>();
 
-  ScriptedUpstream(String... texts) throws IOException {
+  ScriptedUpstream(String... script) throws IOException {
     server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    answers.addAll(List.of(texts));
+    responses.addAll(List.of(script));
     acceptor = new Thread(this::accept, "upstream");
     acceptor.setDaemon(true);
     acceptor.start();
@@ -54,7 +54,7 @@
     return server.getLocalPort();
   }
 
-  /** Heads of the requests so far, by lower-case name. */
+  /** Returns the heads of the requests received so far, by lower-case header name. */
   List<Map<String, String>> requests() {
     synchronized (requests) {
       return List.copyOf(requests);
@@ -81,21 +81,21 @@
               new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
       Map<String, String> head = read(in);
       while (!head.isEmpty()) {
-        String answer;
+        String response;
         synchronized (requests) {
           requests.add(head);
           requests.notifyAll();
-          answer = answers.poll();
+          response = responses.poll();
         }
-        if (END.equals(answer)) {
-          end();
+        if (EXIT.equals(response)) {
+          exit();
           return;
         }
-        if (SILENCE.equals(answer)) {
+        if (NO_RESPONSE.equals(response)) {
           awaitClose(socket);
           return;
         }
-        if (answer == null || !write(socket, filled(answer, head))) {
+        if (response == null || !write(socket, fillPlaceholders(response, head))) {
           return;
         }
         head = read(in);
@@ -106,11 +106,10 @@
   }
 
   /**
-   * Closes the listener before the connection, as the end of a process does. The socket listens
-   * until the thread that waits for connections has left it: without waiting for that, 422 of 2,000
-   * looks for a listener came before and found one.
+   * Closes the listener before the connection, as the exit of a process does. Joins the acceptor
+   * thread because the socket keeps listening until that thread has left {@code accept}.
    */
-  private void end() throws IOException {
+  private void exit() throws IOException {
     server.close();
     try {
       acceptor.join();
@@ -128,15 +127,15 @@
     } catch (IOException e) {
       // A reset ends the connection as well.
     }
-    leftAlone.countDown();
+    disconnected.countDown();
   }
 
-  /** Waits until the gateway has given up a request that got no answer. */
-  boolean awaitGivenUp() throws InterruptedException {
-    return leftAlone.await(10, TimeUnit.SECONDS);
+  /** Waits until the gateway has closed the connection of a request without a response. */
+  boolean awaitDisconnect() throws InterruptedException {
+    return disconnected.await(10, TimeUnit.SECONDS);
   }
 
-  /** Waits until a request has come. */
+  /** Waits until a request has arrived. */
   void awaitRequest() throws InterruptedException {
     synchronized (requests) {
       while (requests.isEmpty()) {
@@ -145,24 +144,25 @@
     }
   }
 
-  private static String filled(String answer, Map<String, String> head) {
-    int had = Integer.parseInt(head.getOrDefault("t-last-event", "0"));
+  private static String fillPlaceholders(String response, Map<String, String> head) {
+    int lastEventId = Integer.parseInt(head.getOrDefault("t-last-event", "0"));
     StringBuilder events = new StringBuilder();
-    for (int id = had + 1; id <= 3; id++) {
+    for (int id = lastEventId + 1; id <= 3; id++) {
       String event = "id: " + id + "\ndata: " + id + "\n\n";
       events.append(Integer.toHexString(event.length())).append("\r\n").append(event);
       events.append("\r\n");
     }
-    return answer.replace(ID, head.getOrDefault("t-id", "")).replace(EVENTS, events);
+    return response.replace(ID, head.getOrDefault("t-id", "")).replace(EVENTS, events);
   }
 
-  private static boolean write(Socket socket, String answer) throws IOException {
+  private static boolean write(Socket socket, String response) throws IOException {
     OutputStream out = socket.getOutputStream();
-    boolean reset = answer.endsWith(RESET);
-    out.write(answer.replace(RESET, "").getBytes(StandardCharsets.US_ASCII));
+    boolean reset = response.endsWith(RESET);
+    out.write(response.replace(RESET, "").getBytes(StandardCharsets.US_ASCII));
     out.flush();
     if (reset) {
-      // What was sent is read before the reset arrives: closing gracefully ends the answer early.
+      // A graceful close lets the gateway read what was sent before it detects the truncated
+      // response.
       socket.shutdownOutput();
     }
     return !reset;
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/StartupRequestQueueTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/StartupRequestQueueTest.java
@@ -18,9 +18,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All daemons lose power and start together. Callers connect as soon as a daemon listens, a moment
- * before it knows routes and nodes. Each was told that there is no configuration yet, came back
- * within a tenth of a second, was told the same, and was lost.
+ * Guards against the loss of requests that arrive after a daemon listens and before it knows routes
+ * and nodes.
  */
 class StartupRequestQueueTest {
 
@@ -47,9 +46,9 @@
     running.close();
   }
 
-  private void learnFleet() {
+  private void makeFleetKnown() {
     running.serve(List.of(upstream), "");
-    running.knowFleet();
+    running.makeFleetKnown();
   }
 
   private CompletableFuture<HttpResponse<String>> send(int number) {
@@ -63,46 +62,46 @@
         .sendAsync(request, HttpResponse.BodyHandlers.ofString());
   }
 
-  private void awaitWaiting(int count) throws InterruptedException {
-    while (gateway.waitingForFleet() != count) {
+  private void awaitQueued(int count) throws InterruptedException {
+    while (gateway.queuedForFleet() != count) {
       Thread.onSpinWait();
     }
   }
 
   @Test
-  void requestsThatComeTooEarlyAreAnsweredOnceTheFleetIsKnown() throws Exception {
+  void earlyRequestsAreAnsweredOnceTheFleetIsKnown() throws Exception {
     List<CompletableFuture<HttpResponse<String>>> answers = new ArrayList<>();
     for (int number = 0; number < 4; number++) {
       answers.add(send(number));
     }
-    awaitWaiting(4);
+    awaitQueued(4);
     assertThat(upstream.requests()).isEmpty();
-    learnFleet();
+    makeFleetKnown();
     for (CompletableFuture<HttpResponse<String>> answer : answers) {
       assertThat(answer.get().statusCode()).isEqualTo(200);
     }
   }
 
   @Test
-  void aCallerThatLeftMeanwhileIsNotSentForAnyMore() throws Exception {
+  void queuedRequestOfADisconnectedCallerIsNotSent() throws Exception {
     String head = "POST /safe/ HTTP/1.1\r\nHost: localhost\r\nT-Id: gone\r\nT-Left: 9000\r\n";
     try (Socket caller = new Socket("127.0.0.1", port)) {
       String request = head + "Authorization: Key secret\r\nContent-Length: 0\r\n\r\n";
       caller.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-      awaitWaiting(1);
+      awaitQueued(1);
     }
     CompletableFuture<HttpResponse<String>> next = send(1);
-    awaitWaiting(2);
-    learnFleet();
+    awaitQueued(2);
+    makeFleetKnown();
     assertThat(next.get().statusCode()).isEqualTo(200);
     assertThat(upstream.requests()).noneMatch(request -> "gone".equals(request.get("t-id")));
   }
 
   @Test
-  void whatWaitsWhenTheDaemonStopsIsRefusedAsNotRun() throws Exception {
+  void queuedRequestIsRefusedAsNotRunWhenTheDaemonStops() throws Exception {
     CompletableFuture<HttpResponse<String>> answer = send(1);
-    awaitWaiting(1);
-    synchronized (running.guard()) {
+    awaitQueued(1);
+    synchronized (running.lock()) {
       gateway.refuseNew();
     }
     assertThat(answer.get().statusCode()).isEqualTo(503);
@@ -110,28 +109,29 @@
   }
 
   @Test
-  void whoWaitsInVainIsToldSo() throws Exception {
-    StartupRequestQueue early = new StartupRequestQueue(running.timers(), SHORT_MILLIS);
+  void queuedRequestRunsAfterTheMaximumWait() throws Exception {
+    StartupRequestQueue queue = new StartupRequestQueue(running.timers(), SHORT_MILLIS);
     CountDownLatch answered = new CountDownLatch(1);
-    synchronized (running.guard()) {
-      early.run(answered::countDown);
+    synchronized (running.lock()) {
+      queue.run(answered::countDown);
       assertThat(answered.getCount()).isEqualTo(1);
     }
     assertThat(answered.await(60, TimeUnit.SECONDS)).isTrue();
   }
 
   @Test
-  void thoseBeyondTheMostThatMayWaitAreAnsweredAtOnce() {
-    StartupRequestQueue early = new StartupRequestQueue(running.timers(), 60_000);
+  void requestsBeyondTheQueueLimitRunAtOnce() {
+    StartupRequestQueue queue = new StartupRequestQueue(running.timers(), 60_000);
     List<Integer> answered = new ArrayList<>();
-    synchronized (running.guard()) {
-      for (int number = 0; number < StartupRequestQueue.MOST + 2; number++) {
-        int asked = number;
-        early.run(() -> answered.add(asked));
+    synchronized (running.lock()) {
+      for (int number = 0; number < StartupRequestQueue.MAX_QUEUED + 2; number++) {
+        int index = number;
+        queue.run(() -> answered.add(index));
       }
-      assertThat(answered).containsExactly(StartupRequestQueue.MOST, StartupRequestQueue.MOST + 1);
-      early.release();
+      assertThat(answered)
+          .containsExactly(StartupRequestQueue.MAX_QUEUED, StartupRequestQueue.MAX_QUEUED + 1);
+      queue.release();
     }
-    assertThat(answered).hasSize(StartupRequestQueue.MOST + 2);
+    assertThat(answered).hasSize(StartupRequestQueue.MAX_QUEUED + 2);
   }
 }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
@@ -18,7 +18,7 @@
 import org.fawnvale.serving.spi.Page;
 import org.fawnvale.serving.spi.Platform;
 
-/** A platform with names of its own: the gateway knows none but those it is given. */
+/** A platform with its own header names, to show that the gateway hard-codes none. */
 final class TestPlatform implements Platform {
 
   static final HeaderNames NAMES =
@@ -114,13 +114,13 @@
 
   @Override
   public NodeAnswer answer(HttpResponse head) {
-    Header rest = head.getFirstHeader("T-Rest-Ms");
+    Header retryAfter = head.getFirstHeader("T-Rest-Ms");
     Header limit = head.getFirstHeader("T-Limit");
     return new NodeAnswer(
         head.getCode(),
         head.containsHeader("T-Not-Run"),
         head.containsHeader("T-Leaving"),
-        rest == null ? 0 : Long.parseLong(rest.getValue()),
+        retryAfter == null ? 0 : Long.parseLong(retryAfter.getValue()),
         null,
         limit == null ? null : StatedLimit.of(Double.parseDouble(limit.getValue()), "told"));
   }
