--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
@@ -133,7 +133,10 @@
     }
   }
 
-  /** Limits concurrent loads from the weight store, because callers' requests have arrived. */
+  /**
+   * Starts to limit the rate of loads from the weight store, because callers' requests have
+   * arrived.
+   */
   public void boundLoads() {
     limiter.bound();
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Call.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Call.java
@@ -3,20 +3,20 @@
 import java.util.Map;
 
 /**
- * One HTTP call with a whole body.
+ * An HTTP request with a complete body.
  *
- * @param method its method
- * @param target its path and query
- * @param headers its headers, without those that frame the body
- * @param body its body; empty when it has none
+ * @param method HTTP method
+ * @param target path and query
+ * @param headers headers, without those that frame the body
+ * @param body body; empty if there is none
  */
 public record Call(String method, String target, Map<String, String> headers, byte[] body) {
 
   /**
-   * A call without a body.
+   * Creates a GET request without a body.
    *
-   * @param target its path and query
-   * @return the call
+   * @param target path and query
+   * @return the request
    */
   public static Call get(String target) {
     return new Call("GET", target, Map.of(), new byte[0]);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/HeaderNames.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/HeaderNames.java
@@ -3,14 +3,14 @@
 /**
  * Names of the headers that callers and upstreams use.
  *
- * @param requestId id of one attempt of a caller
- * @param deadline milliseconds that are left
- * @param signature what an upstream signs its answers with
- * @param expectedNode id of the node that may run a request
+ * @param requestId id of one attempt of a caller's request
+ * @param deadline time until the caller's deadline, in milliseconds
+ * @param signature signature of a response by its upstream
+ * @param expectedNode id of the only node that may run the request
  * @param workspace name of the workspace
  * @param model name of the model
  * @param lastEvent id of the last event that was received
- * @param priority rank of a request at its upstream
+ * @param priority priority of the request at its upstream
  */
 public record HeaderNames(
     String requestId,
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/JsonTree.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/JsonTree.java
@@ -12,12 +12,15 @@
 import java.io.IOException;
 
 /**
- * Reads JSON into a tree without the library's mapper, whose set-up loads 434 classes and takes a
- * tenth of a start's processor time.
+ * Reads JSON into a tree without Jackson's {@code ObjectMapper}, whose initialisation takes a
+ * considerable share of the start-up time.
  */
 public final class JsonTree {
 
-  /** A page holds entries of many writers: the size of one must not cost the others. */
+  /**
+   * Has no size limits: an oversized entry of one writer must not make a page with others' entries
+   * unreadable.
+   */
   private static final JsonFactory FACTORY =
       JsonFactory.builder()
           .streamReadConstraints(
@@ -28,38 +31,40 @@
                   .build())
           .build();
 
-  /** Deeper values are left out; none that is read lies deeper than ten. */
-  private static final int DEEPEST = 64;
+  /**
+   * Maximum nesting depth; deeper values are read as null. No format in use nests deeper than ten.
+   */
+  private static final int MAX_DEPTH = 64;
 
-  /** Numbers with more digits are left out: none that is read has them. */
-  private static final int MOST_DIGITS = 40;
+  /** Maximum length of an integer; longer ones are read as null. No format in use needs them. */
+  private static final int MAX_INTEGER_LENGTH = 40;
 
   private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
   private JsonTree() {}
 
   /**
-   * Reads bytes that hold one value.
+   * Parses a single JSON value.
    *
-   * @param bytes the value, in UTF-8
-   * @return its tree
-   * @throws IOException when it is not JSON
+   * @param bytes JSON in UTF-8
+   * @return tree of the value
+   * @throws IOException if the bytes are not exactly one JSON value
    */
   public static JsonNode read(byte[] bytes) throws IOException {
     try (JsonParser parser = FACTORY.createParser(bytes)) {
       if (parser.nextToken() == null) {
-        throw new JsonParseException(parser, "there is no value");
+        throw new JsonParseException(parser, "the input contains no JSON value");
       }
       JsonNode root = value(parser, 0);
       if (parser.nextToken() != null) {
-        throw new JsonParseException(parser, "more follows after the value");
+        throw new JsonParseException(parser, "unexpected content after the JSON value");
       }
       return root;
     }
   }
 
   private static JsonNode value(JsonParser parser, int depth) throws IOException {
-    if (depth > DEEPEST) {
+    if (depth > MAX_DEPTH) {
       parser.skipChildren();
       return NODES.nullNode();
     }
@@ -67,15 +72,15 @@
       case START_OBJECT -> object(parser, depth + 1);
       case START_ARRAY -> array(parser, depth + 1);
       case VALUE_STRING -> NODES.textNode(parser.getText());
-      case VALUE_NUMBER_INT -> whole(parser);
+      case VALUE_NUMBER_INT -> integer(parser);
       case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
       case VALUE_TRUE, VALUE_FALSE -> NODES.booleanNode(parser.getBooleanValue());
       default -> NODES.nullNode();
     };
   }
 
-  private static JsonNode whole(JsonParser parser) throws IOException {
-    if (parser.getTextLength() > MOST_DIGITS) {
+  private static JsonNode integer(JsonParser parser) throws IOException {
+    if (parser.getTextLength() > MAX_INTEGER_LENGTH) {
       return NODES.nullNode();
     }
     return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Page.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Page.java
@@ -6,22 +6,22 @@
 /**
  * A page of a list, or the events of a watch.
  *
- * @param items what the page holds
+ * @param items objects or events
  * @param more whether another page follows
- * @param lastName the name that the next page begins after
- * @param place the store's place in its history
- * @param <T> the type of the items
+ * @param lastName name after which the next page begins
+ * @param place position of the store in its history
+ * @param <T> type of the content of the items
  */
 public record Page<T>(List<Item<T>> items, boolean more, String lastName, StorePlace place) {
 
   /**
-   * One object.
+   * An object, or a change of one.
    *
-   * @param name its name
-   * @param place the place of its last change
-   * @param deleted whether it is gone
-   * @param value its content; null when it is gone or can't be read
-   * @param <T> the type of the content
+   * @param name name of the object
+   * @param place position of its last change
+   * @param deleted whether the object was deleted
+   * @param value content; null if the object was deleted or is malformed
+   * @param <T> type of the content
    */
   public record Item<T>(
       String name, StorePlace place, boolean deleted, @org.jspecify.annotations.Nullable T value) {}
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
@@ -13,162 +13,164 @@
 import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePlace;
 
-/** Names, formats and calls of a platform. An adapter decides nothing. */
+/** The names, formats and HTTP calls of a platform. Adapters implement it and make no decisions. */
 public interface Platform {
 
-  /** Kinds of objects that the platform itself keeps in its store. */
+  /** Kinds of objects in the platform's store. */
   enum Kind {
     /** The operator's configuration. */
     CONFIGURATION,
     /** The upstream nodes. */
     NODES,
-    /** Requests that end the nodes that run them: the only objects that are the system's own. */
+    /** Requests that crash nodes; the only objects that Fawnvale itself creates. */
     QUARANTINE
   }
 
   /**
-   * The names of headers.
+   * Returns the names of the platform's headers.
    *
-   * @return the names
+   * @return header names
    */
   HeaderNames headers();
 
   /**
-   * Where the balancer asks whether the daemon is ready.
+   * Returns the path of the readiness check that the load balancer calls.
    *
-   * @return the path
+   * @return path
    */
   String readyPath();
 
   /**
-   * Reads the key from the header that carries it.
+   * Extracts the caller's key.
    *
-   * @param headerValue the value of the header {@code Authorization}
-   * @return the key; null when there is none
+   * @param headerValue value of the header {@code Authorization}
+   * @return key; null if the value contains none
    */
   @org.jspecify.annotations.Nullable
   String key(String headerValue);
 
   /**
-   * Lists the objects of a kind.
+   * Creates the call that lists the objects of a kind.
    *
-   * @param kind the kind
-   * @param afterName where the page begins; empty for the first
-   * @param mayBeOld whether a list that is seconds old will do, which is cheaper
-   * @return the call
+   * @param kind kind of the objects
+   * @param afterName name after which the page begins; empty for the first page
+   * @param allowStale whether the store may return a list that is seconds old, which is cheaper
+   * @return call
    */
   Call list(Kind kind, String afterName, boolean allowStale);
 
   /**
-   * Waits for changes of a kind.
+   * Creates the call that waits for changes of a kind.
    *
-   * @param kind the kind
-   * @param place the place after which changes are told
-   * @param waitMillis how long the store may wait for one
-   * @return the call
+   * @param kind kind of the objects
+   * @param place position in the history after which changes are reported
+   * @param waitMillis time that the store may wait for a change, in milliseconds
+   * @return call
    */
   Call watch(Kind kind, StorePlace place, int waitMillis);
 
   /**
-   * Reads from an answer of the store which of its histories it was given in.
+   * Reads the era of the store from a response.
    *
-   * @param head the head of the answer
-   * @return the era; {@link StoreEra#UNTOLD} when the answer tells none that can be read
+   * @param head head of the response
+   * @return era; {@link StoreEra#UNTOLD} if the response has none or a malformed one
    */
   StoreEra era(HttpResponse head);
 
   /**
-   * Reads a list or the events of a watch of nodes.
+   * Reads a list of nodes or the events of a watch.
    *
-   * @param era the era in which the answer was given
-   * @param body the answer's body
-   * @return the page
-   * @throws IOException when the body can't be read
+   * @param era era of the response
+   * @param body body of the response
+   * @return page
+   * @throws IOException if the body is malformed
    */
   Page<Node> nodes(StoreEra era, byte[] body) throws IOException;
 
   /**
-   * Reads a list or the events of a watch of the configuration.
+   * Reads a list of configurations or the events of a watch.
    *
-   * @param era the era in which the answer was given
-   * @param body the answer's body
-   * @return the page
-   * @throws IOException when the body can't be read
+   * @param era era of the response
+   * @param body body of the response
+   * @return page
+   * @throws IOException if the body is malformed
    */
   Page<Configuration> configurations(StoreEra era, byte[] body) throws IOException;
 
   /**
-   * Reads a list of requests that end nodes.
+   * Reads a list of stored records of requests that crash nodes.
    *
-   * @param era the era in which the answer was given
-   * @param body the answer's body
-   * @return the page
-   * @throws IOException when the body can't be read
+   * @param era era of the response
+   * @param body body of the response
+   * @return page
+   * @throws IOException if the body is malformed
    */
   Page<KeptRecord> keptRecords(StoreEra era, byte[] body) throws IOException;
 
   /**
-   * The call that keeps a request that ends nodes, unless it is kept already.
+   * Creates the call that stores the record of a request that crashes nodes, unless it is stored
+   * already.
    *
-   * @param kept the record
-   * @return the call
+   * @param kept record to store
+   * @return call
    */
   Call create(KeptRecord kept);
 
   /**
-   * The call that removes one of the system's own objects.
+   * Creates the call that deletes an object that Fawnvale created.
    *
-   * @param kind its kind
-   * @param name its name
-   * @return the call
+   * @param kind kind of the object
+   * @param name name of the object
+   * @return call
    */
   Call remove(Kind kind, String name);
 
   /**
-   * The call that gives a node an order or asks for its report.
+   * Creates the call that sends an order to a node or requests its report.
    *
-   * @param order the order
-   * @return the call
+   * @param order order to send
+   * @return call
    */
   Call order(GroupOrder order);
 
   /**
-   * Reads the answer to an order.
+   * Maps the status of the response to an order to an outcome.
    *
-   * @param status the status of the answer
-   * @return what came of the order
+   * @param status HTTP status
+   * @return outcome of the order
    */
   GroupOrder.Outcome outcome(int status);
 
   /**
    * Reads a node's report.
    *
-   * @param body the answer's body
-   * @return the report
-   * @throws IOException when the body can't be read
+   * @param body body of the response
+   * @return report
+   * @throws IOException if the body is malformed
    */
   NodeReport report(byte[] body) throws IOException;
 
   /**
-   * Reads how much work a request says it is.
+   * Reads the size that a request states in its headers.
    *
-   * @param request the head of the request
-   * @return its size; {@link RequestSize#UNKNOWN} when it says nothing that can be read
+   * @param request head of the request
+   * @return size; {@link RequestSize#UNKNOWN} if the headers are absent or malformed
    */
   RequestSize size(HttpRequest request);
 
   /**
-   * Reads what a node says of itself and of the request with the head of an answer.
+   * Reads what the headers of a node's response signal about the node and the request.
    *
-   * @param head the head of the answer
-   * @return what it says; what can't be read counts as not said
+   * @param head head of the response
+   * @return signals; a malformed header counts as absent
    */
   NodeAnswer answer(HttpResponse head);
 
   /**
-   * Names in answers of nodes and the store that this version does not read.
+   * Counts the distinct names in responses of nodes and the store that this version does not
+   * recognise.
    *
-   * @return how many different ones were seen, as far as they are remembered
+   * @return number of names, up to an upper limit of the adapter
    */
   int unrecognizedNames();
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/package-info.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/package-info.java
@@ -1,4 +1,4 @@
-/** What an adapter to a platform provides: names, formats and calls. */
+/** The interface that an adapter to a platform implements: names, formats and HTTP calls. */
 @NullMarked
 package org.fawnvale.serving.spi;
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/PermitServicesTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/PermitServicesTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What a daemon answers to others that ask it for leave. */
+/** A daemon's answers to the permit and trial requests of other daemons. */
 class PermitServicesTest {
 
   private static final Owners.Daemon SELF = new Owners.Daemon("d1", "127.0.0.1", "a");
@@ -30,9 +30,10 @@
   private final HttpReactor reactor = HttpReactor.start(16_384);
   private final Owners owners = new Owners(SELF);
   private final SharedLimits limits = new SharedLimits(owners);
-  private final OwnerClient calls = new OwnerClient(new HttpClient(reactor, timers), timers, 1);
-  private final LimitPermitService limitDesk =
-      new LimitPermitService(calls, limits, new SimpleMeterRegistry());
+  private final OwnerClient ownerClient =
+      new OwnerClient(new HttpClient(reactor, timers), timers, 1);
+  private final LimitPermitService limitPermits =
+      new LimitPermitService(ownerClient, limits, new SimpleMeterRegistry());
 
   @AfterEach
   void stop() {
@@ -40,90 +41,91 @@
     reactor.stop();
   }
 
-  private SharedLimits.Reply askForLeave(String dataCentre) throws IOException {
+  private SharedLimits.Reply requestLimitPermit(String dataCentre) throws IOException {
     String target = new PermitRequest(LIMIT, dataCentre).target();
-    assertThat(limitDesk.handles(target)).isTrue();
-    return PermitRequest.readReply(limitDesk.answer(target));
+    assertThat(limitPermits.handles(target)).isTrue();
+    return PermitRequest.readReply(limitPermits.answer(target));
   }
 
   @Test
-  void aQuestionIsReadAsItWasWritten() throws IOException {
-    PermitRequest question = new PermitRequest(LIMIT, "a");
-    assertThat(PermitRequest.read(question.target())).isEqualTo(question);
+  void permitRequestSurvivesEncodingAndDecoding() throws IOException {
+    PermitRequest permitRequest = new PermitRequest(LIMIT, "a");
+    assertThat(PermitRequest.read(permitRequest.target())).isEqualTo(permitRequest);
   }
 
-  /** The owner may hear of a limit by the first question about it. */
+  /** The owner may receive a limit first with a permit request. */
   @Test
-  void anOwnerLearnsTheLimitFromTheQuestionAndTellsWhenThereIsRoom() throws IOException {
-    assertThat(askForLeave("a")).isInstanceOf(SharedLimits.Denied.class);
+  void ownerRecordsTheLimitFromThePermitRequestAndDeniesWithAWait() throws IOException {
+    assertThat(requestLimitPermit("a")).isInstanceOf(SharedLimits.Denied.class);
     assertThat(limits.known().of(LIMIT.life())).isEqualTo(50);
   }
 
   @Test
-  void anOwnerGivesLeaveOnceThereIsRoom() throws IOException {
-    SharedLimits.Reply reply = askForLeave("a");
+  void ownerGrantsAPermitOnceTheLimitAllows() throws IOException {
+    SharedLimits.Reply reply = requestLimitPermit("a");
     while (!(reply instanceof SharedLimits.Granted)) {
-      reply = askForLeave("a");
+      reply = requestLimitPermit("a");
     }
     assertThat(reply).isEqualTo(new SharedLimits.Granted());
   }
 
   @Test
-  void whoDoesNotOwnTheLimitSaysSo() throws IOException {
+  void daemonThatDoesNotOwnTheLimitRepliesNotOwned() throws IOException {
     owners.see(List.of(OTHER), 2, System.nanoTime());
-    assertThat(askForLeave("b")).isEqualTo(new SharedLimits.NotOwned());
+    assertThat(requestLimitPermit("b")).isEqualTo(new SharedLimits.NotOwned());
   }
 
   @Test
-  void questionsThatCannotBeReadGetNoReply() {
-    assertThat(limitDesk.answer("/limits/leave/")).isEmpty();
-    assertThat(limitDesk.answer("/limits/leave/%%%")).isEmpty();
-    assertThat(limitDesk.answer("/limits/leave/AAAA")).isEmpty();
+  void malformedPermitRequestsGetAnEmptyReply() {
+    assertThat(limitPermits.answer("/limits/leave/")).isEmpty();
+    assertThat(limitPermits.answer("/limits/leave/%%%")).isEmpty();
+    assertThat(limitPermits.answer("/limits/leave/AAAA")).isEmpty();
     assertThatThrownBy(() -> PermitRequest.read("/limits/leave/%"))
         .isInstanceOf(IOException.class)
         .hasMessageContaining("base 64");
   }
 
-  private TrialPermitService trials(boolean gives, List<Fingerprint> asked) {
+  private TrialPermitService trialPermits(boolean grants, List<Fingerprint> decided) {
     return new TrialPermitService(
-        calls,
+        ownerClient,
         owners,
         fingerprint -> {
-          asked.add(fingerprint);
-          return gives;
+          decided.add(fingerprint);
+          return grants;
         });
   }
 
   @Test
-  void theOwnerOfATrialGivesLeaveItself() {
-    List<Fingerprint> asked = new ArrayList<>();
-    List<Boolean> told = new ArrayList<>();
-    trials(true, asked).requestPermit(SHEET, told::add);
-    assertThat(told).containsExactly(true);
-    assertThat(asked).containsExactly(SHEET);
+  void ownerOfATrialDecidesLocally() {
+    List<Fingerprint> decided = new ArrayList<>();
+    List<Boolean> results = new ArrayList<>();
+    trialPermits(true, decided).requestPermit(SHEET, results::add);
+    assertThat(results).containsExactly(true);
+    assertThat(decided).containsExactly(SHEET);
   }
 
   @Test
-  void aDaemonThatAsksForATrialIsToldYesOrNo() {
-    List<Fingerprint> asked = new ArrayList<>();
+  void ownerGrantsOrDeniesATrialToAnotherDaemon() {
+    List<Fingerprint> decided = new ArrayList<>();
     String target = "/trials/leave/ffffffffffffffef";
-    assertThat(trials(true, asked).handles(target)).isTrue();
-    assertThat(trials(true, asked).answer(target)).containsExactly(1);
-    assertThat(trials(false, asked).answer(target)).containsExactly(0);
-    assertThat(asked).containsExactly(SHEET, SHEET);
-    assertThat(trials(true, asked).answer("/trials/leave/sheet")).isEmpty();
+    assertThat(trialPermits(true, decided).handles(target)).isTrue();
+    assertThat(trialPermits(true, decided).answer(target)).containsExactly(1);
+    assertThat(trialPermits(false, decided).answer(target)).containsExactly(0);
+    assertThat(decided).containsExactly(SHEET, SHEET);
+    assertThat(trialPermits(true, decided).answer("/trials/leave/sheet")).isEmpty();
   }
 
   @Test
-  void whoDoesNotOwnATrialGivesNoLeave() {
-    List<Fingerprint> asked = new ArrayList<>();
+  void daemonThatDoesNotOwnATrialDeniesIt() {
+    List<Fingerprint> decided = new ArrayList<>();
     List<Owners.Daemon> others = new ArrayList<>();
     for (int number = 2; number < 40; number++) {
       others.add(new Owners.Daemon("d" + number, "127.0.0." + number, "a"));
     }
     owners.see(others, 39, System.nanoTime());
     assertThat(owners.isOwn("ffffffffffffffef", "")).isFalse();
-    assertThat(trials(true, asked).answer("/trials/leave/ffffffffffffffef")).containsExactly(0);
-    assertThat(asked).isEmpty();
+    assertThat(trialPermits(true, decided).answer("/trials/leave/ffffffffffffffef"))
+        .containsExactly(0);
+    assertThat(decided).isEmpty();
   }
 }
