--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
@@ -84,14 +84,14 @@
   /**
    * Returns whether a new plan is due.
    *
-   * @param shown position in the store's history that the list of nodes reflects
+   * @param listedPosition position in the store's history that the list of nodes reflects
    * @param suspected whether any daemon suspects a head of a stall
    * @return true if a plan may differ from the last one
    */
-  public boolean isPlanDue(StorePlace shown, boolean suspected) {
+  public boolean isPlanDue(StorePlace listedPosition, boolean suspected) {
     GroupPlanner current = planner;
     boolean busy = suspected || current == null || current.isBusy();
-    return pacing.isDue(shown, busy, System.nanoTime());
+    return pacing.isDue(listedPosition, busy, System.nanoTime());
   }
 
   /**
@@ -230,7 +230,7 @@
    *
    * @return number of orders, without requests for reports
    */
-  public long sent() {
-    return sender.sent();
+  public long ordersSent() {
+    return sender.ordersSent();
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/OrderSender.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/OrderSender.java
@@ -18,29 +18,29 @@
 final class OrderSender {
 
   private static final Logger LOG = LogManager.getLogger("formation");
-  private static final long ORDER_MILLIS = 250;
-  private static final long REPORT_MILLIS = 200;
+  private static final long ORDER_TIMEOUT_MILLIS = 250;
+  private static final long REPORT_TIMEOUT_MILLIS = 200;
   private static final int OK = 200;
 
   private final NodeClient client;
   private final Platform platform;
-  private long sent;
+  private long ordersSent;
 
   OrderSender(NodeClient client, Platform platform) {
     this.client = client;
     this.platform = platform;
   }
 
-  long sent() {
-    return sent;
+  long ordersSent() {
+    return ordersSent;
   }
 
   void send(GroupOrder order, BiConsumer<GroupOrder, GroupOrder.Outcome> done) {
-    sent++;
+    ordersSent++;
     client.call(
         order.node(),
         platform.order(order),
-        ORDER_MILLIS,
+        ORDER_TIMEOUT_MILLIS,
         reply -> {
           GroupOrder.Outcome outcome = outcome(reply);
           LOG.info(
@@ -70,7 +70,7 @@
     client.call(
         reportOrder.node(),
         platform.order(reportOrder),
-        REPORT_MILLIS,
+        REPORT_TIMEOUT_MILLIS,
         reply -> {
           if (isHeld(reply)) {
             held.accept(reportOrder);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/CallerExchange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/CallerExchange.java
@@ -37,7 +37,7 @@
   private @Nullable HttpContext context;
   private @Nullable DataStreamChannel output;
   private @Nullable Forwarder forwarder;
-  private boolean requestComplete;
+  private boolean requestHandled;
   private boolean responseComplete;
   private boolean endSent;
   private boolean aborted;
@@ -71,11 +71,11 @@
   @Override
   public void consume(ByteBuffer data) {
     synchronized (gateway.lock()) {
-      if (requestComplete) {
+      if (requestHandled) {
         return;
       }
       if (body.size() + data.remaining() > gateway.maxBodyBytes()) {
-        requestComplete = true;
+        requestHandled = true;
         respond(413, List.of(), new byte[0]);
         return;
       }
@@ -88,14 +88,14 @@
   @Override
   public void streamEnd(@Nullable List<? extends Header> trailers) {
     synchronized (gateway.lock()) {
-      if (!requestComplete) {
+      if (!requestHandled) {
         start();
       }
     }
   }
 
   private void start() {
-    requestComplete = true;
+    requestHandled = true;
     HttpRequest received = request;
     long receivedNanos = System.nanoTime();
     if (received != null) {
@@ -231,7 +231,7 @@
   @Override
   public boolean owesAnswer() {
     synchronized (gateway.lock()) {
-      return !closed && requestComplete && !responseComplete;
+      return !closed && requestHandled && !responseComplete;
     }
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
@@ -97,12 +97,12 @@
 
   /** Returns the fingerprint that all repeats of the request share; computed on first use. */
   Fingerprint fingerprint() {
-    Fingerprint made = fingerprint;
-    if (made == null) {
-      made = request.fingerprint();
-      fingerprint = made;
+    Fingerprint computed = fingerprint;
+    if (computed == null) {
+      computed = request.fingerprint();
+      fingerprint = computed;
     }
-    return made;
+    return computed;
   }
 
   /** Cancels the request because it is barred: it crashes the nodes that run it. */
@@ -389,7 +389,7 @@
     private final long sentNanos = System.nanoTime();
     private @Nullable ClientExchange exchange;
     private @Nullable HttpResponse head;
-    private @Nullable NodeAnswer nodeResponse;
+    private @Nullable NodeAnswer headSignals;
     private boolean streaming;
     private boolean responseStarted;
     private boolean done;
@@ -418,7 +418,7 @@
     @Override
     public void head(HttpResponse response, NodeAnswer signals) {
       head = response;
-      nodeResponse = signals;
+      headSignals = signals;
       boolean success = response.getCode() >= SUCCESS && response.getCode() < REDIRECT;
       streaming = isStreaming() && success && matchesRequest(response);
       state.progressed(System.nanoTime());
@@ -475,7 +475,7 @@
     @Override
     public void end() {
       HttpResponse response = head;
-      NodeAnswer signals = nodeResponse;
+      NodeAnswer signals = headSignals;
       if (done || response == null || signals == null) {
         return;
       }
@@ -496,11 +496,11 @@
     }
 
     private void endStream() {
-      byte[] partial = events.takePartial();
+      byte[] remainder = events.takePartial();
       recordEnd(false);
       gateway.quarantine().recordSuccess(Forwarder.this);
       startCallerResponse();
-      caller.write(partial);
+      caller.write(remainder);
       close();
       gateway.log().ended(request, SUCCESS, "complete", node, eventCount);
       caller.end();
@@ -541,9 +541,11 @@
       mayHaveRun = true;
       if (gateway.quarantine().isOneExitFromBarred(Forwarder.this)) {
         attempt = null;
-        gateway.quarantine().connectionBroke(fingerprint(), node, Forwarder.this::retryAfterBreak);
+        gateway
+            .quarantine()
+            .onConnectionBroken(fingerprint(), node, Forwarder.this::retryAfterBreak);
       } else {
-        gateway.quarantine().connectionBroke(fingerprint(), node, () -> {});
+        gateway.quarantine().onConnectionBroken(fingerprint(), node, () -> {});
         retry(CONNECTION_BROKEN, true);
       }
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -46,8 +46,8 @@
   private static final int DEFAULT_MAX_BODY = 1 << 20;
 
   /**
-   * Retry-After where another daemon, or this one, can take the request at once. The caller still
-   * has time for a retry.
+   * Retry-After in milliseconds if this or another daemon could take the request at once. It is
+   * short so that the caller can still be answered in time.
    */
   private static final int RETRY_AFTER_MILLIS = 60;
 
@@ -277,6 +277,11 @@
     startupQueue.run(request);
   }
 
+  /**
+   * Checks a request and forwards it, or responds with an error status.
+   *
+   * @return forwarder of the request; null if the request was refused
+   */
   @Nullable Forwarder forward(
       HttpRequest head, byte[] body, CallerResponse caller, long receivedNanos) {
     RouteTable table = routes;
@@ -400,8 +405,8 @@
       total += destination.weight();
     }
     splitSequence++;
-    double golden = 0.618_033_988_75;
-    double point = total * (splitSequence * golden - Math.floor(splitSequence * golden));
+    double goldenRatio = 0.618_033_988_75;
+    double point = total * (splitSequence * goldenRatio - Math.floor(splitSequence * goldenRatio));
     for (Route.Destination destination : destinations) {
       point -= destination.weight();
       if (point < 0) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/NodeExitProbe.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/NodeExitProbe.java
@@ -17,7 +17,7 @@
 final class NodeExitProbe {
 
   private final NodeClient client;
-  private final Map<Endpoint, List<Consumer<Boolean>>> waiting = new HashMap<>();
+  private final Map<Endpoint, List<Consumer<Boolean>>> addedDuringProbe = new HashMap<>();
 
   NodeExitProbe(NodeClient client) {
     this.client = client;
@@ -29,7 +29,7 @@
    * @param result receives whether the process at the address has exited
    */
   void probe(Endpoint endpoint, Consumer<Boolean> result) {
-    List<Consumer<Boolean>> callbacks = waiting.get(endpoint);
+    List<Consumer<Boolean>> callbacks = addedDuringProbe.get(endpoint);
     if (callbacks != null) {
       callbacks.add(result);
     } else {
@@ -38,23 +38,26 @@
   }
 
   private void startProbe(Endpoint endpoint, List<Consumer<Boolean>> callbacks) {
-    waiting.put(endpoint, new ArrayList<>());
+    addedDuringProbe.put(endpoint, new ArrayList<>());
     client.look(endpoint, listening -> complete(endpoint, callbacks, listening));
   }
 
-  /** Callers that asked during the probe may have observed a later break and need another probe. */
+  /**
+   * Passes the result to the callbacks. Callbacks that were added during the probe may concern a
+   * later break, so they need another probe unless the process has exited.
+   */
   private void complete(
       Endpoint endpoint, List<Consumer<Boolean>> callbacks, HttpClient.Listening listening) {
     boolean exited = listening == HttpClient.Listening.NO;
-    List<Consumer<Boolean>> askedDuringProbe = waiting.remove(endpoint);
+    List<Consumer<Boolean>> added = addedDuringProbe.remove(endpoint);
     callbacks.forEach(result -> result.accept(exited));
-    if (askedDuringProbe == null || askedDuringProbe.isEmpty()) {
+    if (added == null || added.isEmpty()) {
       return;
     }
     if (exited) {
-      askedDuringProbe.forEach(result -> result.accept(true));
+      added.forEach(result -> result.accept(true));
     } else {
-      startProbe(endpoint, askedDuringProbe);
+      startProbe(endpoint, added);
     }
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
@@ -146,7 +146,7 @@
     return quarantine.giveTrial(fingerprint, System.nanoTime());
   }
 
-  /** Returns whether one more node exit bars the request. */
+  /** Returns whether one more node exit would bar the request. */
   boolean isOneExitFromBarred(Forwarder forwarder) {
     return !quarantine.isEmpty()
         && quarantine.count(forwarder.fingerprint()) >= Quarantine.MOST_ENDS - 1;
@@ -157,7 +157,7 @@
    *
    * @param probed runs after the probe; an exit in another data centre is confirmed later
    */
-  void connectionBroke(Fingerprint fingerprint, Node node, Runnable probed) {
+  void onConnectionBroken(Fingerprint fingerprint, Node node, Runnable probed) {
     exitProbe.probe(
         node.endpoint(),
         exited -> {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
@@ -25,7 +25,7 @@
    * How long no permit is requested for a node after its owner did not grant or deny one, in
    * nanoseconds.
    */
-  private static final long SILENT_OWNER_NANOS = 300_000_000L;
+  private static final long OWNER_RETRY_NANOS = 300_000_000L;
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
@@ -38,7 +38,7 @@
    * Creates the service.
    *
    * @param ownerClient sends requests to the owners
-   * @param limits known limits and the requests that this daemon counts against its own
+   * @param limits known limits, and the budgets of those that this daemon owns
    * @param registry registry of the metrics
    */
   public LimitPermitService(OwnerClient ownerClient, SharedLimits limits, MeterRegistry registry) {
@@ -97,7 +97,7 @@
       waitNanos = denied.nanos();
     } else {
       outcome = body.length > 0 ? "not_owned" : "no_answer";
-      waitNanos = SILENT_OWNER_NANOS;
+      waitNanos = OWNER_RETRY_NANOS;
     }
     if (waitNanos > 0) {
       limits.denied(node.life(), waitNanos, now);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/JsonTree.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/JsonTree.java
@@ -12,8 +12,8 @@
 import java.io.IOException;
 
 /**
- * Reads JSON into a tree without Jackson's {@code ObjectMapper}, whose initialisation takes a
- * considerable share of the start-up time.
+ * Reads JSON into a tree without Jackson's {@code ObjectMapper}, whose initialisation slows the
+ * daemon's start.
  */
 public final class JsonTree {
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/NodeCrashingRequestsTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/NodeCrashingRequestsTest.java
@@ -28,7 +28,7 @@
 
   private static final int NODES = 10;
 
-  /** Number of nodes that a request crashes before it is barred. */
+  /** Number of nodes that a request may crash before it is barred. */
   private static final int MAX_EXITS = 3;
 
   private final List<ScriptedUpstream> upstreams = new ArrayList<>();
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
@@ -40,11 +40,11 @@
     SimpleMeterRegistry registry = new SimpleMeterRegistry();
     TestPlatform platform = new TestPlatform();
     HttpClient client = new HttpClient(reactor, timers);
-    NodeClient toNodes = new NodeClient(client, timers, gate, platform::answer, registry);
-    GatewayMetrics figures = new GatewayMetrics(registry);
-    gateway = new Gateway(timers, toNodes, platform, dispatcher, bounds, figures);
-    try (ServerSocket freePort = new ServerSocket(0)) {
-      port = freePort.getLocalPort();
+    NodeClient nodeClient = new NodeClient(client, timers, gate, platform::answer, registry);
+    GatewayMetrics metrics = new GatewayMetrics(registry);
+    gateway = new Gateway(timers, nodeClient, platform, dispatcher, bounds, metrics);
+    try (ServerSocket socket = new ServerSocket(0)) {
+      port = socket.getLocalPort();
     }
     reactor.listen(new Endpoint("127.0.0.1", port), gateway::handler);
   }
