--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/NodeExitProbe.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/NodeExitProbe.java
@@ -10,48 +10,54 @@
 import org.fawnvale.serving.http.NodeClient;
 
 /**
- * Finds out whether a node whose connection broke has ended: then nothing listens at its address. A
- * broken connection alone says little: up to four in ten answers are lost that way while networks
- * are in trouble, and five harmless requests were held guilty within four seconds (semilla-viva, a
- * day with lost answers). One look at an address serves all that wait for it.
+ * Determines whether a node whose connection broke has exited, which is the case when nothing
+ * listens at its address. A broken connection alone is no proof: an unreliable network breaks
+ * connections to running nodes as well. Callers that ask for the same address share a probe.
  */
 final class NodeExitProbe {
 
   private final NodeClient client;
-  private final Map<Endpoint, List<Consumer<Boolean>>> waiting = new HashMap<>();
+  private final Map<Endpoint, List<Consumer<Boolean>>> addedDuringProbe = new HashMap<>();
 
   NodeExitProbe(NodeClient client) {
     this.client = client;
   }
 
-  /** Tells whether the process at an address has ended by now. */
-  void ask(Endpoint endpoint, Consumer<Boolean> told) {
-    List<Consumer<Boolean>> others = waiting.get(endpoint);
-    if (others != null) {
-      others.add(told);
+  /**
+   * Probes an address.
+   *
+   * @param result receives whether the process at the address has exited
+   */
+  void probe(Endpoint endpoint, Consumer<Boolean> result) {
+    List<Consumer<Boolean>> callbacks = addedDuringProbe.get(endpoint);
+    if (callbacks != null) {
+      callbacks.add(result);
     } else {
-      look(endpoint, List.of(told));
+      startProbe(endpoint, List.of(result));
     }
   }
 
-  private void look(Endpoint endpoint, List<Consumer<Boolean>> asked) {
-    waiting.put(endpoint, new ArrayList<>());
-    client.look(endpoint, listening -> tell(endpoint, asked, listening));
+  private void startProbe(Endpoint endpoint, List<Consumer<Boolean>> callbacks) {
+    addedDuringProbe.put(endpoint, new ArrayList<>());
+    client.look(endpoint, listening -> complete(endpoint, callbacks, listening));
   }
 
-  /** Whoever came while the look was under way may have seen a break that is later than it. */
-  private void tell(
-      Endpoint endpoint, List<Consumer<Boolean>> asked, HttpClient.Listening listening) {
-    boolean ended = listening == HttpClient.Listening.NO;
-    List<Consumer<Boolean>> later = waiting.remove(endpoint);
-    asked.forEach(told -> told.accept(ended));
-    if (later == null || later.isEmpty()) {
+  /**
+   * Passes the result to the callbacks. Callbacks that were added during the probe may concern a
+   * later break, so they need another probe unless the process has exited.
+   */
+  private void complete(
+      Endpoint endpoint, List<Consumer<Boolean>> callbacks, HttpClient.Listening listening) {
+    boolean exited = listening == HttpClient.Listening.NO;
+    List<Consumer<Boolean>> added = addedDuringProbe.remove(endpoint);
+    callbacks.forEach(result -> result.accept(exited));
+    if (added == null || added.isEmpty()) {
       return;
     }
-    if (ended) {
-      later.forEach(told -> told.accept(true));
+    if (exited) {
+      added.forEach(result -> result.accept(true));
     } else {
-      look(endpoint, later);
+      startProbe(endpoint, added);
     }
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitNoteCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitNoteCodec.java
@@ -3,22 +3,24 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import org.fawnvale.serving.core.limit.LimitUpdate;
-import org.fawnvale.serving.core.model.NodeIncarnation;
+
+
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
+import org.fawnvale.serving.core.limit.LimitUpdate;
+import org.fawnvale.serving.core.model.NodeIncarnation;
 
-/** What daemons tell each other of limits, as MessagePack. */
+/** Encodes the limit records that daemons exchange as MessagePack. */
 public final class LimitNoteCodec {
 
   private LimitNoteCodec() {}
 
   /**
-   * Writes notes.
+   * Writes limit records.
    *
-   * @param packer takes them
-   * @param notes the notes
-   * @throws IOException when they can't be written
+   * @param packer destination
+   * @param notes records
+   * @throws IOException if the packer fails
    */
   public static void write(MessageBufferPacker packer, List<LimitUpdate> notes) throws IOException {
     packer.packArrayHeader(notes.size());
@@ -32,21 +34,21 @@
   }
 
   /**
-   * Reads notes.
+   * Reads limit records.
    *
-   * @param in gives them
-   * @return the notes
-   * @throws IOException when they can't be read
+   * @param in source
+   * @return records
+   * @throws IOException if the input is malformed
    */
   public static List<LimitUpdate> read(MessageUnpacker in) throws IOException {
     int count = in.unpackArrayHeader();
     List<LimitUpdate> notes = new ArrayList<>();
     for (int index = 0; index < count; index++) {
       String id = in.unpackString();
-      NodeIncarnation life = new NodeIncarnation(id, in.unpackLong());
+      NodeIncarnation incarnation = new NodeIncarnation(id, in.unpackLong());
       int stamp = in.unpackInt();
       double perSecond = in.unpackDouble();
-      notes.add(new LimitUpdate(life, stamp, perSecond, in.unpackLong()));
+      notes.add(new LimitUpdate(incarnation, stamp, perSecond, in.unpackLong()));
     }
     return notes;
   }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
@@ -13,16 +13,18 @@
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeIncarnation;
+
 import org.fawnvale.serving.core.model.Settings;
-import org.fawnvale.serving.core.peer.RendezvousOwners;
+
 import org.fawnvale.serving.core.route.RouteTable;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.HttpReactor;
 import org.fawnvale.serving.http.NodeClient;
 import org.fawnvale.serving.http.Timers;
+import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 
-/** The real gateway, listening on loopback before upstreams that follow a script. */
+/** Runs a real gateway on loopback in front of scripted upstreams. */
 final class RunningGateway implements AutoCloseable {
 
   private static final int SLOTS = 10;
@@ -30,9 +32,7 @@
   private final Timers timers = new Timers(new Object());
   private final HttpReactor reactor = HttpReactor.start(16_384);
   private final UpstreamGate gate =
-      new UpstreamGate(
-          new SharedLimits(
-              new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
+      new UpstreamGate(new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
   private final Dispatcher dispatcher = new Dispatcher("a", gate, System::nanoTime);
   private final Gateway gateway;
   private final int port;
@@ -42,11 +42,11 @@
     SimpleMeterRegistry registry = new SimpleMeterRegistry();
     TestPlatform platform = new TestPlatform();
     HttpClient client = new HttpClient(reactor, timers);
-    NodeClient toNodes = new NodeClient(client, timers, gate, platform::answer, registry);
-    GatewayMetrics figures = new GatewayMetrics(registry);
-    gateway = new Gateway(timers, toNodes, platform, dispatcher, bounds, figures);
-    try (ServerSocket free = new ServerSocket(0)) {
-      port = free.getLocalPort();
+    NodeClient nodeClient = new NodeClient(client, timers, gate, platform::answer, registry);
+    GatewayMetrics metrics = new GatewayMetrics(registry);
+    gateway = new Gateway(timers, nodeClient, platform, dispatcher, bounds, metrics);
+    try (ServerSocket socket = new ServerSocket(0)) {
+      port = socket.getLocalPort();
     }
     reactor.listen(new Endpoint("127.0.0.1", port), gateway::handler);
   }
@@ -63,7 +63,7 @@
     return timers;
   }
 
-  Object guard() {
+  Object lock() {
     return timers.guard();
   }
 
@@ -71,30 +71,31 @@
     return port;
   }
 
-  /** Puts routes in force and lets requests that wait for them go on. */
-  void knowFleet() {
-    synchronized (guard()) {
+  /** Sets the routes and releases the requests that wait for them. */
+  void makeFleetKnown() {
+    synchronized (lock()) {
       gateway.routes(RouteTable.of(GatewayTest.configuration()));
       gateway.onFleetKnown();
     }
   }
 
-  /** Serves with upstreams that are named n0, n1 and so on; without a model when it is empty. */
+  /** Makes upstreams known as nodes n0, n1 and so on; an empty model means none. */
   void serve(List<ScriptedUpstream> upstreams, String model) {
     List<Node> nodes = new ArrayList<>();
     for (ScriptedUpstream upstream : upstreams) {
-      NodeIncarnation life = NodeIncarnation.only("n" + nodes.size());
+      NodeIncarnation incarnation = NodeIncarnation.only("n" + nodes.size());
       Endpoint endpoint = new Endpoint("127.0.0.1", upstream.port());
-      String ofGroup = model.isEmpty() ? null : model;
-      nodes.add(new Node(life, "s", endpoint, "a", SLOTS, false, "", ofGroup, List.of(), null));
+      String groupModel = model.isEmpty() ? null : model;
+      nodes.add(
+          new Node(incarnation, "s", endpoint, "a", SLOTS, false, "", groupModel, List.of(), null));
     }
-    synchronized (guard()) {
+    synchronized (lock()) {
       dispatcher.setUpstreams(nodes);
     }
   }
 
-  /** Sends one caller's request to a path, and waits for its answer. */
-  HttpResponse<String> ask(String path) throws Exception {
+  /** Sends a caller's request to a path and waits for the response. */
+  HttpResponse<String> send(String path) throws Exception {
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://localhost:" + port + path))
             .header("T-Id", "r")
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
@@ -5,20 +5,24 @@
 import org.apache.hc.core5.http.HttpResponse;
 import org.fawnvale.serving.core.formation.GroupOrder;
 import org.fawnvale.serving.core.formation.NodeReport;
-import org.fawnvale.serving.core.model.AdvertisedLimit;
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.Node;
-import org.fawnvale.serving.core.model.NodeResponse;
+
 import org.fawnvale.serving.core.model.RequestSize;
-import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
+
+
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.core.watch.StorePosition;
+
 import org.fawnvale.serving.spi.Call;
 import org.fawnvale.serving.spi.HeaderNames;
 import org.fawnvale.serving.spi.Page;
 import org.fawnvale.serving.spi.Platform;
+import org.fawnvale.serving.core.model.AdvertisedLimit;
+import org.fawnvale.serving.core.model.NodeResponse;
+import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
+import org.fawnvale.serving.core.watch.StorePosition;
 
-/** A platform with names of its own: the gateway knows none but those it is given. */
+/** A platform with its own header names, to show that the gateway hard-codes none. */
 final class TestPlatform implements Platform {
 
   static final HeaderNames NAMES =
@@ -114,13 +118,13 @@
 
   @Override
   public NodeResponse answer(HttpResponse head) {
-    Header rest = head.getFirstHeader("T-Rest-Ms");
+    Header retryAfter = head.getFirstHeader("T-Rest-Ms");
     Header limit = head.getFirstHeader("T-Limit");
     return new NodeResponse(
         head.getCode(),
         head.containsHeader("T-Not-Run"),
         head.containsHeader("T-Leaving"),
-        rest == null ? 0 : Long.parseLong(rest.getValue()),
+        retryAfter == null ? 0 : Long.parseLong(retryAfter.getValue()),
         null,
         limit == null ? null : AdvertisedLimit.of(Double.parseDouble(limit.getValue()), "told"));
   }
