--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
@@ -57,7 +57,7 @@
   Collection<Node> listedNodes() {
     long now = System.nanoTime();
     Collection<Node> listed =
-        restoredNodes.complete(nodes.objects(), nodes.places(), lastAnswerNanos());
+        restoredNodes.complete(nodes.objects(), nodes.positions(), lastAnswerNanos());
     if (settings.policy().cutsAreNoDeaths()) {
       listed = vanishedNodes.complete(listed, missingMayComeBack(now), now);
     }
@@ -76,14 +76,18 @@
 
   /** A daemon that rests has its nodes from peers; that the store answers it shows in the other. */
   private long lastAnswerNanos() {
-    return nodes.isActive() ? nodes.answeredAtNanos() : configurations.answeredAtNanos();
+    return nodes.isActive() ? nodes.lastAnswerNanos() : configurations.lastAnswerNanos();
   }
 
   /** Takes note of what was known of the nodes before the store went back. */
   void storeWentBack(EraChange<Node> change) {
     wentBackAtNanos = System.nanoTime();
     restoredNodes.storeWentBack(
-        change.known(), change.removed(), nodes.objects(), nodes.places(), wentBackAtNanos);
+        change.previousObjects(),
+        change.removedNames(),
+        nodes.objects(),
+        nodes.positions(),
+        wentBackAtNanos);
   }
 
   /** Tells whether nodes are held on to that the list has lost or shows as they were before. */
@@ -98,7 +102,7 @@
 
   /** Tells whether the store answers this daemon. */
   boolean storeAnswers() {
-    boolean certain = nodes.isActive() || doubt.isOver(configurations.answeredAtNanos());
+    boolean certain = nodes.isActive() || doubt.isOver(configurations.lastAnswerNanos());
     return certain && answers(configurations) && answers(nodes);
   }
 
@@ -112,13 +116,13 @@
 
   private void lookForOutage() {
     boolean here = configurations.reachable() && (!nodes.isActive() || nodes.reachable());
-    long lastAnswer = Math.max(configurations.answeredAtNanos(), nodes.answeredAtNanos());
+    long lastAnswer = Math.max(configurations.lastAnswerNanos(), nodes.lastAnswerNanos());
     outages.look(here, peers.storeAnswersAny(), lastAnswer, System.nanoTime());
   }
 
   /** A daemon that rests after a failed call may find the store again, but not at once. */
   private static boolean answers(StoreWatch<?> watch) {
-    boolean failedLately = System.nanoTime() - watch.failedAtNanos() < STORE_TRUST_NANOS;
+    boolean failedLately = System.nanoTime() - watch.lastFailureNanos() < STORE_TRUST_NANOS;
     return watch.reachable() || !watch.isActive() && !failedLately;
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonEndpoints.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonEndpoints.java
@@ -55,10 +55,10 @@
       copy = limits.answer(target);
     } else if (trials.isAskedBy(target)) {
       copy = trials.answer(target);
-    } else if (nodes.isAskedBy(target)) {
-      copy = nodes.give(target);
-    } else if (configurations.isAskedBy(target)) {
-      copy = configurations.give(target);
+    } else if (nodes.handles(target)) {
+      copy = nodes.respond(target);
+    } else if (configurations.handles(target)) {
+      copy = configurations.respond(target);
     }
     return new SimpleResponseHandler.Page(copy.length == 0 ? UNAVAILABLE : OK, copy);
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/QuarantinePersistence.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/QuarantinePersistence.java
@@ -34,10 +34,10 @@
    */
   void begin(boolean mayBeKnown) {
     if (mayBeKnown) {
-      store.learn();
+      store.load();
     }
     repeats.onBarred(this::barred);
-    repeats.onCleared(store::forget);
+    repeats.onCleared(store::delete);
   }
 
   /**
@@ -46,7 +46,7 @@
    */
   private void barred(RequestRecord told, boolean own) {
     if (own || leads) {
-      store.keep(told);
+      store.save(told);
     }
   }
 
@@ -61,7 +61,7 @@
     leads = leadsNow;
     if (leadsNow && !era.equals(keptIn)) {
       keptIn = era;
-      repeats.barred().forEach(store::keep);
+      repeats.barred().forEach(store::save);
     }
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -173,7 +173,7 @@
             platform,
             Platform.Kind.CONFIGURATION,
             platform::configurations,
-            new StoreWatch.Pace(() -> CONFIGURATION_REST_MILLIS, this::configurationWaitMillis),
+            new StoreWatch.Timing(() -> CONFIGURATION_REST_MILLIS, this::configurationWaitMillis),
             false,
             (known, told) -> told == null || known.version() > told.version(),
             storeFigures,
@@ -186,9 +186,9 @@
             platform,
             Platform.Kind.NODES,
             platform::nodes,
-            new StoreWatch.Pace(this::nodesRestMillis, () -> SHORT_WAIT_MILLIS),
+            new StoreWatch.Timing(this::nodesRestMillis, () -> SHORT_WAIT_MILLIS),
             settings.firstStart(),
-            MergePolicy.ofStore(),
+            MergePolicy.byPosition(),
             storeFigures,
             this::nodesChanged);
     this.sight = new ClusterView(settings, peers, configurations, nodes, gate);
@@ -253,13 +253,13 @@
   /** What one copy has learned of the store's history the other one must not learn late. */
   private void configurationWentBack(EraChange<Configuration> change) {
     returns.tell(Platform.Kind.CONFIGURATION, change, configurations.objects().keySet());
-    nodes.hearOf(change.now().era());
+    nodes.onEraReported(change.currentPosition().era());
   }
 
   private void nodesWentBack(EraChange<Node> change) {
     returns.tell(Platform.Kind.NODES, change, nodes.objects().keySet());
     sight.storeWentBack(change);
-    configurations.hearOf(change.now().era());
+    configurations.onEraReported(change.currentPosition().era());
   }
 
   private void listenForPages() {
@@ -276,7 +276,7 @@
   }
 
   private boolean isReady() {
-    return configuration != null && nodes.place().isKnown() && !stopping;
+    return configuration != null && nodes.position().isKnown() && !stopping;
   }
 
   private int nodesRestMillis() {
@@ -323,7 +323,10 @@
     Set<String> leaving = leavingNews.learn(nodes.objects().values());
     if (!leaving.isEmpty()) {
       LOG.info(
-          "leaving={} place={} by={}", leaving, nodes.place(), nodes.isActive() ? "store" : "peer");
+          "leaving={} place={} by={}",
+          leaving,
+          nodes.position(),
+          nodes.isActive() ? "store" : "peer");
     }
     if (!leaving.isEmpty() && nodes.isActive()) {
       tellPeers(true);
@@ -345,7 +348,7 @@
     suspicions.learn(serving, nodes.objects().keySet());
     dispatcher.serve(serving);
     dispatcher.retain(nodes.objects().keySet());
-    if (!fleetIsKnown && nodes.place().isKnown()) {
+    if (!fleetIsKnown && nodes.position().isKnown()) {
       fleetIsKnown = true;
       gateway.fleetIsKnown();
     }
@@ -373,9 +376,10 @@
 
   private void placesOfPeer(String address, boolean isNear, CopyPlaces places) {
     boolean goesBefore = places.version() > versionInForce();
-    configurationCopies.hear(
-        new PeerCopyExchange.Told(address, isNear, places.configuration(), goesBefore));
-    nodeCopies.hear(new PeerCopyExchange.Told(address, isNear, places.nodes(), false));
+    configurationCopies.onAdvertisement(
+        new PeerCopyExchange.Advertisement(address, isNear, places.configuration(), goesBefore));
+    nodeCopies.onAdvertisement(
+        new PeerCopyExchange.Advertisement(address, isNear, places.nodes(), false));
   }
 
   private long versionInForce() {
@@ -452,11 +456,11 @@
     boolean led = leads;
     leads = peers.decide(standing());
     Standing standing = standing();
-    nodes.active(leads || !nodes.place().isKnown() || peers.watchesForDataCentre(standing));
+    nodes.setActive(leads || !nodes.position().isKnown() || peers.watchesForDataCentre(standing));
     if (leads && !led) {
       tellPeers(true);
     }
-    barred.look(leads, configurations.place().era());
+    barred.look(leads, configurations.position().era());
   }
 
   private void plan(EngineSpec engine) {
@@ -478,7 +482,7 @@
   private void lead(EngineSpec engine, Set<String> inSight) {
     List<StallEvidence.Witness> witnesses = suspicions.witnesses();
     boolean suspected = witnesses.stream().anyMatch(witness -> !witness.suspects().isEmpty());
-    if (formation.isDue(nodes.place(), suspected)) {
+    if (formation.isDue(nodes.position(), suspected)) {
       Collection<Node> engines = engines();
       formation.lead(engines, engine, demand(engine), witnesses, inSight, resting(engines));
     }
@@ -530,7 +534,7 @@
 
   private Standing standing() {
     boolean settled = System.nanoTime() - startedNanos > SETTLE_NANOS;
-    if (!settled || stopping || !nodes.place().isKnown() || configuration == null) {
+    if (!settled || stopping || !nodes.position().isKnown() || configuration == null) {
       return Standing.UNFIT;
     }
     if (sight.storeAnswers()) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreRollbackReporter.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreRollbackReporter.java
@@ -40,13 +40,13 @@
     LOG.warn(
         "kind={} before={} now={} known={} listed={} lost={} back={} outcome=store_went_back",
         kind,
-        change.before(),
-        change.now(),
-        change.known().size(),
+        change.previousPosition(),
+        change.currentPosition(),
+        change.previousObjects().size(),
         listed.size(),
-        lost(change.known(), listed),
-        back(change.removed(), listed));
-    tellJump(kind, change.before().era(), change.now().era());
+        lost(change.previousObjects(), listed),
+        back(change.removedNames(), listed));
+    tellJump(kind, change.previousPosition().era(), change.currentPosition().era());
   }
 
   /** Objects that were known and are not listed: made since the copy. */
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/CopyPacing.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/CopyPacing.java
@@ -3,77 +3,81 @@
 import org.fawnvale.serving.core.watch.CopyTimes;
 
 /**
- * When a copy that a peer tells of is fetched: at once from a near peer, later from a far one or by
- * a daemon that watches the store itself, and never more often than notes come. Every daemon hears
- * of each change from all others, so without this each change would be fetched from all of them.
+ * Schedules fetches of newer copies that peers advertise. A daemon fetches from a peer of its own
+ * data centre at once, and after a delay from a peer of another data centre or when it watches the
+ * store itself. A minimum interval separates two fetches, because every peer advertises each change
+ * and a daemon would otherwise fetch it from each of them.
  */
 final class CopyPacing {
 
-  /** Not at all: another fetch is under way or due. */
+  /** No fetch is needed, because another one is scheduled or was started a moment ago. */
   static final int NEVER = -1;
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
   private final CopyTimes times;
-  private final long pauseNanos;
+  private final long minIntervalNanos;
   private long lastFetchNanos = Long.MIN_VALUE / 2;
-  private long nearDueNanos = Long.MIN_VALUE / 2;
-  private long laterUntilNanos = Long.MIN_VALUE / 2;
+  private long nearFetchDueNanos = Long.MIN_VALUE / 2;
+  private long delayedFetchDueNanos = Long.MIN_VALUE / 2;
 
   /**
-   * Creates the pacing of one kind of copies.
+   * Creates the pacing for one kind of objects.
    *
-   * @param times how long to wait between and before fetches
+   * @param times the minimum interval between fetches and the delays before them
    */
   CopyPacing(CopyTimes times) {
     this.times = times;
-    this.pauseNanos = times.pauseMillis() * NANOS_PER_MILLI;
+    this.minIntervalNanos = times.pauseMillis() * NANOS_PER_MILLI;
   }
 
   /**
-   * Decides on a newer copy that a peer tells of.
+   * Decides when to fetch a newer copy that a peer advertises.
    *
-   * @param watches whether this daemon watches the store and is answered
-   * @param isNear whether the peer is of the same data centre
-   * @param now the steady time, in nanoseconds
-   * @return milliseconds to wait before the fetch; {@link #NEVER} when there is to be none
+   * @param watches whether this daemon watches the store and the store answers
+   * @param isNear whether the peer is in the same data centre
+   * @param now the monotonic time, in nanoseconds
+   * @return the delay before the fetch in milliseconds; {@link #NEVER} when no fetch is needed
    */
   int delayMillis(boolean watches, boolean isNear, long now) {
-    long pauseEnds = lastFetchNanos + pauseNanos;
+    long intervalEnds = lastFetchNanos + minIntervalNanos;
     if (!watches && isNear) {
-      return nearDelayMillis(pauseEnds, now);
+      return nearDelayMillis(intervalEnds, now);
     }
-    if (now < pauseEnds) {
+    if (now < intervalEnds) {
       return NEVER;
     }
-    if (now < laterUntilNanos) {
+    if (now < delayedFetchDueNanos) {
       return NEVER;
     }
-    int patience = watches ? times.watcherPatienceMillis() : times.farPatienceMillis();
-    laterUntilNanos = now + patience * NANOS_PER_MILLI;
-    return patience;
+    int delay = watches ? times.watcherPatienceMillis() : times.farPatienceMillis();
+    delayedFetchDueNanos = now + delay * NANOS_PER_MILLI;
+    return delay;
   }
 
-  /** Within the pause after a fetch the next one is due at its end, not with a later note. */
-  private int nearDelayMillis(long pauseEnds, long now) {
-    if (now >= pauseEnds) {
+  /**
+   * Schedules a fetch within the minimum interval for the end of that interval, so that it does not
+   * have to wait for the next message of a peer.
+   */
+  private int nearDelayMillis(long intervalEnds, long now) {
+    if (now >= intervalEnds) {
       return 0;
     }
-    if (now < nearDueNanos) {
+    if (now < nearFetchDueNanos) {
       return NEVER;
     }
-    nearDueNanos = pauseEnds;
-    return (int) ((pauseEnds - now + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
+    nearFetchDueNanos = intervalEnds;
+    return (int) ((intervalEnds - now + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
   }
 
   /**
-   * Takes the turn to fetch.
+   * Starts a fetch unless the last one started within the minimum interval.
    *
-   * @param now the steady time, in nanoseconds
-   * @return false when another fetch was begun a moment ago
+   * @param now the monotonic time, in nanoseconds
+   * @return true when the caller may fetch now
    */
-  boolean take(long now) {
-    if (now - lastFetchNanos < pauseNanos) {
+  boolean tryStartFetch(long now) {
+    if (now - lastFetchNanos < minIntervalNanos) {
       return false;
     }
     lastFetchNanos = now;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/CopyUpdate.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/CopyUpdate.java
@@ -5,15 +5,16 @@
 import org.fawnvale.serving.core.watch.StorePlace;
 
 /**
- * Objects of one kind, as one daemon gives them to another: all of them, or what has changed since
- * the place that the other one's copy shows.
+ * Objects of one kind, as one daemon sends them to another: either all objects, or the changes
+ * since the position of the receiver's copy. Jackson writes the component names into the
+ * MessagePack body.
  *
- * @param place the place in the store's history that the copy shows
- * @param newest the place of the newest change in it
- * @param whole whether all objects are given
+ * @param place the position of the sender's copy in the store's history
+ * @param newest the position of the newest change in the sender's copy
+ * @param whole whether the update contains all objects
  * @param objects the objects by name
- * @param places the place of the last change of each, by name
- * @param removed names of objects that are gone; empty when all objects are given
+ * @param places the position of the last change of each object, by name
+ * @param removed names of removed objects; empty when the update contains all objects
  * @param <T> the type of the objects
  */
 record CopyUpdate<T>(
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/EraChange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/EraChange.java
@@ -5,13 +5,17 @@
 import org.fawnvale.serving.core.watch.StorePlace;
 
 /**
- * The store has begun another history, and a copy shows it now.
+ * A local copy moved from one era of the store to another, usually because the store was rolled
+ * back.
  *
- * @param before where the copy stood
- * @param now where it stands
- * @param known what it held, by name
- * @param removed names of objects that were known to be gone
+ * @param previousPosition the position of the copy before the change
+ * @param currentPosition the position of the copy after the change
+ * @param previousObjects the objects of the copy before the change, by name
+ * @param removedNames names of objects whose removal was known before the change
  * @param <T> the type of the objects
  */
 public record EraChange<T>(
-    StorePlace before, StorePlace now, Map<String, T> known, Set<String> removed) {}
+    StorePlace previousPosition,
+    StorePlace currentPosition,
+    Map<String, T> previousObjects,
+    Set<String> removedNames) {}
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/MergePolicy.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/MergePolicy.java
@@ -3,8 +3,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Whether what is known of an object stays in force against what the store shows. A store that has
- * come back from a copy shows what was in force some seconds ago, until its writer writes again.
+ * Decides which of two versions of an object takes precedence, independently of their positions in
+ * the store. After a rollback the store shows a version that is some seconds old, until the
+ * object's writer writes it again.
  *
  * @param <T> the type of the objects
  */
@@ -12,21 +13,21 @@
 public interface MergePolicy<T> {
 
   /**
-   * Compares what is known with what is told.
+   * Compares two versions of an object.
    *
-   * @param known what this daemon knows
-   * @param told what the store shows, or a peer tells; null when it shows none
-   * @return true when what is known goes before
+   * @param version one version
+   * @param other the other version; null when the other side has no such object
+   * @return true when {@code version} takes precedence over {@code other}
    */
-  boolean keeps(T known, @Nullable T told);
+  boolean prefers(T version, @Nullable T other);
 
   /**
-   * The store's word holds, whatever it is.
+   * Creates a policy that prefers no version, so that the positions in the store alone decide.
    *
    * @param <T> the type of the objects
-   * @return the rule
+   * @return the policy
    */
-  static <T> MergePolicy<T> ofStore() {
-    return (known, told) -> false;
+  static <T> MergePolicy<T> byPosition() {
+    return (version, other) -> false;
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/ObjectTable.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/ObjectTable.java
@@ -12,48 +12,48 @@
 import org.fawnvale.serving.spi.Page;
 
 /**
- * The objects of one kind as far as this daemon knows them, with what it takes to tell another
- * daemon only the changes. Nothing here goes back within one history of the store. When the store
- * begins another history, its list takes the place of all that was known: revisions are given out
- * again, so what was known can't be compared with what is listed.
+ * This daemon's copy of the store's objects of one kind, with the change and removal positions that
+ * are needed to send peers only the changes. Within one era the copy never moves to an earlier
+ * position. When the store begins another era, its list replaces the copy: the store assigns the
+ * same revisions again, so positions of two eras can't be compared by revision.
  *
  * @param <T> the type of the objects
  */
 final class ObjectTable<T> {
 
   private static final Logger LOG = LogManager.getLogger("store");
-  private static final int MOST_REMOVALS = 1_024;
+  private static final int MAX_REMOVALS = 1_024;
 
-  /** What an object that can't be read any more stands for. */
-  enum Unreadable {
-    /** The last good one stays in force: a configuration. */
+  /** How the table treats an object whose new content can't be read; logged by name. */
+  enum UnreadablePolicy {
+    /** Keeps the last readable version; used for configurations. */
     KEEPS_LAST,
-    /** It names nothing to use, from that moment on: a node. */
+    /** Removes the object; used for nodes. */
     NAMES_NOTHING
   }
 
   private final String kind;
-  private final Unreadable unreadable;
-  private final MergePolicy<T> succession;
+  private final UnreadablePolicy unreadable;
+  private final MergePolicy<T> mergePolicy;
   private final Map<String, T> objects = new LinkedHashMap<>();
-  private final Map<String, StorePlace> places = new LinkedHashMap<>();
+  private final Map<String, StorePlace> positions = new LinkedHashMap<>();
   private final Map<String, StorePlace> removals = new LinkedHashMap<>();
   private Consumer<EraChange<T>> eraListener = change -> {};
 
-  /** Removals after this place are known; no list has come before it does. */
+  /** The table knows all removals after this position; {@code NONE} before the first list. */
   private StorePlace removalsKnownSince = StorePlace.NONE;
 
-  private StorePlace place = StorePlace.NONE;
+  private StorePlace position = StorePlace.NONE;
   private StorePlace newest = StorePlace.NONE;
-  private long changes;
+  private long changeCount;
 
-  ObjectTable(String kind, Unreadable unreadable, MergePolicy<T> succession) {
+  ObjectTable(String kind, UnreadablePolicy unreadable, MergePolicy<T> mergePolicy) {
     this.kind = kind;
     this.unreadable = unreadable;
-    this.succession = succession;
+    this.mergePolicy = mergePolicy;
   }
 
-  /** Names who is told, after the change, that the copy shows another history of the store. */
+  /** Sets the listener that is notified after the table has moved to another era. */
   void onEraChange(Consumer<EraChange<T>> listener) {
     eraListener = listener;
   }
@@ -62,36 +62,36 @@
     return objects;
   }
 
-  /** The place of the last change of each object, by name. */
-  Map<String, StorePlace> places() {
-    return places;
+  /** The position of the last change of each object, by name. */
+  Map<String, StorePlace> positions() {
+    return positions;
   }
 
-  /** The place in the store's history that the table shows. */
-  StorePlace place() {
-    return place;
+  /** The position in the store's history up to which the table is current. */
+  StorePlace position() {
+    return position;
   }
 
-  /** Counts all that may change what other daemons are given. */
-  long changes() {
-    return changes;
+  /** The number of operations so far that may have changed the updates sent to peers. */
+  long changeCount() {
+    return changeCount;
   }
 
-  /** The place of the newest change in the table. */
+  /** The position of the newest change in the table. */
   StorePlace newest() {
     return newest;
   }
 
   /**
-   * Puts a whole list in the place of what was known.
+   * Replaces the content of the table with a complete list.
    *
    * @param items the objects by name
-   * @param listed the store's place when the list began
-   * @return false when the table already shows a later place of the same history
+   * @param listed the position of the store when the list began
+   * @return false when the table already has a later position in the same era
    */
   boolean replace(Map<String, Page.Item<T>> items, StorePlace listed) {
-    changes++;
-    if (place.sharesEraOf(listed) && place.isAfter(listed)) {
+    changeCount++;
+    if (position.sharesEraOf(listed) && position.isAfter(listed)) {
       return false;
     }
     inEraOf(
@@ -99,34 +99,37 @@
         () -> {
           retain(items.keySet(), listed);
           items.values().forEach(this::apply);
-          place = listed;
+          position = listed;
         });
     return true;
   }
 
-  /** Makes a change that may begin another history for this table. */
-  private void inEraOf(StorePlace told, Runnable change) {
-    boolean begins = place.isKnown() && !place.sharesEraOf(told);
-    if (!begins) {
+  /**
+   * Runs a change. If it begins another era, the removal history is reset before the change and the
+   * era listener is notified after it.
+   */
+  private void inEraOf(StorePlace target, Runnable change) {
+    boolean beginsEra = position.isKnown() && !position.sharesEraOf(target);
+    if (!beginsEra) {
       change.run();
       return;
     }
-    EraChange<T> era =
-        new EraChange<>(place, told, Map.copyOf(objects), Set.copyOf(removals.keySet()));
+    EraChange<T> eraChange =
+        new EraChange<>(position, target, Map.copyOf(objects), Set.copyOf(removals.keySet()));
     removals.clear();
     removalsKnownSince = StorePlace.NONE;
     newest = StorePlace.NONE;
     change.run();
-    eraListener.accept(era);
+    eraListener.accept(eraChange);
   }
 
   /**
-   * Takes changes of the table's own history in.
+   * Applies changes of the table's own era.
    *
    * @param page the changes, oldest first
    */
-  void change(Page<T> page) {
-    changes++;
+  void applyChanges(Page<T> page) {
+    changeCount++;
     for (Page.Item<T> item : page.items()) {
       if (item.deleted()) {
         remove(item.name(), page.place());
@@ -134,66 +137,68 @@
         apply(item);
       }
     }
-    place = place.orLater(page.place());
+    position = position.orLater(page.place());
   }
 
   /**
-   * Takes what another daemon knows.
+   * Merges objects or changes from another daemon's copy.
    *
-   * @param copy the other one's objects or changes
-   * @return false when it tells nothing new
+   * @param update the other daemon's objects or changes
+   * @return false when the update contains nothing newer
    */
-  boolean merge(CopyUpdate<T> copy) {
-    changes++;
-    boolean isOlder = place.isAfter(copy.place());
-    boolean changesOtherEra = !copy.whole() && !place.sharesEraOf(copy.place());
-    if (isOlder || changesOtherEra || !copy.newest().isAfter(newest)) {
-      return takePreferred(copy);
+  boolean merge(CopyUpdate<T> update) {
+    changeCount++;
+    boolean isOlder = position.isAfter(update.place());
+    boolean changesOtherEra = !update.whole() && !position.sharesEraOf(update.place());
+    if (isOlder || changesOtherEra || !update.newest().isAfter(newest)) {
+      return mergePreferred(update);
     }
     inEraOf(
-        copy.place(),
+        update.place(),
         () -> {
-          if (copy.whole()) {
-            retain(copy.objects().keySet(), copy.place());
+          if (update.whole()) {
+            retain(update.objects().keySet(), update.place());
           }
-          copy.removed().forEach(name -> remove(name, copy.place()));
-          copy.objects()
-              .forEach((name, value) -> put(name, copy.places().getOrDefault(name, place), value));
-          place = copy.place();
-          newest = copy.newest();
+          update.removed().forEach(name -> remove(name, update.place()));
+          update
+              .objects()
+              .forEach(
+                  (name, value) -> put(name, update.places().getOrDefault(name, position), value));
+          position = update.place();
+          newest = update.newest();
         });
     return true;
   }
 
-  /** What goes before what is known here is taken whatever the store shows by now. */
-  private boolean takePreferred(CopyUpdate<T> copy) {
-    boolean taken = false;
-    for (Map.Entry<String, T> told : copy.objects().entrySet()) {
-      T known = objects.get(told.getKey());
-      if (succession.keeps(told.getValue(), known)) {
-        objects.put(told.getKey(), told.getValue());
-        taken = true;
+  /** Takes the objects that the merge policy prefers to the known ones, whatever their position. */
+  private boolean mergePreferred(CopyUpdate<T> update) {
+    boolean changed = false;
+    for (Map.Entry<String, T> offered : update.objects().entrySet()) {
+      T known = objects.get(offered.getKey());
+      if (mergePolicy.prefers(offered.getValue(), known)) {
+        objects.put(offered.getKey(), offered.getValue());
+        changed = true;
       }
     }
-    return taken;
+    return changed;
   }
 
   /**
-   * Makes a copy for another daemon.
+   * Creates an update for another daemon.
    *
-   * @param since the place that the other one's copy shows
-   * @return what has changed since, or all when that is not known
+   * @param since the position of the other daemon's copy
+   * @return the changes since that position, or all objects when the removals since it are unknown
    */
-  CopyUpdate<T> copySince(StorePlace since) {
+  CopyUpdate<T> updateSince(StorePlace since) {
     boolean removalsKnown =
         since.sharesEraOf(removalsKnownSince) && !removalsKnownSince.isAfter(since);
     if (!removalsKnown) {
       return new CopyUpdate<>(
-          place, newest, true, new LinkedHashMap<>(objects), Map.copyOf(places), List.of());
+          position, newest, true, new LinkedHashMap<>(objects), Map.copyOf(positions), List.of());
     }
     Map<String, T> changed = new LinkedHashMap<>();
     Map<String, StorePlace> changedAt = new LinkedHashMap<>();
-    places.forEach(
+    positions.forEach(
         (name, at) -> {
           if (at.isAfter(since)) {
             changed.put(name, objects.get(name));
@@ -207,12 +212,12 @@
             removed.add(name);
           }
         });
-    return new CopyUpdate<>(place, newest, false, changed, changedAt, removed);
+    return new CopyUpdate<>(position, newest, false, changed, changedAt, removed);
   }
 
   private void retain(Set<String> names, StorePlace at) {
     for (Map.Entry<String, T> known : List.copyOf(objects.entrySet())) {
-      if (!names.contains(known.getKey()) && !succession.keeps(known.getValue(), null)) {
+      if (!names.contains(known.getKey()) && !mergePolicy.prefers(known.getValue(), null)) {
         remove(known.getKey(), at);
       }
     }
@@ -224,10 +229,10 @@
   private void remove(String name, StorePlace at) {
     newest = newest.orLater(at);
     objects.remove(name);
-    places.remove(name);
+    positions.remove(name);
     removals.remove(name);
     removals.put(name, at);
-    if (removals.size() > MOST_REMOVALS) {
+    if (removals.size() > MAX_REMOVALS) {
       String oldest = removals.keySet().iterator().next();
       removalsKnownSince = removals.remove(oldest);
     }
@@ -243,7 +248,7 @@
           item.name(),
           item.place(),
           unreadable);
-      if (unreadable == Unreadable.NAMES_NOTHING) {
+      if (unreadable == UnreadablePolicy.NAMES_NOTHING) {
         remove(item.name(), item.place());
       }
     } else {
@@ -252,14 +257,14 @@
   }
 
   private void put(String name, StorePlace at, T value) {
-    StorePlace known = places.getOrDefault(name, StorePlace.NONE);
+    StorePlace known = positions.getOrDefault(name, StorePlace.NONE);
     if (known.sharesEraOf(at) && known.isAfter(at)) {
       return;
     }
     T before = objects.get(name);
-    boolean keeps = before != null && succession.keeps(before, value);
-    objects.put(name, keeps ? before : value);
-    places.put(name, at);
+    boolean keepsBefore = before != null && mergePolicy.prefers(before, value);
+    objects.put(name, keepsBefore ? before : value);
+    positions.put(name, at);
     removals.remove(name);
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
@@ -19,16 +19,16 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Takes what is newer in a peer's copy of the store's objects, and gives peers what is newer in
- * this daemon's. A daemon that watches the store itself waits a moment first, since its own watch
- * is about to tell it the same.
+ * Exchanges copies of the store's objects with peers: fetches newer objects from peers, and answers
+ * the queries of peers from this daemon's copy. A daemon that watches the store itself delays its
+ * fetches, because its own watch usually delivers the same changes.
  *
  * @param <T> the type of the objects
  */
 public final class PeerCopyExchange<T> {
 
   private static final Logger LOG = LogManager.getLogger("store");
-  private static final int FETCH_MILLIS = 800;
+  private static final int FETCH_TIMEOUT_MILLIS = 800;
 
   private static final String SINCE = "?since=";
   private static final int OK = 200;
@@ -40,20 +40,20 @@
   private final int port;
   private final Class<T> content;
   private final CopyPacing pacing;
-  private Given given = new Given("", -1, new byte[0]);
+  private CachedResponse cached = new CachedResponse("", -1, new byte[0]);
 
   /**
-   * What was given last. The daemons of a data centre ask for the same, one right after the other:
-   * after a return of the store each of them for a whole copy, which costs a large fleet's watcher
-   * milliseconds to write.
+   * The last response. All daemons of a data centre send the same query in quick succession; after
+   * a rollback of the store each of them asks for the whole copy, which is expensive to serialise
+   * in a large cluster.
    *
-   * @param target the question
-   * @param ofChanges the count of changes that the copy was made of
-   * @param copy the answer
+   * @param target the path and query that it answers
+   * @param changeCount the change count of the copy at the time of serialisation
+   * @param body the serialised update
    */
-  private record Given(String target, long ofChanges, byte[] copy) {}
+  private record CachedResponse(String target, long changeCount, byte[] body) {}
 
-  /** Made with the first copy: a daemon that starts answers callers before it. */
+  /** Initialised on first use, so that it does not delay the start of the daemon. */
   private static final class Codec {
     static final ObjectMapper MAPPER =
         new ObjectMapper(new MessagePackFactory())
@@ -61,20 +61,20 @@
             .addMixIn(StoreEra.class, AsArray.class);
   }
 
-  /** Each object has a place: names of its parts would be the most of a copy. */
+  /** Writes a position without field names, which would dominate the size of an update. */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   private interface AsArray {}
 
   /**
-   * Creates the exchange of copies of one kind.
+   * Creates the exchange for one kind of objects.
    *
-   * @param client sends the questions
-   * @param timers bounds their time
-   * @param watch keeps the copy
-   * @param path where peers ask for it
-   * @param port the port that all daemons answer peers at
+   * @param client sends the queries
+   * @param timers enforces timeouts and delays
+   * @param watch holds this daemon's copy
+   * @param path the path under which daemons serve copies of this kind
+   * @param port the port at which every daemon answers the queries of its peers
    * @param content the type of the objects
-   * @param times how long to wait between and before copies
+   * @param times the minimum interval between fetches and the delays before them
    */
   public PeerCopyExchange(
       HttpClient client,
@@ -99,93 +99,96 @@
   }
 
   /**
-   * What a peer tells of its copy.
+   * A peer's announcement of the state of its copy.
    *
    * @param address the peer's address
-   * @param isNear whether it is of the same data centre; bytes between data centres are dear
-   * @param newest the place of the newest change in it
-   * @param goesBefore whether it holds what goes before this daemon's, though the store does not
-   *     show it any more
+   * @param isNear whether the peer is in the same data centre; traffic between data centres is
+   *     expensive
+   * @param newest the position of the newest change in the peer's copy
+   * @param takesPrecedence whether the peer's copy contains an object that takes precedence over
+   *     this daemon's, although the store may no longer show it
    */
-  public record Told(String address, boolean isNear, StorePlace newest, boolean goesBefore) {}
+  public record Advertisement(
+      String address, boolean isNear, StorePlace newest, boolean takesPrecedence) {}
 
   /**
-   * Hears of a peer's copy. Where it shows a later history of the store, a daemon that watches asks
-   * the store itself, whose word is better than a peer's; the others take the peer's copy whole.
+   * Processes a peer's advertisement, and fetches the peer's copy if it is newer. When the copy
+   * shows a later era, a daemon that watches the store also lists the store's objects again.
    *
-   * @param told what the peer tells
+   * @param advertised the state of the peer's copy
    */
-  public void hear(Told told) {
+  public void onAdvertisement(Advertisement advertised) {
     boolean watches = watch.isActive() && watch.reachable();
-    if (watches && told.newest().isKnown()) {
-      watch.hearOf(told.newest().era());
+    if (watches && advertised.newest().isKnown()) {
+      watch.onEraReported(advertised.newest().era());
     }
-    if (!isWanted(told)) {
+    if (!isNewer(advertised)) {
       return;
     }
-    int delay = pacing.delayMillis(watches, told.isNear(), System.nanoTime());
+    int delay = pacing.delayMillis(watches, advertised.isNear(), System.nanoTime());
     if (delay == 0) {
-      fetch(told);
+      fetch(advertised);
     } else if (delay != CopyPacing.NEVER) {
-      timers.after(delay, () -> fetch(told));
+      timers.after(delay, () -> fetch(advertised));
     }
   }
 
-  private boolean isWanted(Told told) {
-    return told.newest().isAfter(watch.newest()) || told.goesBefore();
+  private boolean isNewer(Advertisement advertised) {
+    return advertised.newest().isAfter(watch.newest()) || advertised.takesPrecedence();
   }
 
-  private void fetch(Told told) {
-    if (isWanted(told) && pacing.take(System.nanoTime())) {
-      Endpoint peer = new Endpoint(told.address(), port);
-      StorePlace since = told.goesBefore() ? StorePlace.NONE : watch.place();
-      Call question = Call.get(path + SINCE + StorePositionText.write(since));
-      WholeCall.send(client, timers, peer, question, FETCH_MILLIS, this::take);
+  private void fetch(Advertisement advertised) {
+    if (isNewer(advertised) && pacing.tryStartFetch(System.nanoTime())) {
+      Endpoint peer = new Endpoint(advertised.address(), port);
+      StorePlace since = advertised.takesPrecedence() ? StorePlace.NONE : watch.position();
+      Call query = Call.get(path + SINCE + StorePositionText.write(since));
+      WholeCall.send(client, timers, peer, query, FETCH_TIMEOUT_MILLIS, this::handleReply);
     }
   }
 
-  private void take(WholeCall.Reply reply) {
+  private void handleReply(WholeCall.Reply reply) {
     boolean answered = reply instanceof WholeCall.Answered answer && answer.status() == OK;
     if (!answered) {
       LOG.info("path={} outcome=no_copy_from_peer", path);
       return;
     }
     try {
-      CopyUpdate<T> copy = Codec.MAPPER.readValue(((WholeCall.Answered) reply).body(), type());
-      watch.adopt(copy);
+      CopyUpdate<T> update = Codec.MAPPER.readValue(((WholeCall.Answered) reply).body(), type());
+      watch.merge(update);
     } catch (IOException e) {
       LOG.warn("path={} outcome=unreadable_copy cause={}", path, e.toString());
     }
   }
 
   /**
-   * Tells whether a question is about these copies.
+   * Tells whether a peer's query asks for objects of this kind.
    *
-   * @param target the path and query of the question
-   * @return true when {@link #give} answers it
+   * @param target the path and query
+   * @return true when {@link #respond} answers it
    */
-  public boolean isAskedBy(String target) {
+  public boolean handles(String target) {
     return target.startsWith(path + SINCE);
   }
 
   /**
-   * Gives what a peer lacks.
+   * Answers a peer's query with the objects that the peer lacks.
    *
-   * @param target the path and query of the peer's question
-   * @return the copy as MessagePack; empty before there is one
+   * @param target the path and query
+   * @return a {@link CopyUpdate} as MessagePack; empty when this daemon's copy has no objects, the
+   *     query can't be parsed or the update can't be serialised
    */
-  public byte[] give(String target) {
+  public byte[] respond(String target) {
     if (watch.objects().isEmpty()) {
       return new byte[0];
     }
-    if (target.equals(given.target()) && watch.changes() == given.ofChanges()) {
-      return given.copy();
+    if (target.equals(cached.target()) && watch.changeCount() == cached.changeCount()) {
+      return cached.body();
     }
     try {
       StorePlace since = StorePositionText.read(target.substring(path.length() + SINCE.length()));
-      byte[] copy = Codec.MAPPER.writeValueAsBytes(watch.copySince(since));
-      given = new Given(target, watch.changes(), copy);
-      return copy;
+      byte[] body = Codec.MAPPER.writeValueAsBytes(watch.updateSince(since));
+      cached = new CachedResponse(target, watch.changeCount(), body);
+      return body;
     } catch (NumberFormatException e) {
       LOG.warn("path={} outcome=unreadable_question target={}", path, target);
       return new byte[0];
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
@@ -20,44 +20,44 @@
 import org.fawnvale.serving.spi.Platform;
 
 /**
- * Keeps requests that end nodes in the platform's store, so that they stay known when all daemons
- * have lost power at once. There are few: a call for each, and one for each daemon that starts. All
- * calls hold the guard.
+ * Persists the records of quarantined requests, whose execution ends nodes, in the platform's
+ * store, so that a restart of all daemons does not lose them. Each record costs one call, as does
+ * each start of a daemon. Callers hold the daemon's lock.
  */
 public final class QuarantineStore {
 
   private static final Logger LOG = LogManager.getLogger("store");
-  private static final int CALL_MILLIS = 1_500;
-  private static final int AGAIN_MILLIS = 1_000;
+  private static final int CALL_TIMEOUT_MILLIS = 1_500;
+  private static final int RETRY_DELAY_MILLIS = 1_000;
   private static final int OK = 200;
-  private static final int REDIRECT = 300;
+  private static final int FIRST_REDIRECT = 300;
   private static final int NOT_FOUND = 404;
   private static final int CONFLICT = 409;
 
-  /** As long as a daemon remembers a request of which it hears nothing. */
-  private static final long KEPT_MILLIS = 1_800_000;
+  /** The same time as that for which a daemon keeps a record in memory without updates. */
+  private static final long RETENTION_MILLIS = 1_800_000;
 
-  /** Requests that wait to be kept; a flood of them is a caller's mistake, and peers tell them. */
-  private static final int MOST_WAITING = 64;
+  /** Limits the records that wait to be saved; peers also receive the records in peer messages. */
+  private static final int MAX_PENDING = 64;
 
   private final HttpClient client;
   private final Timers timers;
   private final Endpoint store;
   private final Platform platform;
   private final LongSupplier clockMillis;
-  private final Consumer<List<RequestRecord>> known;
-  private final Map<Fingerprint, RequestRecord> waiting = new LinkedHashMap<>();
-  private boolean calling;
+  private final Consumer<List<RequestRecord>> loaded;
+  private final Map<Fingerprint, RequestRecord> pending = new LinkedHashMap<>();
+  private boolean saving;
 
   /**
-   * Creates the keeper.
+   * Creates a client of the store; it makes no calls by itself.
    *
    * @param client sends the calls
-   * @param timers bounds their times
-   * @param store where the store listens
-   * @param platform makes the calls
-   * @param clockMillis the time of day, in milliseconds of Unix time
-   * @param known told what the store holds
+   * @param timers enforces timeouts and delays
+   * @param store the address of the store
+   * @param platform builds the calls and parses the answers
+   * @param clockMillis the wall clock, in milliseconds since the Unix epoch
+   * @param loaded receives each page of unexpired records that {@link #load} reads
    */
   public QuarantineStore(
       HttpClient client,
@@ -65,57 +65,57 @@
       Endpoint store,
       Platform platform,
       LongSupplier clockMillis,
-      Consumer<List<RequestRecord>> known) {
+      Consumer<List<RequestRecord>> loaded) {
     this.client = client;
     this.timers = timers;
     this.store = store;
     this.platform = platform;
     this.clockMillis = clockMillis;
-    this.known = known;
+    this.loaded = loaded;
   }
 
-  /** Learns what earlier daemons kept; asks again until the store answers. */
-  public void learn() {
-    learnAfter("");
+  /** Loads the records that other daemons saved; retries until the store answers. */
+  public void load() {
+    loadAfter("");
   }
 
-  private void learnAfter(String name) {
+  private void loadAfter(String name) {
     WholeCall.send(
         client,
         timers,
         store,
         platform.list(Platform.Kind.QUARANTINE, name, true),
-        CALL_MILLIS,
+        CALL_TIMEOUT_MILLIS,
         reply -> {
           if (reply instanceof WholeCall.Answered answer && answer.status() == OK) {
-            take(answer);
-          } else if (!isAbsent(reply)) {
-            timers.after(AGAIN_MILLIS, () -> learnAfter(name));
+            acceptPage(answer);
+          } else if (!isKindMissing(reply)) {
+            timers.after(RETRY_DELAY_MILLIS, () -> loadAfter(name));
           }
         });
   }
 
-  /** Before the first object of a kind is kept there may be no such kind. */
-  private static boolean isAbsent(WholeCall.Reply reply) {
+  /** The store may not know the kind before the first object of that kind is saved. */
+  private static boolean isKindMissing(WholeCall.Reply reply) {
     return reply instanceof WholeCall.Answered answer && answer.status() == NOT_FOUND;
   }
 
-  private void take(WholeCall.Answered answer) {
+  private void acceptPage(WholeCall.Answered answer) {
     try {
       Page<KeptRecord> page = platform.keptRecords(platform.era(answer.head()), answer.body());
-      List<RequestRecord> holding = new ArrayList<>();
+      List<RequestRecord> unexpired = new ArrayList<>();
       for (Page.Item<KeptRecord> item : page.items()) {
         KeptRecord kept = item.value();
         if (kept != null && kept.untilMillis() > clockMillis.getAsLong()) {
-          holding.add(kept.told());
+          unexpired.add(kept.told());
         } else {
           remove(item.name());
         }
       }
-      LOG.info("kind=QUARANTINE holding={} listed={}", holding.size(), page.items().size());
-      known.accept(holding);
+      LOG.info("kind=QUARANTINE holding={} listed={}", unexpired.size(), page.items().size());
+      loaded.accept(unexpired);
       if (page.more()) {
-        learnAfter(page.lastName());
+        loadAfter(page.lastName());
       }
     } catch (IOException e) {
       LOG.error("kind=QUARANTINE outcome=unreadable_answer cause={}", e.toString());
@@ -128,57 +128,65 @@
         timers,
         store,
         platform.remove(Platform.Kind.QUARANTINE, name),
-        CALL_MILLIS,
+        CALL_TIMEOUT_MILLIS,
         reply -> LOG.info("kind=QUARANTINE name={} outcome=removed reply={}", name, reply));
   }
 
   /**
-   * Keeps a request for all daemons to come.
+   * Saves a record for daemons that start later; retries until the store has accepted it.
    *
-   * @param told what is known of it
+   * @param quarantined the record of a request
    */
-  public void keep(RequestRecord told) {
-    if (waiting.size() < MOST_WAITING) {
-      waiting.put(told.fingerprint(), told);
-      keepNext();
+  public void save(RequestRecord quarantined) {
+    if (pending.size() < MAX_PENDING) {
+      pending.put(quarantined.fingerprint(), quarantined);
+      saveNext();
     } else {
-      LOG.warn("fingerprint={} outcome=not_kept; too many wait.", told.fingerprint());
+      LOG.warn(
+          "fingerprint={} outcome=not_kept; too many records are waiting to be saved.",
+          quarantined.fingerprint());
     }
   }
 
   /**
-   * Ceases to keep a request that an answer has shown to be harmless, so that no daemon that starts
-   * later refuses it.
+   * Deletes the record of a request that a node has since completed, so that daemons that start
+   * later accept the request.
    *
    * @param fingerprint the request
    */
-  public void forget(Fingerprint fingerprint) {
-    waiting.remove(fingerprint);
+  public void delete(Fingerprint fingerprint) {
+    pending.remove(fingerprint);
     remove(fingerprint.toString());
   }
 
-  private void keepNext() {
-    if (calling || waiting.isEmpty()) {
+  private void saveNext() {
+    if (saving || pending.isEmpty()) {
       return;
     }
-    calling = true;
-    RequestRecord next = waiting.values().iterator().next();
-    KeptRecord kept = new KeptRecord(next, clockMillis.getAsLong() + KEPT_MILLIS);
+    saving = true;
+    RequestRecord next = pending.values().iterator().next();
+    KeptRecord kept = new KeptRecord(next, clockMillis.getAsLong() + RETENTION_MILLIS);
     WholeCall.send(
-        client, timers, store, platform.keep(kept), CALL_MILLIS, reply -> called(next, reply));
+        client,
+        timers,
+        store,
+        platform.keep(kept),
+        CALL_TIMEOUT_MILLIS,
+        reply -> onSaveReply(next, reply));
   }
 
-  private void called(RequestRecord told, WholeCall.Reply reply) {
-    calling = false;
-    boolean isKept =
+  private void onSaveReply(RequestRecord quarantined, WholeCall.Reply reply) {
+    saving = false;
+    boolean isSaved =
         reply instanceof WholeCall.Answered answer
-            && (answer.status() < REDIRECT || answer.status() == CONFLICT);
-    LOG.info("fingerprint={} outcome={}", told.fingerprint(), isKept ? "kept" : "not_kept_yet");
-    if (isKept) {
-      waiting.remove(told.fingerprint());
-      keepNext();
+            && (answer.status() < FIRST_REDIRECT || answer.status() == CONFLICT);
+    LOG.info(
+        "fingerprint={} outcome={}", quarantined.fingerprint(), isSaved ? "kept" : "not_kept_yet");
+    if (isSaved) {
+      pending.remove(quarantined.fingerprint());
+      saveNext();
     } else {
-      timers.after(AGAIN_MILLIS, this::keepNext);
+      timers.after(RETRY_DELAY_MILLIS, this::saveNext);
     }
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreCallMetrics.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreCallMetrics.java
@@ -6,38 +6,38 @@
 import java.util.TreeMap;
 import org.fawnvale.serving.spi.Platform;
 
-/** Calls to the platform's store, each of which costs, by kind, reason and what came of it. */
+/** Counts the calls to the platform's store by object kind, reason and outcome. */
 public final class StoreCallMetrics {
 
   private final MeterRegistry registry;
   private final SortedMap<String, Integer> calls = new TreeMap<>();
 
-  /** Why a call is made. */
+  /** The reason of a call; a metric tag. */
   enum Reason {
-    /** A page of a list. */
+    /** Reads one page of a list. */
     LIST,
-    /** To wait for changes. */
+    /** Waits for changes (long poll). */
     WAIT,
-    /** To learn what has changed, and whether the store answers again. */
+    /** Reads the changes after a failure, to find out whether the store answers again. */
     RETRY
   }
 
-  /** What a call has brought. */
+  /** The outcome of a call; a metric tag. */
   enum Outcome {
-    /** Objects or changes. */
+    /** An answer with objects or changes. */
     NEWS,
-    /** An answer without any. */
+    /** An answer without changes. */
     NOTHING,
-    /** An answer that was given in another history of the store than the copy shows. */
+    /** An answer from another era of the store than that of the copy. */
     OTHER_ERA,
-    /** No good answer. */
+    /** No answer, or an answer with an error status. */
     FAILED
   }
 
   /**
-   * Creates the figures.
+   * Creates the metrics.
    *
-   * @param registry serves them as counters
+   * @param registry receives the counters
    */
   public StoreCallMetrics(MeterRegistry registry) {
     this.registry = registry;
@@ -56,13 +56,13 @@
   }
 
   /**
-   * All calls since the start, for a line of the log.
+   * Summarises all calls since the start of the daemon in one log line.
    *
    * @return {@code kind_reason_outcome=count} pairs
    */
   public String summary() {
     StringBuilder text = new StringBuilder();
-    calls.forEach((what, count) -> text.append(what).append('=').append(count).append(' '));
+    calls.forEach((call, count) -> text.append(call).append('=').append(count).append(' '));
     return text.toString().trim();
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StorePositionText.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StorePositionText.java
@@ -3,7 +3,7 @@
 import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePlace;
 
-/** A place in the store's history as text, for the questions that daemons ask each other. */
+/** Text form of a store position, {@code ERA.REVISION}, in the queries that daemons send peers. */
 final class StorePositionText {
 
   private static final String SEPARATOR = ".";
@@ -11,14 +11,14 @@
 
   private StorePositionText() {}
 
-  static String write(StorePlace place) {
-    return place.isKnown() ? place.era().number() + SEPARATOR + place.revision() : NONE;
+  static String write(StorePlace position) {
+    return position.isKnown() ? position.era().number() + SEPARATOR + position.revision() : NONE;
   }
 
   /**
-   * Reads a place.
+   * Parses a position.
    *
-   * @throws NumberFormatException when the text names none
+   * @throws NumberFormatException when the text is not a position
    */
   static StorePlace read(String text) {
     if (NONE.equals(text)) {
@@ -26,7 +26,8 @@
     }
     int separator = text.indexOf(SEPARATOR);
     if (separator < 0) {
-      throw new NumberFormatException("A place is written as 3.120 or none, not as " + text + ".");
+      throw new NumberFormatException(
+          "Invalid store position: expected ERA.REVISION or none, got " + text + ".");
     }
     StoreEra era = new StoreEra(Long.parseLong(text.substring(0, separator)));
     return new StorePlace(era, Long.parseLong(text.substring(separator + 1)));
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
@@ -21,10 +21,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Keeps a copy of the objects of one kind: lists them, then waits for changes, and lists again when
- * the store has forgotten its history or has begun another one.
+ * Maintains a local copy of the store's objects of one kind: lists them, then waits for changes,
+ * and lists them again when the store no longer has the requested history or has begun another era.
  *
- * <p>Each answer tells in which history it was given; {@link EraRule} says what it is good for.
+ * <p>Each answer of the store names its era; {@link EraRule} decides how the answer is used.
+ * Callers hold the daemon's lock.
  *
  * @param <T> the type of the objects
  */
@@ -32,25 +33,22 @@
 
   private static final Logger LOG = LogManager.getLogger("store");
 
-  /**
-   * What a call that waits may take beyond its wait: a store sixty times slower than its usual 4 ms
-   * takes a quarter of this.
-   */
+  /** Time that a waiting call may take in addition to its wait, for the store and the network. */
   private static final int WAIT_SLACK_MILLIS = 1_000;
 
-  private static final int LIST_MILLIS = 1_500;
+  private static final int LIST_TIMEOUT_MILLIS = 1_500;
 
-  /** Next to no wait: whether the store answers again must not stay unknown until a change. */
+  /** Nearly no wait, so that the answer shows at once whether the store can be reached. */
   private static final int PROBE_WAIT_MILLIS = 1;
 
-  private static final int FIRST_PAUSE_MILLIS = 100;
-  private static final int LONGEST_PAUSE_MILLIS = 800;
+  private static final int MIN_BACKOFF_MILLIS = 100;
+  private static final int MAX_BACKOFF_MILLIS = 800;
   private static final int OK = 200;
   private static final int GONE = 410;
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /** A store that forgets its history again and again is told of once a second. */
-  private static final long TELL_AGAIN_NANOS = 1_000_000_000L;
+  /** Minimum interval between two log lines on conditions that may recur with every call. */
+  private static final long LOG_INTERVAL_NANOS = 1_000_000_000L;
 
   private final HttpClient client;
   private final Timers timers;
@@ -58,36 +56,39 @@
   private final Platform platform;
   private final Platform.Kind kind;
   private final Reader<T> reader;
-  private final Pace pace;
-  private final boolean firstMayBeOld;
-  private final StoreCallMetrics figures;
-  private final Runnable changed;
+  private final Timing timing;
+  private final boolean firstListMayBeStale;
+  private final StoreCallMetrics metrics;
+  private final Runnable changeListener;
   private final ObjectTable<T> table;
   private final EraRule eraRule = new EraRule();
   private Map<String, Page.Item<T>> listing = new LinkedHashMap<>();
-  private StorePlace listingPlace = StorePlace.NONE;
+  private StorePlace listingPosition = StorePlace.NONE;
   private boolean active = true;
   private boolean reachable = true;
-  private long failedAtNanos = Long.MIN_VALUE / 2;
-  private long answeredAtNanos = Long.MIN_VALUE / 2;
-  private int pauseMillis = FIRST_PAUSE_MILLIS;
-  private int round;
-  private long toldOfAtNanos = Long.MIN_VALUE / 2;
-  private boolean forgottenBefore;
-  private StoreEra heardOf = StoreEra.UNTOLD;
+  private long lastFailureNanos = Long.MIN_VALUE / 2;
+  private long lastAnswerNanos = Long.MIN_VALUE / 2;
+  private int backoffMillis = MIN_BACKOFF_MILLIS;
+
+  /** Identifies the current sequence of calls; replies of earlier sequences are ignored. */
+  private int sequence;
+
+  private long lastLogNanos = Long.MIN_VALUE / 2;
+  private boolean historyGoneBefore;
+  private StoreEra reportedEra = StoreEra.UNTOLD;
 
   /**
-   * How often calls are made. Each call costs; a longer wait leaves it unnoticed for longer that
-   * the connection has gone silent.
+   * Timing of the calls that wait for changes. Longer times reduce the number of calls; a longer
+   * wait also delays the detection of a silent connection.
    *
-   * @param restMillis how long to rest between two calls that wait for changes, in milliseconds;
-   *     what changes in the meantime comes with the next call, at the price of one
+   * @param pauseMillis the pause between two calls, in milliseconds; the next call returns all
+   *     changes of the pause together
    * @param waitMillis how long a call waits for a change, in milliseconds
    */
-  public record Pace(IntSupplier restMillis, IntSupplier waitMillis) {}
+  public record Timing(IntSupplier pauseMillis, IntSupplier waitMillis) {}
 
   /**
-   * Reads the body of a list or of a watch.
+   * Parses the body of a list or of a watch.
    *
    * @param <T> the type of the objects
    */
@@ -95,31 +96,31 @@
   public interface Reader<T> {
 
     /**
-     * Reads an answer.
+     * Parses an answer.
      *
-     * @param era the era in which it was given
-     * @param body its body
+     * @param era the era of the answer
+     * @param body the body of the answer
      * @return the page
-     * @throws IOException when it can't be read
+     * @throws IOException when the body can't be parsed
      */
     Page<T> read(StoreEra era, byte[] body) throws IOException;
   }
 
   /**
-   * Creates a watch; it does nothing before {@link #start}.
+   * Creates a watch; it makes no calls before {@link #start}.
    *
    * @param client sends the calls
-   * @param timers bounds their times
-   * @param store where the store listens
-   * @param platform makes the calls
+   * @param timers enforces timeouts and delays
+   * @param store the address of the store
+   * @param platform builds the calls
    * @param kind the kind of objects
-   * @param reader reads the answers
-   * @param pace how often calls are made
-   * @param firstMayBeOld whether the first list may be seconds old, which is cheaper; what changed
-   *     since comes with the first call that waits, or from peers
-   * @param succession what goes before what the store shows
-   * @param figures counts the calls
-   * @param changed told, while the guard is held, when the copy has changed
+   * @param reader parses the answers
+   * @param timing the timing of the calls that wait for changes
+   * @param firstListMayBeStale whether the first list may be seconds old, which is cheaper; newer
+   *     changes arrive with the first call that waits, or from peers
+   * @param mergePolicy decides which known objects take precedence over those that the store shows
+   * @param metrics counts the calls
+   * @param changeListener notified, while the daemon's lock is held, when the copy has changed
    */
   public StoreWatch(
       HttpClient client,
@@ -128,85 +129,86 @@
       Platform platform,
       Platform.Kind kind,
       Reader<T> reader,
-      Pace pace,
-      boolean firstMayBeOld,
-      MergePolicy<T> succession,
-      StoreCallMetrics figures,
-      Runnable changed) {
+      Timing timing,
+      boolean firstListMayBeStale,
+      MergePolicy<T> mergePolicy,
+      StoreCallMetrics metrics,
+      Runnable changeListener) {
     this.client = client;
     this.timers = timers;
     this.store = store;
     this.platform = platform;
     this.kind = kind;
     this.reader = reader;
-    this.pace = pace;
-    this.firstMayBeOld = firstMayBeOld;
-    this.figures = figures;
-    this.changed = changed;
-    this.table = new ObjectTable<>(kind.name(), unreadable(kind), succession);
+    this.timing = timing;
+    this.firstListMayBeStale = firstListMayBeStale;
+    this.metrics = metrics;
+    this.changeListener = changeListener;
+    this.table = new ObjectTable<>(kind.name(), unreadablePolicy(kind), mergePolicy);
   }
 
-  private static ObjectTable.Unreadable unreadable(Platform.Kind kind) {
+  private static ObjectTable.UnreadablePolicy unreadablePolicy(Platform.Kind kind) {
     return kind == Platform.Kind.CONFIGURATION
-        ? ObjectTable.Unreadable.KEEPS_LAST
-        : ObjectTable.Unreadable.NAMES_NOTHING;
+        ? ObjectTable.UnreadablePolicy.KEEPS_LAST
+        : ObjectTable.UnreadablePolicy.NAMES_NOTHING;
   }
 
   /**
-   * Names who is told, while the guard is held, that the copy shows another history of the store.
+   * Sets the listener for changes of the era.
    *
-   * @param listener told after the change
+   * @param listener notified after the change, while the daemon's lock is held
    */
   public void onEraChange(Consumer<EraChange<T>> listener) {
     table.onEraChange(listener);
   }
 
-  /** Begins with a list. */
+  /** Starts the watch with a list. */
   public void start() {
-    round++;
-    list("", round);
+    sequence++;
+    list("", sequence);
   }
 
   /**
-   * Begins or ends the calls to the store: a daemon that takes its copy from peers makes none.
+   * Starts or stops the calls to the store. While the watch is inactive, the daemon takes its copy
+   * from peers.
    *
-   * @param wanted whether the store is to be watched
+   * @param wanted whether the watch calls the store
    */
-  public void active(boolean wanted) {
+  public void setActive(boolean wanted) {
     if (wanted == active) {
       return;
     }
     active = wanted;
-    int ofRound = ++round;
-    LOG.info("kind={} place={} outcome={}", kind, place(), wanted ? "watches" : "rests");
-    if (wanted && place().isKnown()) {
-      watch(ofRound);
+    int ofSequence = ++sequence;
+    LOG.info("kind={} place={} outcome={}", kind, position(), wanted ? "watches" : "rests");
+    if (wanted && position().isKnown()) {
+      watch(ofSequence);
     } else if (wanted) {
-      list("", ofRound);
+      list("", ofSequence);
     }
   }
 
   /**
    * Tells whether this daemon watches the store itself.
    *
-   * @return false while it takes its copy from peers
+   * @return false while this daemon takes its copy from peers
    */
   public boolean isActive() {
     return active;
   }
 
   /**
-   * The place of the newest change in the copy; unlike the store's own it does not move with other
-   * kinds.
+   * The position of the newest change in the copy. Unlike {@link #position}, it does not advance
+   * with changes of other kinds.
    *
-   * @return the place; {@link StorePlace#NONE} before the first list
+   * @return the position; {@link StorePlace#NONE} before the first list
    */
   public StorePlace newest() {
     return table.newest();
   }
 
   /**
-   * The copy.
+   * The objects of the copy.
    *
    * @return the objects by name
    */
@@ -215,111 +217,112 @@
   }
 
   /**
-   * Where each object of the copy was changed last.
+   * The position of the last change of each object.
    *
-   * @return the places by name
+   * @return the positions by name
    */
-  public Map<String, StorePlace> places() {
-    return table.places();
+  public Map<String, StorePlace> positions() {
+    return table.positions();
   }
 
   /**
-   * The store's place that the copy shows.
+   * The position in the store's history up to which the copy is current.
    *
-   * @return the place; {@link StorePlace#NONE} before the first list
+   * @return the position; {@link StorePlace#NONE} before the first list
    */
-  public StorePlace place() {
-    return table.place();
+  public StorePlace position() {
+    return table.position();
   }
 
   /**
    * Tells whether the store answers.
    *
-   * @return false from a failed call until the next good one
+   * @return false from a failed call until the next successful one
    */
   public boolean reachable() {
     return reachable;
   }
 
   /**
-   * When a call failed last.
+   * The time of the last failed call.
    *
-   * @return the steady time, in nanoseconds; long ago when none has
+   * @return the monotonic time, in nanoseconds; far in the past when no call has failed
    */
-  public long failedAtNanos() {
-    return failedAtNanos;
+  public long lastFailureNanos() {
+    return lastFailureNanos;
   }
 
   /**
-   * When the store answered last.
+   * The time of the store's last answer.
    *
-   * @return the steady time, in nanoseconds; long ago when it never has
+   * @return the monotonic time, in nanoseconds; far in the past when the store has never answered
    */
-  public long answeredAtNanos() {
-    return answeredAtNanos;
+  public long lastAnswerNanos() {
+    return lastAnswerNanos;
   }
 
-  /** Asks at once for what has changed, to find out whether the store still answers. */
+  /** Reads the changes without waiting, to find out whether the store still answers. */
   public void probe() {
-    if (active && reachable && place().isKnown()) {
-      watch(++round, StoreCallMetrics.Reason.RETRY, PROBE_WAIT_MILLIS);
+    if (active && reachable && position().isKnown()) {
+      watch(++sequence, StoreCallMetrics.Reason.RETRY, PROBE_WAIT_MILLIS);
     }
   }
 
   /**
-   * Hears that the store has begun a later history. The call that waits may not tell it for long,
-   * or never, so the store is asked at once; only its own answer counts.
+   * Lists the objects again if another copy or another daemon has observed a later era of the
+   * store. The call that waits for changes may return late or never after a rollback. The reported
+   * era itself does not change the copy; only the store's answer does.
    *
-   * @param told the era that another copy or another daemon has seen
+   * @param reported the observed era
    */
-  public void hearOf(StoreEra told) {
-    boolean isNews = told.isAfter(place().era()) && told.isAfter(heardOf);
-    if (active && place().isKnown() && isNews) {
-      heardOf = told;
-      list("", ++round);
+  public void onEraReported(StoreEra reported) {
+    boolean isLater = reported.isAfter(position().era()) && reported.isAfter(reportedEra);
+    if (active && position().isKnown() && isLater) {
+      reportedEra = reported;
+      list("", ++sequence);
     }
   }
 
   /**
-   * Takes what a peer knows, if it is newer.
+   * Merges the objects or changes of a peer's copy, if they are newer.
    *
-   * @param copy the peer's objects or changes
+   * @param update the peer's objects or changes
    */
-  void adopt(CopyUpdate<T> copy) {
-    if (table.merge(copy)) {
+  void merge(CopyUpdate<T> update) {
+    if (table.merge(update)) {
       LOG.debug(
           "kind={} place={} newest={} whole={} outcome=taken_from_peer",
           kind,
-          copy.place(),
-          copy.newest(),
-          copy.whole());
-      changed.run();
+          update.place(),
+          update.newest(),
+          update.whole());
+      changeListener.run();
     }
   }
 
-  /** Counts what may have changed the copy. */
-  long changes() {
-    return table.changes();
+  /** The number of operations so far that may have changed the copy. */
+  long changeCount() {
+    return table.changeCount();
   }
 
-  /** What has changed in this daemon's copy since a place. */
-  CopyUpdate<T> copySince(StorePlace since) {
-    return table.copySince(since);
+  /** Creates an update for a peer whose copy is at a given position. */
+  CopyUpdate<T> updateSince(StorePlace since) {
+    return table.updateSince(since);
   }
 
-  private void list(String afterName, int ofRound) {
+  private void list(String afterName, int ofSequence) {
     if (afterName.isEmpty()) {
       listing = new LinkedHashMap<>();
-      listingPlace = StorePlace.NONE;
+      listingPosition = StorePlace.NONE;
     }
-    boolean mayBeOld = firstMayBeOld && !place().isKnown();
+    boolean mayBeStale = firstListMayBeStale && !position().isKnown();
     call(
-        platform.list(kind, afterName, mayBeOld),
+        platform.list(kind, afterName, mayBeStale),
         StorePlace.NONE,
         StoreCallMetrics.Reason.LIST,
-        LIST_MILLIS,
-        ofRound,
-        page -> listed(page, ofRound));
+        LIST_TIMEOUT_MILLIS,
+        ofSequence,
+        page -> onListPage(page, ofSequence));
   }
 
   private void call(
@@ -327,8 +330,8 @@
       StorePlace asked,
       StoreCallMetrics.Reason reason,
       int timeoutMillis,
-      int ofRound,
-      Consumer<Page<T>> good) {
+      int ofSequence,
+      Consumer<Page<T>> onPage) {
     WholeCall.send(
         client,
         timers,
@@ -336,145 +339,147 @@
         call,
         timeoutMillis,
         reply -> {
-          if (ofRound == round) {
-            replied(reply, asked, reason, good);
+          if (ofSequence == sequence) {
+            onReply(reply, asked, reason, onPage);
           }
         });
   }
 
-  private void replied(
+  private void onReply(
       WholeCall.Reply reply,
       StorePlace asked,
       StoreCallMetrics.Reason reason,
-      Consumer<Page<T>> good) {
+      Consumer<Page<T>> onPage) {
     if (!(reply instanceof WholeCall.Answered answer) || answer.status() != OK) {
-      failed(reply, reason);
+      onFailure(reply, reason);
       return;
     }
     StoreEra era = platform.era(answer.head());
-    switch (eraRule.judge(era, place(), asked, System.nanoTime())) {
-      case DROP -> earlier(era, reason);
+    switch (eraRule.judge(era, position(), asked, System.nanoTime())) {
+      case DROP -> onEarlierEra(era, reason);
       case LIST_ANEW -> {
-        answered();
+        onAnswer();
         count(reason, StoreCallMetrics.Outcome.OTHER_ERA);
-        list("", ++round);
+        list("", ++sequence);
       }
       case TAKE -> {
-        answered();
-        take(era, answer.body(), reason, good);
+        onAnswer();
+        accept(era, answer.body(), reason, onPage);
       }
     }
   }
 
-  private void take(
-      StoreEra era, byte[] body, StoreCallMetrics.Reason reason, Consumer<Page<T>> good) {
-    Page<T> page = read(era, body);
+  private void accept(
+      StoreEra era, byte[] body, StoreCallMetrics.Reason reason, Consumer<Page<T>> onPage) {
+    Page<T> page = parse(era, body);
     if (page == null) {
       return;
     }
     StorePlace before = newest();
-    good.accept(page);
+    onPage.accept(page);
     boolean isList = reason == StoreCallMetrics.Reason.LIST;
-    boolean news = isList || newest().isAfter(before);
-    count(reason, news ? StoreCallMetrics.Outcome.NEWS : StoreCallMetrics.Outcome.NOTHING);
+    boolean hasChanges = isList || newest().isAfter(before);
+    count(reason, hasChanges ? StoreCallMetrics.Outcome.NEWS : StoreCallMetrics.Outcome.NOTHING);
     if (!isList) {
-      pauseMillis = FIRST_PAUSE_MILLIS;
-      forgottenBefore = false;
+      backoffMillis = MIN_BACKOFF_MILLIS;
+      historyGoneBefore = false;
     }
   }
 
-  private void answered() {
+  private void onAnswer() {
     if (!reachable) {
-      LOG.info("kind={} outcome=store_regained place={}", kind, place());
+      LOG.info("kind={} outcome=store_regained place={}", kind, position());
     }
     reachable = true;
-    answeredAtNanos = System.nanoTime();
+    lastAnswerNanos = System.nanoTime();
   }
 
-  private void earlier(StoreEra era, StoreCallMetrics.Reason reason) {
+  private void onEarlierEra(StoreEra era, StoreCallMetrics.Reason reason) {
     count(reason, StoreCallMetrics.Outcome.OTHER_ERA);
-    if (isToldAgain()) {
+    if (tryLog()) {
       LOG.warn(
-          "kind={} era={} known={} outcome=earlier_era_dropped. The store's answers must tell its"
-              + " newest era; what they say is taken after {} ms.",
+          "kind={} era={} known={} outcome=earlier_era_dropped. The store answered with an"
+              + " earlier era; such answers are ignored for {} ms, then accepted.",
           kind,
           era,
-          place(),
+          position(),
           EraRule.EARLIER_NANOS / NANOS_PER_MILLI);
     }
-    later(nextPauseMillis(), () -> list("", round));
+    schedule(nextBackoffMillis(), () -> list("", sequence));
   }
 
-  private void failed(WholeCall.Reply reply, StoreCallMetrics.Reason reason) {
+  private void onFailure(WholeCall.Reply reply, StoreCallMetrics.Reason reason) {
     count(reason, StoreCallMetrics.Outcome.FAILED);
-    boolean forgotten = reply instanceof WholeCall.Answered answer && answer.status() == GONE;
-    if (forgotten) {
-      forgotten(((WholeCall.Answered) reply).head());
+    boolean isHistoryGone = reply instanceof WholeCall.Answered answer && answer.status() == GONE;
+    if (isHistoryGone) {
+      onHistoryGone(((WholeCall.Answered) reply).head());
       return;
     }
-    failedAtNanos = System.nanoTime();
+    lastFailureNanos = System.nanoTime();
     if (reachable) {
       reachable = false;
-      LOG.warn("kind={} outcome=store_lost reply={} place={}", kind, describe(reply), place());
+      LOG.warn("kind={} outcome=store_lost reply={} place={}", kind, describe(reply), position());
     }
-    later(nextPauseMillis(), this::goOn);
+    schedule(nextBackoffMillis(), this::resume);
   }
 
   /**
-   * The list follows at once, but only once: a store that refuses again what it has just listed
-   * would be asked without a pause.
+   * Lists the objects again after status 410: at once the first time, with a backoff when the store
+   * rejects the listed position as well.
    */
-  private void forgotten(HttpResponse head) {
-    if (isToldAgain()) {
+  private void onHistoryGone(HttpResponse head) {
+    if (tryLog()) {
       LOG.warn(
-          "kind={} place={} era={} outcome=history_forgotten", kind, place(), platform.era(head));
+          "kind={} place={} era={} outcome=history_forgotten",
+          kind,
+          position(),
+          platform.era(head));
     }
-    int pause = forgottenBefore ? nextPauseMillis() : 0;
-    forgottenBefore = true;
-    later(pause, () -> list("", round));
+    int delay = historyGoneBefore ? nextBackoffMillis() : 0;
+    historyGoneBefore = true;
+    schedule(delay, () -> list("", sequence));
   }
 
-  private int nextPauseMillis() {
-    int pause = pauseMillis;
-    pauseMillis = Math.min(LONGEST_PAUSE_MILLIS, pauseMillis * 2);
-    return pause;
+  private int nextBackoffMillis() {
+    int backoff = backoffMillis;
+    backoffMillis = Math.min(MAX_BACKOFF_MILLIS, backoffMillis * 2);
+    return backoff;
   }
 
-  /** Does something after a pause, unless another call has been made meanwhile. */
-  private void later(int pause, Runnable next) {
-    int ofRound = ++round;
+  /** Runs a task after a delay in milliseconds, unless another call is made in the meantime. */
+  private void schedule(int delay, Runnable task) {
+    int ofSequence = ++sequence;
     timers.after(
-        pause,
+        delay,
         () -> {
-          if (ofRound == round) {
-            next.run();
+          if (ofSequence == sequence) {
+            task.run();
           }
         });
   }
 
   /**
-   * After a failed call the copy still shows its place, so what has changed since is asked for
-   * instead of all: a list of 1,100 nodes is 22 calls and 330 KB, and was listed by each watcher
-   * after each outage.
+   * Continues after a failed call. Reads only the changes since the position of the copy if there
+   * is one, because a full list of a large cluster takes many calls.
    */
-  private void goOn() {
-    if (place().isKnown()) {
-      watch(round, StoreCallMetrics.Reason.RETRY, PROBE_WAIT_MILLIS);
+  private void resume() {
+    if (position().isKnown()) {
+      watch(sequence, StoreCallMetrics.Reason.RETRY, PROBE_WAIT_MILLIS);
     } else {
-      list("", round);
+      list("", sequence);
     }
   }
 
-  /** Tells whether lines on what repeats with each call are due. */
-  private boolean isToldAgain() {
+  /** Limits the rate of log lines on conditions that may recur with every call. */
+  private boolean tryLog() {
     long now = System.nanoTime();
-    boolean due = now - toldOfAtNanos > TELL_AGAIN_NANOS;
-    toldOfAtNanos = due ? now : toldOfAtNanos;
+    boolean due = now - lastLogNanos > LOG_INTERVAL_NANOS;
+    lastLogNanos = due ? now : lastLogNanos;
     return due;
   }
 
   private void count(StoreCallMetrics.Reason reason, StoreCallMetrics.Outcome outcome) {
-    figures.count(kind, reason, outcome);
+    metrics.count(kind, reason, outcome);
   }
 
   private static String describe(WholeCall.Reply reply) {
@@ -483,62 +488,63 @@
         : String.valueOf(((WholeCall.Missing) reply).failure());
   }
 
-  private void listed(Page<T> page, int ofRound) {
+  private void onListPage(Page<T> page, int ofSequence) {
     if (listing.isEmpty()) {
-      // What changes while the pages are read comes with the watch that follows.
-      listingPlace = page.place();
-    } else if (!listingPlace.sharesEraOf(page.place())) {
-      list("", ofRound);
+      // The following watch starts here, so it returns the changes made while pages are read.
+      listingPosition = page.place();
+    } else if (!listingPosition.sharesEraOf(page.place())) {
+      list("", ofSequence);
       return;
     }
     page.items().forEach(item -> listing.put(item.name(), item));
     if (page.more()) {
-      list(page.lastName(), ofRound);
+      list(page.lastName(), ofSequence);
       return;
     }
-    if (table.replace(listing, listingPlace)) {
-      changed.run();
-    } else if (isToldAgain()) {
-      LOG.warn("kind={} listed={} known={} outcome=list_not_taken", kind, listingPlace, place());
+    if (table.replace(listing, listingPosition)) {
+      changeListener.run();
+    } else if (tryLog()) {
+      LOG.warn(
+          "kind={} listed={} known={} outcome=list_not_taken", kind, listingPosition, position());
     }
-    watch(ofRound);
+    watch(ofSequence);
   }
 
-  private void watch(int ofRound) {
-    watch(ofRound, StoreCallMetrics.Reason.WAIT, pace.waitMillis().getAsInt());
+  private void watch(int ofSequence) {
+    watch(ofSequence, StoreCallMetrics.Reason.WAIT, timing.waitMillis().getAsInt());
   }
 
-  private void watch(int ofRound, StoreCallMetrics.Reason reason, int waitMillis) {
-    StorePlace since = place();
+  private void watch(int ofSequence, StoreCallMetrics.Reason reason, int waitMillis) {
+    StorePlace since = position();
     call(
         platform.watch(kind, since, waitMillis),
         since,
         reason,
         waitMillis + WAIT_SLACK_MILLIS,
-        ofRound,
-        page -> watched(page, ofRound));
+        ofSequence,
+        page -> onChanges(page, ofSequence));
   }
 
-  private void watched(Page<T> page, int ofRound) {
-    table.change(page);
+  private void onChanges(Page<T> page, int ofSequence) {
+    table.applyChanges(page);
     if (!page.items().isEmpty()) {
-      changed.run();
+      changeListener.run();
     }
     timers.after(
-        pace.restMillis().getAsInt(),
+        timing.pauseMillis().getAsInt(),
         () -> {
-          if (ofRound == round) {
-            watch(ofRound);
+          if (ofSequence == sequence) {
+            watch(ofSequence);
           }
         });
   }
 
-  private @Nullable Page<T> read(StoreEra era, byte[] body) {
+  private @Nullable Page<T> parse(StoreEra era, byte[] body) {
     try {
       return reader.read(era, body);
     } catch (IOException | RuntimeException e) {
       LOG.error("kind={} outcome=unreadable_answer cause={}", kind, e.toString());
-      later(LONGEST_PAUSE_MILLIS, () -> list("", round));
+      schedule(MAX_BACKOFF_MILLIS, () -> list("", sequence));
       return null;
     }
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/package-info.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/package-info.java
@@ -1,4 +1,4 @@
-/** Watches of the platform's store. */
+/** Local copies of the objects in the platform's store: watching, merging, exchange with peers. */
 @NullMarked
 package org.fawnvale.serving.store;
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/CopyPacingTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/CopyPacingTest.java
@@ -17,8 +17,8 @@
     for (int now = 0; now < millis; now += 10) {
       int delay = pacing.delayMillis(watches, isNear, now * MILLI);
       boolean isWithin = now + delay < millis;
-      boolean later = delay > 0 && isWithin && pacing.take((now + delay) * MILLI);
-      boolean atOnce = delay == 0 && pacing.take(now * MILLI);
+      boolean later = delay > 0 && isWithin && pacing.tryStartFetch((now + delay) * MILLI);
+      boolean atOnce = delay == 0 && pacing.tryStartFetch(now * MILLI);
       begun += later || atOnce ? 1 : 0;
     }
     return begun;
@@ -33,10 +33,10 @@
   @Test
   void aNearCopyThatIsToldOfWithinThePauseIsFetchedAtItsEnd() {
     assertThat(pacing.delayMillis(false, true, 0)).isZero();
-    assertThat(pacing.take(0)).isTrue();
+    assertThat(pacing.tryStartFetch(0)).isTrue();
     assertThat(pacing.delayMillis(false, true, 100 * MILLI)).isEqualTo(50);
     assertThat(pacing.delayMillis(false, true, 110 * MILLI)).isEqualTo(CopyPacing.NEVER);
-    assertThat(pacing.take(150 * MILLI)).isTrue();
+    assertThat(pacing.tryStartFetch(150 * MILLI)).isTrue();
   }
 
   @Test
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/ObjectTableTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/ObjectTableTest.java
@@ -32,7 +32,8 @@
   private long era = 1;
 
   private static ObjectTable<String> table() {
-    return new ObjectTable<>("nodes", ObjectTable.Unreadable.NAMES_NOTHING, MergePolicy.ofStore());
+    return new ObjectTable<>(
+        "nodes", ObjectTable.UnreadablePolicy.NAMES_NOTHING, MergePolicy.byPosition());
   }
 
   private StorePlace at(long ofRevision) {
@@ -57,7 +58,7 @@
     for (int count = random.nextInt(4); count > 0; count--) {
       items.add(changeOne(random));
     }
-    watcher.change(new Page<>(items, false, "", at(revision)));
+    watcher.applyChanges(new Page<>(items, false, "", at(revision)));
   }
 
   private void list(Random random) {
@@ -71,7 +72,7 @@
 
   private static void tell(ObjectTable<String> from, ObjectTable<String> to) {
     if (from.newest().isAfter(to.newest())) {
-      to.merge(from.copySince(to.place()));
+      to.merge(from.updateSince(to.position()));
     }
   }
 
@@ -102,7 +103,7 @@
   void anOlderCopyChangesNothing(long seed) {
     Random random = new Random(seed);
     list(random);
-    CopyUpdate<String> old = watcher.copySince(StorePlace.NONE);
+    CopyUpdate<String> old = watcher.updateSince(StorePlace.NONE);
     watch(random);
     list(random);
     tell(watcher, follower);
@@ -112,13 +113,13 @@
 
   @Test
   void aNodeThatCannotBeReadAnyMoreNamesNothingHereAndAtPeers() {
-    watcher.change(page(new Page.Item<>("n1", at(1), false, "good"), 1));
+    watcher.applyChanges(page(new Page.Item<>("n1", at(1), false, "good"), 1));
     tell(watcher, follower);
-    watcher.change(page(new Page.Item<>("n1", at(2), false, null), 2));
+    watcher.applyChanges(page(new Page.Item<>("n1", at(2), false, null), 2));
     tell(watcher, follower);
     assertThat(watcher.objects()).isEmpty();
     assertThat(follower.objects()).isEmpty();
-    watcher.change(page(new Page.Item<>("n1", at(3), false, "good again"), 3));
+    watcher.applyChanges(page(new Page.Item<>("n1", at(3), false, "good again"), 3));
     tell(watcher, follower);
     assertThat(follower.objects()).containsEntry("n1", "good again");
   }
@@ -127,9 +128,9 @@
   void aConfigurationThatCannotBeReadLeavesTheLastGoodOneInForce() {
     ObjectTable<String> table =
         new ObjectTable<>(
-            "configuration", ObjectTable.Unreadable.KEEPS_LAST, MergePolicy.ofStore());
-    table.change(page(new Page.Item<>("main", at(1), false, "good"), 1));
-    table.change(page(new Page.Item<>("main", at(2), false, null), 2));
+            "configuration", ObjectTable.UnreadablePolicy.KEEPS_LAST, MergePolicy.byPosition());
+    table.applyChanges(page(new Page.Item<>("main", at(1), false, "good"), 1));
+    table.applyChanges(page(new Page.Item<>("main", at(2), false, null), 2));
     assertThat(table.objects()).containsEntry("main", "good");
   }
 
@@ -156,7 +157,7 @@
         watch(random);
       }
       tell(watcher, follower);
-      CopyUpdate<String> ofLostHistory = follower.copySince(StorePlace.NONE);
+      CopyUpdate<String> ofLostHistory = follower.updateSince(StorePlace.NONE);
       goBack(copy, copyRevisions, copied);
       for (int again = random.nextInt(8); again > 0; again--) {
         changeOne(random);
@@ -174,7 +175,7 @@
 
   @Test
   void changesOfAnotherHistoryAreNotMixedIntoACopy() {
-    watcher.change(page(new Page.Item<>("n1", at(7), false, "lost"), 7));
+    watcher.applyChanges(page(new Page.Item<>("n1", at(7), false, "lost"), 7));
     era = 2;
     CopyUpdate<String> changes =
         new CopyUpdate<>(
@@ -187,14 +188,14 @@
   void aChangeOfTheHistoryIsToldOnceWithWhatWasKnown() {
     List<EraChange<String>> told = new ArrayList<>();
     watcher.onEraChange(told::add);
-    watcher.change(page(new Page.Item<>("n1", at(7), false, "lost"), 7));
-    watcher.change(page(new Page.Item<>("n2", at(7), true, null), 8));
+    watcher.applyChanges(page(new Page.Item<>("n1", at(7), false, "lost"), 7));
+    watcher.applyChanges(page(new Page.Item<>("n2", at(7), true, null), 8));
     era = 2;
     watcher.replace(Map.of(), at(3));
     watcher.replace(Map.of(), at(4));
     assertThat(told).hasSize(1);
-    assertThat(told.get(0).known()).containsEntry("n1", "lost");
-    assertThat(told.get(0).removed()).containsExactly("n2");
+    assertThat(told.get(0).previousObjects()).containsEntry("n1", "lost");
+    assertThat(told.get(0).removedNames()).containsExactly("n2");
   }
 
   private static final MergePolicy<String> LATER =
@@ -207,34 +208,34 @@
   @Test
   void aConfigurationThatTheStoreHasLostIsToldToDaemonsThatStartAgain() {
     ObjectTable<String> knows =
-        new ObjectTable<>("configuration", ObjectTable.Unreadable.KEEPS_LAST, LATER);
+        new ObjectTable<>("configuration", ObjectTable.UnreadablePolicy.KEEPS_LAST, LATER);
     ObjectTable<String> startsAgain =
-        new ObjectTable<>("configuration", ObjectTable.Unreadable.KEEPS_LAST, LATER);
-    knows.change(page(new Page.Item<>("main", at(9), false, "version 5"), 9));
+        new ObjectTable<>("configuration", ObjectTable.UnreadablePolicy.KEEPS_LAST, LATER);
+    knows.applyChanges(page(new Page.Item<>("main", at(9), false, "version 5"), 9));
     era = 2;
     knows.replace(Map.of(), at(4));
     startsAgain.replace(Map.of(), at(4));
     assertThat(knows.objects()).containsEntry("main", "version 5");
-    assertThat(startsAgain.merge(knows.copySince(StorePlace.NONE))).isTrue();
+    assertThat(startsAgain.merge(knows.updateSince(StorePlace.NONE))).isTrue();
     assertThat(startsAgain.objects()).containsEntry("main", "version 5");
   }
 
   @Test
   void aHigherVersionGoesBeforeTheOneThatTheStoreHasGoneBackToAndIsToldToOthers() {
     ObjectTable<String> knows =
-        new ObjectTable<>("configuration", ObjectTable.Unreadable.KEEPS_LAST, LATER);
+        new ObjectTable<>("configuration", ObjectTable.UnreadablePolicy.KEEPS_LAST, LATER);
     ObjectTable<String> beganLater =
-        new ObjectTable<>("configuration", ObjectTable.Unreadable.KEEPS_LAST, LATER);
-    knows.change(page(new Page.Item<>("main", at(9), false, "version 5"), 9));
+        new ObjectTable<>("configuration", ObjectTable.UnreadablePolicy.KEEPS_LAST, LATER);
+    knows.applyChanges(page(new Page.Item<>("main", at(9), false, "version 5"), 9));
     era = 2;
     Map<String, Page.Item<String>> shown =
         Map.of("main", new Page.Item<>("main", at(4), false, "version 3"));
     knows.replace(shown, at(4));
     beganLater.replace(shown, at(4));
     assertThat(knows.objects()).containsEntry("main", "version 5");
-    assertThat(beganLater.merge(knows.copySince(StorePlace.NONE))).isTrue();
+    assertThat(beganLater.merge(knows.updateSince(StorePlace.NONE))).isTrue();
     assertThat(beganLater.objects()).containsEntry("main", "version 5");
-    knows.change(page(new Page.Item<>("main", at(5), false, "version 6"), 5));
+    knows.applyChanges(page(new Page.Item<>("main", at(5), false, "version 6"), 5));
     assertThat(knows.objects()).containsEntry("main", "version 6");
   }
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StoreRollbackModel.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StoreRollbackModel.java
@@ -43,7 +43,7 @@
     CHANGES_COME(world -> world.changes != null && world.changesCome()),
     WATCHER_GIVES_COPY(world -> world.copy == null && world.giveCopy()),
     COPY_COMES(world -> world.copy != null && world.copyComes()),
-    WATCHER_TAKES_COPY(world -> world.watcher.place().isKnown() && world.watcherTakesCopy());
+    WATCHER_TAKES_COPY(world -> world.watcher.position().isKnown() && world.watcherTakesCopy());
 
     private final Predicate<StoreRollbackModel> happens;
 
@@ -109,8 +109,8 @@
 
   private ObjectTable<Integer> table() {
     boolean keepsNone = flaws.contains(Flaw.CONFIGURATION_GOES_BACK);
-    MergePolicy<Integer> succession = keepsNone ? MergePolicy.ofStore() : HIGHER;
-    return new ObjectTable<>(NODE, ObjectTable.Unreadable.NAMES_NOTHING, succession);
+    MergePolicy<Integer> succession = keepsNone ? MergePolicy.byPosition() : HIGHER;
+    return new ObjectTable<>(NODE, ObjectTable.UnreadablePolicy.NAMES_NOTHING, succession);
   }
 
   private State now() {
@@ -151,7 +151,7 @@
 
   /** A peer may have told that the store has begun a later history, while a call still waits. */
   private boolean mayList() {
-    return mustList || peersTell && era > watcher.place().era().number();
+    return mustList || peersTell && era > watcher.position().era().number();
   }
 
   private boolean storeLists() {
@@ -184,7 +184,7 @@
   }
 
   private boolean storeTellsChanges() {
-    StorePlace asked = watcher.place();
+    StorePlace asked = watcher.position();
     boolean hasIt = asked.revision() <= now().revision();
     Page<Integer> page = hasIt ? changesSince(asked.revision()) : null;
     changes = new Answer(at(now().revision()), asked, page);
@@ -217,7 +217,7 @@
     if (answer.page() == null) {
       mustList = !flaws.contains(Flaw.REFUSAL_IGNORED);
     } else if (!isDropped(answer) && !mustList) {
-      watcher.change(answer.page());
+      watcher.applyChanges(answer.page());
       look();
     }
     return true;
@@ -226,8 +226,8 @@
   private boolean isDropped(Answer answer) {
     boolean isList = !answer.asked().isKnown();
     boolean ignoresAsked = !isList && flaws.contains(Flaw.ASKED_PLACE_IGNORED);
-    StorePlace asked = ignoresAsked ? watcher.place() : answer.asked();
-    EraRule.Verdict verdict = rule.judge(answer.at().era(), watcher.place(), asked, 0);
+    StorePlace asked = ignoresAsked ? watcher.position() : answer.asked();
+    EraRule.Verdict verdict = rule.judge(answer.at().era(), watcher.position(), asked, 0);
     if (verdict == EraRule.Verdict.LIST_ANEW && !flaws.contains(Flaw.WATCH_CONTINUED)) {
       mustList = true;
     }
@@ -240,7 +240,7 @@
     Map<String, Page.Item<Integer>> listed = new LinkedHashMap<>();
     items(now()).forEach(item -> listed.put(item.name(), item));
     other.replace(listed, at(now().revision()));
-    boolean taken = watcher.merge(other.copySince(StorePlace.NONE));
+    boolean taken = watcher.merge(other.updateSince(StorePlace.NONE));
     look();
     return taken;
   }
@@ -249,7 +249,7 @@
     if (!watcher.newest().isKnown()) {
       return false;
     }
-    copy = watcher.copySince(follower.place());
+    copy = watcher.updateSince(follower.position());
     return true;
   }
 
@@ -264,7 +264,7 @@
   }
 
   private CopyUpdate<Integer> asPresent(CopyUpdate<Integer> told) {
-    StorePlace present = new StorePlace(follower.place().era(), told.place().revision() + 9);
+    StorePlace present = new StorePlace(follower.position().era(), told.place().revision() + 9);
     Map<String, StorePlace> places = new LinkedHashMap<>();
     told.places().keySet().forEach(name -> places.put(name, present));
     return new CopyUpdate<>(present, present, told.whole(), told.objects(), places, told.removed());
@@ -312,8 +312,13 @@
         "|",
         history.toString(),
         era + " " + newestVersion + " " + nodeHasGone + " " + mustList + " " + wentBack,
-        watcher.place() + " " + watcher.newest() + " " + watcher.objects() + watcher.places(),
-        follower.place() + " " + follower.newest() + " " + follower.objects() + follower.places(),
+        watcher.position() + " " + watcher.newest() + " " + watcher.objects() + watcher.positions(),
+        follower.position()
+            + " "
+            + follower.newest()
+            + " "
+            + follower.objects()
+            + follower.positions(),
         String.valueOf(list),
         String.valueOf(changes),
         String.valueOf(copy),
