--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
@@ -16,17 +16,22 @@
 import org.fawnvale.serving.store.EraChange;
 import org.fawnvale.serving.store.StoreWatch;
 
-/** What this daemon can see: the store, the nodes as it lists them, and the other data centres. */
+/**
+ * This daemon's view of the cluster: the effective list of nodes, whether the store answers, and
+ * the reachable data centres.
+ */
 final class ClusterView {
 
-  /** Nodes whose entries a copy of the store lacks write them again within two seconds. */
-  private static final long WRITTEN_AGAIN_NANOS = 2_000_000_000L;
+  /** Time within which nodes rewrite entries that a rollback of the store has removed. */
+  private static final long REWRITE_NANOS = 2_000_000_000L;
 
-  /** How long a failed call speaks against a daemon that has stopped to call. */
-  private static final long STORE_TRUST_NANOS = 3_000_000_000L;
+  /**
+   * How long a failed call counts as an outage when the watch is inactive and makes no new calls.
+   */
+  private static final long FAILURE_VALID_NANOS = 3_000_000_000L;
 
-  /** How long an answer of an upstream shows that its data centre can be reached. */
-  private static final long REACHED_NANOS = 400_000_000L;
+  /** How long an answer or event from an upstream proves that its data centre is reachable. */
+  private static final long REACHABLE_NANOS = 400_000_000L;
 
   private final Settings settings;
   private final Peers peers;
@@ -34,11 +39,11 @@
   private final StoreWatch<Node> nodes;
   private final UpstreamGate gate;
   private final LastModels lastModels = new LastModels();
-  private final StoreDoubt doubt = new StoreDoubt();
+  private final StoreDoubt storeSuspicion = new StoreDoubt();
   private final StoreOutages outages = new StoreOutages();
   private final VanishedNodes vanishedNodes = new VanishedNodes();
   private final RestoredNodes restoredNodes = new RestoredNodes();
-  private long wentBackAtNanos = Long.MIN_VALUE / 2;
+  private long rolledBackAtNanos = Long.MIN_VALUE / 2;
 
   ClusterView(
       Settings settings,
@@ -53,19 +58,23 @@
     this.nodes = nodes;
   }
 
-  /** The nodes as listed, with what the list fails to show. */
+  /**
+   * The effective list of nodes. Completes the store's list with entries that a rollback or an
+   * outage of the store has removed, with nodes whose responses say that they are draining, and
+   * with the model of each node's last group.
+   */
   Collection<Node> listedNodes() {
     long now = System.nanoTime();
     Collection<Node> listed =
         restoredNodes.complete(nodes.objects(), nodes.positions(), lastAnswerNanos());
     if (settings.policy().cutsAreNoDeaths()) {
-      listed = vanishedNodes.complete(listed, missingMayComeBack(now), now);
+      listed = vanishedNodes.complete(listed, missingMayReturn(now), now);
     }
-    return lastModels.complete(withLeaving(listed));
+    return lastModels.complete(withDraining(listed));
   }
 
-  /** A node leaves once its entry or an answer of its own says so, whichever comes first. */
-  private Collection<Node> withLeaving(Collection<Node> listed) {
+  /** Marks the nodes as draining whose responses say so before their entries do. */
+  private Collection<Node> withDraining(Collection<Node> listed) {
     if (gate.leaving() == 0) {
       return listed;
     }
@@ -74,72 +83,78 @@
         .toList();
   }
 
-  /** A daemon that rests has its nodes from peers; that the store answers it shows in the other. */
+  /** While the watch of nodes is inactive, the watch of the configuration shows the last answer. */
   private long lastAnswerNanos() {
     return nodes.isActive() ? nodes.lastAnswerNanos() : configurations.lastAnswerNanos();
   }
 
-  /** Takes note of what was known of the nodes before the store went back. */
-  void storeWentBack(EraChange<Node> change) {
-    wentBackAtNanos = System.nanoTime();
+  /** Retains the state of the nodes that was known before a rollback of the store. */
+  void onStoreRollback(EraChange<Node> change) {
+    rolledBackAtNanos = System.nanoTime();
     restoredNodes.storeWentBack(
         change.previousObjects(),
         change.removedNames(),
         nodes.objects(),
         nodes.positions(),
-        wentBackAtNanos);
+        rolledBackAtNanos);
   }
 
-  /** Tells whether nodes are held on to that the list has lost or shows as they were before. */
+  /** Tells whether the effective list may change without a change of the store's list. */
   boolean changesWithTime() {
     return vanishedNodes.holdsAny() || restoredNodes.changesWithTime();
   }
 
-  /** An entry that has gone for any other reason must not be held on to: its node leaves. */
-  private boolean missingMayComeBack(long now) {
-    return outages.mayHaveLapsed(now) || now - wentBackAtNanos < WRITTEN_AGAIN_NANOS;
+  /**
+   * Tells whether missing entries may return: after an outage or a rollback of the store. Otherwise
+   * a missing entry means that its node is shutting down.
+   */
+  private boolean missingMayReturn(long now) {
+    return outages.mayHaveLapsed(now) || now - rolledBackAtNanos < REWRITE_NANOS;
   }
 
   /** Tells whether the store answers this daemon. */
   boolean storeAnswers() {
-    boolean certain = nodes.isActive() || doubt.isOver(configurations.lastAnswerNanos());
-    return certain && answers(configurations) && answers(nodes);
+    boolean isCertain = nodes.isActive() || storeSuspicion.isOver(configurations.lastAnswerNanos());
+    return isCertain && answers(configurations) && answers(nodes);
   }
 
-  /** Takes note of who has the store; asks it once a near daemon has lost it. */
-  void learnFromPeers() {
-    lookForOutage();
-    if (doubt.learn(peers.nearPeerLostStore(), System.nanoTime())) {
+  /**
+   * Records which daemons the store answers. Probes the store when a daemon of the same data centre
+   * reports that it has lost the store.
+   */
+  void updateStoreReachability() {
+    recordOutage();
+    if (storeSuspicion.learn(peers.nearPeerLostStore(), System.nanoTime())) {
       configurations.probe();
     }
   }
 
-  private void lookForOutage() {
-    boolean here = configurations.reachable() && (!nodes.isActive() || nodes.reachable());
+  private void recordOutage() {
+    boolean answersHere = configurations.reachable() && (!nodes.isActive() || nodes.reachable());
     long lastAnswer = Math.max(configurations.lastAnswerNanos(), nodes.lastAnswerNanos());
-    outages.look(here, peers.storeAnswersAny(), lastAnswer, System.nanoTime());
+    outages.look(answersHere, peers.storeAnswersAny(), lastAnswer, System.nanoTime());
   }
 
-  /** A daemon that rests after a failed call may find the store again, but not at once. */
+  /** An inactive watch makes no calls, so its last failure counts for a limited time only. */
   private static boolean answers(StoreWatch<?> watch) {
-    boolean failedLately = System.nanoTime() - watch.lastFailureNanos() < STORE_TRUST_NANOS;
-    return watch.reachable() || !watch.isActive() && !failedLately;
+    boolean failedRecently = System.nanoTime() - watch.lastFailureNanos() < FAILURE_VALID_NANOS;
+    return watch.reachable() || !watch.isActive() && !failedRecently;
   }
 
-  /** Data centres of daemons that are heard, and of upstreams that answered a moment ago. */
-  Set<String> dataCentres(Dispatcher dispatcher) {
+  /** Data centres of live daemons, and of upstreams that answered a moment ago. */
+  Set<String> reachableDataCentres(Dispatcher dispatcher) {
     long now = System.nanoTime();
-    Set<String> inSight = peers.leadership().dataCentresHeard(now);
-    inSight.add(settings.dataCentre());
+    Set<String> reachable = peers.leadership().dataCentresHeard(now);
+    reachable.add(settings.dataCentre());
     dispatcher
         .states()
         .forEach(
             (id, state) -> {
               Node node = nodes.objects().get(id);
-              if (node != null && state.movedWithin(REACHED_NANOS, now)) {
-                inSight.add(node.dataCentre());
+              if (node != null && state.movedWithin(REACHABLE_NANOS, now)) {
+                reachable.add(node.dataCentre());
               }
             });
-    return inSight;
+    return reachable;
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonEndpoints.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonEndpoints.java
@@ -8,7 +8,7 @@
 import org.fawnvale.serving.limit.TrialDesk;
 import org.fawnvale.serving.store.PeerCopyExchange;
 
-/** What a daemon answers to the balancer, to those who read its figures, and to its peers. */
+/** The daemon's HTTP endpoints for the balancer, for metrics and for queries of peers. */
 final class DaemonEndpoints {
 
   private static final int OK = 200;
@@ -19,47 +19,51 @@
   private final PrometheusMeterRegistry registry;
   private final PeerCopyExchange<Node> nodes;
   private final PeerCopyExchange<Configuration> configurations;
-  private final LimitDesk limits;
-  private final TrialDesk trials;
+  private final LimitDesk limitPermits;
+  private final TrialDesk trialPermits;
 
   DaemonEndpoints(
       String readyPath,
       PrometheusMeterRegistry registry,
       PeerCopyExchange<Node> nodes,
       PeerCopyExchange<Configuration> configurations,
-      LimitDesk limits,
-      TrialDesk trials) {
+      LimitDesk limitPermits,
+      TrialDesk trialPermits) {
     this.readyPath = readyPath;
     this.registry = registry;
     this.nodes = nodes;
     this.configurations = configurations;
-    this.limits = limits;
-    this.trials = trials;
+    this.limitPermits = limitPermits;
+    this.trialPermits = trialPermits;
   }
 
-  SimpleResponseHandler.Page ready(String target, boolean isReady) {
+  SimpleResponseHandler.Response ready(String target, boolean isReady) {
     if (!readyPath.equals(target)) {
-      return new SimpleResponseHandler.Page(NOT_FOUND, new byte[0]);
+      return new SimpleResponseHandler.Response(NOT_FOUND, new byte[0]);
     }
-    return new SimpleResponseHandler.Page(isReady ? OK : UNAVAILABLE, new byte[0]);
+    return new SimpleResponseHandler.Response(isReady ? OK : UNAVAILABLE, new byte[0]);
   }
 
-  SimpleResponseHandler.Page figures() {
-    return new SimpleResponseHandler.Page(OK, registry.scrape().getBytes(StandardCharsets.UTF_8));
+  SimpleResponseHandler.Response metrics() {
+    return new SimpleResponseHandler.Response(
+        OK, registry.scrape().getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Gives a peer what it lacks of the store's objects, or leave for what is counted once. */
-  SimpleResponseHandler.Page forPeers(String target) {
-    byte[] copy = new byte[0];
-    if (limits.isAskedBy(target)) {
-      copy = limits.answer(target);
-    } else if (trials.isAskedBy(target)) {
-      copy = trials.answer(target);
+  /**
+   * Answers a peer's query: for a newer copy of the store's objects, for a permit under a limit, or
+   * for a permit to try a barred request.
+   */
+  SimpleResponseHandler.Response answerPeer(String target) {
+    byte[] body = new byte[0];
+    if (limitPermits.isAskedBy(target)) {
+      body = limitPermits.answer(target);
+    } else if (trialPermits.isAskedBy(target)) {
+      body = trialPermits.answer(target);
     } else if (nodes.handles(target)) {
-      copy = nodes.respond(target);
+      body = nodes.respond(target);
     } else if (configurations.handles(target)) {
-      copy = configurations.respond(target);
+      body = configurations.respond(target);
     }
-    return new SimpleResponseHandler.Page(copy.length == 0 ? UNAVAILABLE : OK, copy);
+    return new SimpleResponseHandler.Response(body.length == 0 ? UNAVAILABLE : OK, body);
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/EarlyListener.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/EarlyListener.java
@@ -7,13 +7,13 @@
 import org.fawnvale.serving.http.HttpReactor;
 
 /**
- * The listener for callers, bound before the daemon behind it is built. A connection to a port that
- * nobody listens at is refused, which costs its caller one of few tries; one that is accepted waits
- * for the daemon. After a loss of power all daemons start at once, on as little as 0.36 of a core.
+ * The listener for callers, bound before the daemon is constructed. Early connections are accepted
+ * and wait for the daemon; without the listener they would be refused, and each refused connection
+ * consumes one of the caller's few attempts.
  */
 public final class EarlyListener {
 
-  /** The longest line of a head, in bytes; callers' heads are far below. */
+  /** The maximum length of a header line, in bytes. */
   private static final int MAX_HEADER_BYTES = 65_536;
 
   private final HttpReactor reactor;
@@ -25,10 +25,10 @@
   }
 
   /**
-   * Begins to listen.
+   * Opens the listener.
    *
-   * @param frontend where callers connect
-   * @return the listener, whose callers wait until {@link #serve} is called
+   * @param frontend the address for callers
+   * @return the listener; its callers wait until {@link #serve} is called
    * @throws IllegalStateException when the address can't be bound
    */
   public static EarlyListener open(Endpoint frontend) {
@@ -37,15 +37,15 @@
     return listener;
   }
 
-  /** The reactor, which carries everything else of the daemon too. */
+  /** The reactor, which the daemon also uses for all its other connections. */
   HttpReactor reactor() {
     return reactor;
   }
 
   /**
-   * Lets the callers in.
+   * Starts to process requests, including those that are already waiting.
    *
-   * @param requestHandlers makes the handler of each request
+   * @param requestHandlers creates the handler of each request
    */
   void serve(Supplier<AsyncServerExchangeHandler> requestHandlers) {
     handlers.complete(requestHandlers);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/GroupAnnouncements.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/GroupAnnouncements.java
@@ -4,12 +4,12 @@
 import org.fawnvale.serving.core.peer.PeerNote;
 
 /**
- * The leader's word on groups that the list may not show yet.
+ * Recent changes of groups that the leader announces and that the list of nodes may not show yet.
  *
- * @param opened groups that began to serve
- * @param closed heads, as {@code ID@EPOCH}, whose groups are being taken apart
+ * @param opened groups that recently began to serve
+ * @param closed heads, as {@code ID@EPOCH}, of groups that are being dissolved
  */
 record GroupAnnouncements(List<PeerNote.ServingGroup> opened, List<String> closed) {
 
-  static final GroupAnnouncements NOTHING = new GroupAnnouncements(List.of(), List.of());
+  static final GroupAnnouncements NONE = new GroupAnnouncements(List.of(), List.of());
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/HeadSuspicions.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/HeadSuspicions.java
@@ -15,13 +15,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Which heads this daemon and its peers hold to be standing still. A suspicion names the group's
- * epoch ({@code ID@EPOCH}), so that it says nothing of the next group of the same head.
+ * Tracks which heads this daemon and its peers suspect of being stalled. A suspicion includes the
+ * group's epoch ({@code ID@EPOCH}), so that it does not apply to the next group of the same head.
  */
 final class HeadSuspicions {
 
-  /** How long a suspicion lasts that nothing confirms: the leader has acted long before. */
-  private static final long SUSPECT_NANOS = 2_000_000_000L;
+  /** How long a suspicion lasts; the leader acts on confirmed suspicions well before. */
+  private static final long SUSPICION_NANOS = 2_000_000_000L;
 
   private final String dataCentre;
   private final Dispatcher dispatcher;
@@ -36,13 +36,13 @@
     this.peers = peers;
   }
 
-  /** Learns which heads serve; a head that serves a new group is trusted again. */
-  void learn(List<Node> serving, Set<String> present) {
+  /** Updates the serving heads, and clears the suspicion of each head that serves a new group. */
+  void update(List<Node> serving, Set<String> present) {
     for (Node node : serving) {
-      Membership place = node.membership();
-      if (place != null) {
-        Head before = heads.put(node.id(), new Head(place.epoch(), node.dataCentre()));
-        if (before == null || before.epoch() != place.epoch()) {
+      Membership membership = node.membership();
+      if (membership != null) {
+        Head before = heads.put(node.id(), new Head(membership.epoch(), node.dataCentre()));
+        if (before == null || before.epoch() != membership.epoch()) {
           dispatcher.state(node.id()).clear();
         }
       }
@@ -51,7 +51,7 @@
   }
 
   /** Heads that this daemon suspects, as {@code ID@EPOCH}. */
-  List<String> own() {
+  List<String> ownSuspects() {
     List<String> suspects = new ArrayList<>();
     dispatcher
         .states()
@@ -66,7 +66,7 @@
   }
 
   /** The number of heads that this daemon suspects. */
-  int countOfOwn() {
+  int ownSuspectCount() {
     int count = 0;
     for (Map.Entry<String, UpstreamState> entry : dispatcher.states().entrySet()) {
       count += entry.getValue().isSuspect() && heads.containsKey(entry.getKey()) ? 1 : 0;
@@ -74,35 +74,39 @@
     return count;
   }
 
-  /** Ids of heads that peers suspect who see them; behind a cut they would say so of any head. */
-  Set<String> ofPeers() {
+  /**
+   * Ids of the heads that peers suspect. Counts only peers in this daemon's or in the head's data
+   * centre, because a peer behind a network partition suspects every head on the other side.
+   */
+  Set<String> peerSuspects() {
     if (!peers.tellOfSuspects()) {
       return Set.of();
     }
-    Set<String> shared = new HashSet<>();
+    Set<String> suspects = new HashSet<>();
     for (StallEvidence.Witness witness : peers.witnesses()) {
-      for (String mark : witness.suspects()) {
-        String id = suspectSeenBy(witness, mark);
+      for (String headAtEpoch : witness.suspects()) {
+        String id = reachableSuspect(witness, headAtEpoch);
         if (id != null) {
-          shared.add(id);
+          suspects.add(id);
         }
       }
     }
-    return shared;
+    return suspects;
   }
 
-  private @Nullable String suspectSeenBy(StallEvidence.Witness witness, String mark) {
-    String id = mark.substring(0, mark.lastIndexOf('@'));
+  /** The id of a suspected head; null if its group is not current or the peer is too far away. */
+  private @Nullable String reachableSuspect(StallEvidence.Witness witness, String headAtEpoch) {
+    String id = headAtEpoch.substring(0, headAtEpoch.lastIndexOf('@'));
     Head head = heads.get(id);
-    if (head == null || !mark.endsWith("@" + head.epoch())) {
+    if (head == null || !headAtEpoch.endsWith("@" + head.epoch())) {
       return null;
     }
-    boolean sees =
+    boolean isNear =
         witness.dataCentre().equals(dataCentre) || witness.dataCentre().equals(head.dataCentre());
-    return sees ? id : null;
+    return isNear ? id : null;
   }
 
-  /** What all live daemons tell of heads, this one included. */
+  /** What all live daemons report about heads, this daemon included. */
   List<StallEvidence.Witness> witnesses() {
     Set<String> busy = new HashSet<>();
     dispatcher
@@ -114,15 +118,15 @@
               }
             });
     List<StallEvidence.Witness> witnesses = new ArrayList<>();
-    witnesses.add(new StallEvidence.Witness(dataCentre, own(), busy));
+    witnesses.add(new StallEvidence.Witness(dataCentre, ownSuspects(), busy));
     witnesses.addAll(peers.witnesses());
     return witnesses;
   }
 
-  /** Forgets suspicions that nothing has confirmed. */
+  /** Clears this daemon's expired suspicions. */
   void expire(long now) {
     for (UpstreamState state : dispatcher.states().values()) {
-      if (state.isSuspect() && now - state.suspectSinceNanos() > SUSPECT_NANOS) {
+      if (state.isSuspect() && now - state.suspectSinceNanos() > SUSPICION_NANOS) {
         state.clear();
       }
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/PlannedStop.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/PlannedStop.java
@@ -2,73 +2,76 @@
 
 import java.util.function.LongSupplier;
 
-/** How long a daemon goes on after it was told to stop. */
+/** Timing of a graceful shutdown: how long a daemon keeps running after the request to stop. */
 final class PlannedStop {
 
-  /** The balancer asks each second and leaves a daemon out after two answers that are not good. */
-  private static final long LEAVE_BALANCER_MILLIS = 3_000;
+  /**
+   * Time within which the balancer stops sending requests: it probes readiness every second and
+   * removes a daemon after two failed probes.
+   */
+  private static final long BALANCER_REMOVAL_MILLIS = 3_000;
 
-  /** Left of the grace for the end of the process and its last log lines; an estimate. */
+  /** Part of the grace period reserved for the exit of the process and its last log lines. */
   private static final long GRACE_MARGIN_MILLIS = 700;
 
   private static final long POLL_MILLIS = 50;
 
   /**
-   * How often in a row no request must be under way: a request has ended for the gateway before the
-   * last bytes of its answer have left, and closing its connection then cuts the answer short. Two
-   * looks more give them a tenth of a second.
+   * Number of consecutive polls without a request in flight. The gateway counts a request as ended
+   * before the last bytes of its response are sent; the additional polls let those bytes leave
+   * before the connections are closed.
    */
   private static final int IDLE_POLLS = 3;
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  private final long leaveAtNanos;
-  private final long endAtNanos;
+  private final long balancerRemovalNanos;
+  private final long deadlineNanos;
 
   /**
-   * Creates the plan of a stop.
+   * Creates the timing of one shutdown.
    *
-   * @param begunNanos when the daemon was told, as steady time
-   * @param graceMillis how long it may take in all, in milliseconds
+   * @param begunNanos the monotonic time of the request to stop, in nanoseconds
+   * @param graceMillis the maximum duration of the shutdown, in milliseconds
    */
   PlannedStop(long begunNanos, long graceMillis) {
-    this.leaveAtNanos = begunNanos + LEAVE_BALANCER_MILLIS * NANOS_PER_MILLI;
-    this.endAtNanos = begunNanos + (graceMillis - GRACE_MARGIN_MILLIS) * NANOS_PER_MILLI;
+    this.balancerRemovalNanos = begunNanos + BALANCER_REMOVAL_MILLIS * NANOS_PER_MILLI;
+    this.deadlineNanos = begunNanos + (graceMillis - GRACE_MARGIN_MILLIS) * NANOS_PER_MILLI;
   }
 
-  /** Lets time pass. */
+  /** Suspends the thread. */
   @FunctionalInterface
-  interface Pause {
-    void pause(long millis) throws InterruptedException;
+  interface Sleeper {
+    void sleep(long millis) throws InterruptedException;
   }
 
-  /** The requests under way. */
+  /** The requests in flight. */
   @FunctionalInterface
-  interface Work {
+  interface InFlightRequests {
 
     /**
-     * Tells whether any request is under way.
+     * Tells whether any request is in flight.
      *
-     * @param refuse whether requests that come from now on are to be refused
-     * @return true while there is one
+     * @param refuseNew whether the gateway refuses new requests from now on
+     * @return true while a request is in flight
      */
-    boolean isBusy(boolean refuse);
+    boolean isBusy(boolean refuseNew);
   }
 
   /**
-   * Waits until the daemon may end.
+   * Blocks until the daemon may exit or the thread is interrupted.
    *
-   * @param clock the steady time, in nanoseconds
-   * @param pause lets time pass
-   * @param work the requests under way
+   * @param clock the monotonic time, in nanoseconds
+   * @param sleeper suspends the thread between two polls
+   * @param requests the requests in flight
    */
-  void await(LongSupplier clock, Pause pause, Work work) {
+  void await(LongSupplier clock, Sleeper sleeper, InFlightRequests requests) {
     int idlePolls = 0;
     try {
-      while (clock.getAsLong() < leaveAtNanos
-          || idlePolls < IDLE_POLLS && clock.getAsLong() < endAtNanos) {
-        pause.pause(POLL_MILLIS);
-        boolean busy = work.isBusy(clock.getAsLong() >= leaveAtNanos);
+      while (clock.getAsLong() < balancerRemovalNanos
+          || idlePolls < IDLE_POLLS && clock.getAsLong() < deadlineNanos) {
+        sleeper.sleep(POLL_MILLIS);
+        boolean busy = requests.isBusy(clock.getAsLong() >= balancerRemovalNanos);
         idlePolls = busy ? 0 : idlePolls + 1;
       }
     } catch (InterruptedException e) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/QuarantinePersistence.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/QuarantinePersistence.java
@@ -6,21 +6,21 @@
 import org.fawnvale.serving.store.QuarantineStore;
 
 /**
- * Who keeps requests that end nodes in the platform's store, for daemons to come: few daemons,
- * since each call costs.
+ * Decides which daemon saves the records of barred requests in the platform's store, for daemons
+ * that start later. Only few daemons save a record, to limit the number of calls.
  */
 final class QuarantinePersistence {
 
   private final RepeatGuard repeats;
   private final QuarantineStore store;
-  private boolean leads;
-  private StoreEra keptIn = StoreEra.UNTOLD;
+  private boolean leading;
+  private StoreEra savedInEra = StoreEra.UNTOLD;
 
   /**
-   * Creates the keeper; it does nothing before {@link #begin}.
+   * Creates the service; it does nothing before {@link #start}.
    *
-   * @param repeats tells which requests are barred and which an answer has cleared
-   * @param store keeps them
+   * @param repeats notifies which requests are barred, and which a successful response has cleared
+   * @param store saves their records
    */
   QuarantinePersistence(RepeatGuard repeats, QuarantineStore store) {
     this.repeats = repeats;
@@ -28,39 +28,40 @@
   }
 
   /**
-   * Begins to hear of them.
+   * Loads the saved records and registers the listeners.
    *
-   * @param mayBeKnown whether earlier daemons may have kept some
+   * @param mayHaveRecords whether the store may contain records of earlier daemons
    */
-  void begin(boolean mayBeKnown) {
-    if (mayBeKnown) {
+  void start(boolean mayHaveRecords) {
+    if (mayHaveRecords) {
       store.load();
     }
-    repeats.onBarred(this::barred);
+    repeats.onBarred(this::onBarred);
     repeats.onCleared(store::delete);
   }
 
   /**
-   * Each daemon hears of a request that is barred. The one that saw the last end keeps it for those
-   * to come, and the leader, since the other may be at its end.
+   * Saves the record of a newly barred request. All daemons are notified; the daemon that observed
+   * the last node exit saves the record, and so does the leader, because the other daemon may be
+   * shutting down.
    */
-  private void barred(RequestRecord told, boolean own) {
-    if (own || leads) {
-      store.save(told);
+  private void onBarred(RequestRecord barred, boolean own) {
+    if (own || leading) {
+      store.save(barred);
     }
   }
 
   /**
-   * Takes note of who leads. The store may have gone back behind what was kept there: the leader,
-   * which knows all of it from the notes, keeps it again, once for each history of the store.
+   * Records whether this daemon leads. A rollback of the store may have removed saved records, so
+   * the leader, which receives all of them in peer messages, saves them again once in each era.
    *
    * @param leadsNow whether this daemon leads
-   * @param era the store's history that its copies show
+   * @param era the era of this daemon's copies
    */
-  void look(boolean leadsNow, StoreEra era) {
-    leads = leadsNow;
-    if (leadsNow && !era.equals(keptIn)) {
-      keptIn = era;
+  void update(boolean leadsNow, StoreEra era) {
+    leading = leadsNow;
+    if (leadsNow && !era.equals(savedInEra)) {
+      savedInEra = era;
       repeats.barred().forEach(store::save);
     }
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -58,40 +58,43 @@
   private static final Logger LOG = LogManager.getLogger("daemon");
 
   /**
-   * How often the streams are looked at. One timer for all that is done regularly: three of their
-   * own, of 20, 50 and 150 ms, woke an idle daemon 77 times a second instead of 40.
+   * The period of the single timer for all regular tasks. Separate timers would wake an idle daemon
+   * more often.
    */
   private static final int TICK_MILLIS = 25;
 
-  /** Ticks between two looks of the leader at the groups. */
+  /** Ticks between two runs of the formation of groups. */
   private static final int FORMATION_TICKS = 2;
 
-  /** Ticks between two notes: 150 ms. */
-  private static final int NOTE_TICKS = 6;
+  /** Ticks between two regular peer messages: 150 ms. */
+  private static final int MESSAGE_TICKS = 6;
 
-  private static final int FOLLOWER_TURNS = 2;
-  private static final int COPY_PORT_OFFSET = 2;
+  /** A daemon that does not lead skips all but every second run of the formation. */
+  private static final int FOLLOWER_FORMATION_RUNS = 2;
 
-  /** Versions that come in quick succession are taken together: each call costs. */
-  private static final int CONFIGURATION_REST_MILLIS = 400;
+  /** The offset of the port for peer queries from the port for peer messages. */
+  private static final int QUERY_PORT_OFFSET = 2;
+
+  /** The pause between two watch calls; versions written within it are read with one call. */
+  private static final int CONFIGURATION_PAUSE_MILLIS = 400;
 
   /**
-   * How long a connection to the store may be silent unnoticed, so that a configuration that is
-   * acknowledged three seconds after the silence began is in force two seconds later.
+   * The wait of a watch call that has to detect a silent connection early: a configuration that is
+   * acknowledged three seconds after the silence began must be active two seconds later.
    */
   private static final int SHORT_WAIT_MILLIS = 2_500;
 
-  /** Daemons that peers tell of newer configurations make few calls: each costs. */
+  /** The wait of daemons that peers notify of newer configurations; it keeps their calls few. */
   private static final int LONG_WAIT_MILLIS = 28_000;
 
   private static final int HOUSEKEEPING_MILLIS = 1_000;
 
-  /** A line a daemon each ten seconds tells who has paid for what. */
+  /** The interval of the log lines that summarise calls and connections. */
   private static final int SUMMARY_MILLIS = 10_000;
 
   /**
-   * How long a daemon hears others before it may lead. Daemons that start together are busy for a
-   * second and hear each other late: with 0.9 s four of 78 led at once, each with plans of its own.
+   * How long a daemon receives peer messages before it may lead. Daemons that start at the same
+   * time process each other's first messages late, and several would lead at once.
    */
   private static final long SETTLE_NANOS = 2_000_000_000L;
 
@@ -99,43 +102,48 @@
 
   private final Settings settings;
   private final Platform platform;
-  private final Object guard = new Object();
-  private final Timers timers = new Timers(guard);
+
+  /** Held by all tasks and callbacks; protects the state of the daemon. */
+  private final Object lock = new Object();
+
+  private final Timers timers = new Timers(lock);
   private final HttpReactor reactor;
   private final HttpClient client;
   private final UpstreamGate gate;
   private final Dispatcher dispatcher;
   private final WatchCadence cadence;
-  private final UpstreamSelector fleet;
+  private final UpstreamSelector upstreamSelector;
   private final Gateway gateway;
   private final Peers peers;
   private final FormationService formation;
   private final StoreWatch<Configuration> configurations;
   private final StoreWatch<Node> nodes;
-  private final ClusterView sight;
+  private final ClusterView clusterView;
   private final HeadSuspicions suspicions;
   private final PeerCopyExchange<Configuration> configurationCopies;
   private final PeerCopyExchange<Node> nodeCopies;
-  private final QuarantinePersistence barred;
-  private final LimitDesk limitDesk;
-  private final TrialDesk trialDesk;
-  private final SharedStateUpdates news;
+  private final QuarantinePersistence quarantinePersistence;
+  private final LimitDesk limitPermits;
+  private final TrialDesk trialPermits;
+  private final SharedStateUpdates sharedUpdates;
   private final PrometheusMeterRegistry registry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-  private final StoreCallMetrics storeFigures = new StoreCallMetrics(registry);
-  private final StoreRollbackReporter returns = new StoreRollbackReporter(registry);
+  private final StoreCallMetrics storeMetrics = new StoreCallMetrics(registry);
+  private final StoreRollbackReporter rollbackReporter = new StoreRollbackReporter(registry);
   private final long startedNanos = System.nanoTime();
   private @Nullable Configuration configuration;
   private boolean stopping;
-  private boolean leads;
-  private final LeavingNews leavingNews = new LeavingNews();
-  private GroupAnnouncements announcedBefore = GroupAnnouncements.NOTHING;
-  private boolean groupsAreNews;
-  private boolean upstreamsAreOld;
-  private boolean fleetIsKnown;
-  private int turn;
-  private int formationTurn;
-  private long servedSinceNanos;
+  private boolean leading;
+  private final LeavingNews departures = new LeavingNews();
+  private GroupAnnouncements lastAnnounced = GroupAnnouncements.NONE;
+  private boolean announcementsChanged;
+  private boolean upstreamsStale;
+  private boolean upstreamsKnown;
+  private int tickCount;
+  private int formationRuns;
+
+  /** When this daemon first knew of a caller's request in the cluster, in monotonic time; or 0. */
+  private long firstRequestNanos;
 
   private ServingDaemon(Settings settings, Platform platform, HttpReactor reactor)
       throws IOException {
@@ -147,24 +155,25 @@
         new Owners(new Owners.Daemon(settings.name(), settings.address(), settings.dataCentre()));
     SharedLimits limits = new SharedLimits(owners);
     this.gate = new UpstreamGate(limits);
-    OwnerCalls ownerCalls = new OwnerCalls(client, timers, settings.peerPort() + COPY_PORT_OFFSET);
-    this.limitDesk = new LimitDesk(ownerCalls, limits, registry);
+    OwnerCalls ownerCalls = new OwnerCalls(client, timers, settings.peerPort() + QUERY_PORT_OFFSET);
+    this.limitPermits = new LimitDesk(ownerCalls, limits, registry);
     this.dispatcher = new Dispatcher(settings.dataCentre(), gate, System::nanoTime);
     dispatcher.connected(client::hasRested);
-    NodeClient toNodes = new NodeClient(client, timers, gate, platform::answer, registry);
-    toNodes.onLeaving(() -> upstreamsAreOld = true);
+    NodeClient nodeClient = new NodeClient(client, timers, gate, platform::answer, registry);
+    nodeClient.onLeaving(() -> upstreamsStale = true);
     this.cadence = new WatchCadence(settings.bounds().leavingMillis());
-    this.fleet = new UpstreamSelector(settings.policy().cutsAreNoDeaths());
-    GatewayFigures figures = new GatewayFigures(registry);
-    this.gateway = new Gateway(timers, toNodes, platform, dispatcher, settings.bounds(), figures);
-    gateway.asksForLeave(limitDesk::ask);
+    this.upstreamSelector = new UpstreamSelector(settings.policy().cutsAreNoDeaths());
+    GatewayFigures metrics = new GatewayFigures(registry);
+    this.gateway =
+        new Gateway(timers, nodeClient, platform, dispatcher, settings.bounds(), metrics);
+    gateway.asksForLeave(limitPermits::ask);
     registry.gauge("fawnvale.platform.names.unread", platform, Platform::namesNotRead);
-    this.trialDesk = new TrialDesk(ownerCalls, owners, gateway.repeats()::giveTrial);
-    gateway.repeats().asksForTrials(trialDesk::ask);
-    this.news = new SharedStateUpdates(owners, gateway.repeats(), limits, limitDesk);
+    this.trialPermits = new TrialDesk(ownerCalls, owners, gateway.repeats()::giveTrial);
+    gateway.repeats().asksForTrials(trialPermits::ask);
+    this.sharedUpdates = new SharedStateUpdates(owners, gateway.repeats(), limits, limitPermits);
     long incarnation = System.currentTimeMillis();
-    this.peers = Peers.open(settings, guard, incarnation, this::placesOfPeer, news);
-    this.formation = new FormationService(settings, peers, toNodes, platform, incarnation);
+    this.peers = Peers.open(settings, lock, incarnation, this::onPeerPositions, sharedUpdates);
+    this.formation = new FormationService(settings, peers, nodeClient, platform, incarnation);
     this.configurations =
         new StoreWatch<>(
             client,
@@ -173,11 +182,11 @@
             platform,
             Platform.Kind.CONFIGURATION,
             platform::configurations,
-            new StoreWatch.Timing(() -> CONFIGURATION_REST_MILLIS, this::configurationWaitMillis),
+            new StoreWatch.Timing(() -> CONFIGURATION_PAUSE_MILLIS, this::configurationWaitMillis),
             false,
-            (known, told) -> told == null || known.version() > told.version(),
-            storeFigures,
-            this::configurationChanged);
+            (version, other) -> other == null || version.version() > other.version(),
+            storeMetrics,
+            this::onConfigurationChange);
     this.nodes =
         new StoreWatch<>(
             client,
@@ -186,12 +195,12 @@
             platform,
             Platform.Kind.NODES,
             platform::nodes,
-            new StoreWatch.Timing(this::nodesRestMillis, () -> SHORT_WAIT_MILLIS),
+            new StoreWatch.Timing(this::nodesPauseMillis, () -> SHORT_WAIT_MILLIS),
             settings.firstStart(),
             MergePolicy.byPosition(),
-            storeFigures,
-            this::nodesChanged);
-    this.sight = new ClusterView(settings, peers, configurations, nodes, gate);
+            storeMetrics,
+            this::onNodesChange);
+    this.clusterView = new ClusterView(settings, peers, configurations, nodes, gate);
     this.suspicions = new HeadSuspicions(settings.dataCentre(), dispatcher, peers);
     this.configurationCopies =
         copiesOf(
@@ -204,45 +213,45 @@
             platform,
             System::currentTimeMillis,
             gateway.repeats()::hear);
-    this.barred = new QuarantinePersistence(gateway.repeats(), quarantine);
+    this.quarantinePersistence = new QuarantinePersistence(gateway.repeats(), quarantine);
     this.nodeCopies = copiesOf(nodes, "/copies/nodes", Node.class, cadence.copyTimes());
   }
 
   private <T> PeerCopyExchange<T> copiesOf(
       StoreWatch<T> watch, String path, Class<T> content, CopyTimes times) {
-    int port = settings.peerPort() + COPY_PORT_OFFSET;
+    int port = settings.peerPort() + QUERY_PORT_OFFSET;
     return new PeerCopyExchange<>(client, timers, watch, path, port, content, times);
   }
 
   /**
    * Starts a daemon.
    *
-   * @param settings its settings
+   * @param settings the settings
    * @param platform the adapter to the platform
-   * @param callers listens for callers already
+   * @param callers the open listener for callers
    * @return the running daemon
    * @throws IOException when an address can't be bound
    */
   public static ServingDaemon start(Settings settings, Platform platform, EarlyListener callers)
       throws IOException {
     ServingDaemon daemon = new ServingDaemon(settings, platform, callers.reactor());
-    daemon.begin(callers);
+    daemon.startServices(callers);
     return daemon;
   }
 
-  private void begin(EarlyListener callers) {
-    synchronized (guard) {
-      configurations.onEraChange(this::configurationWentBack);
-      nodes.onEraChange(this::nodesWentBack);
+  private void startServices(EarlyListener callers) {
+    synchronized (lock) {
+      configurations.onEraChange(this::onConfigurationEraChange);
+      nodes.onEraChange(this::onNodesEraChange);
       configurations.start();
       nodes.start();
-      barred.begin(!settings.firstStart());
+      quarantinePersistence.start(!settings.firstStart());
     }
-    listenForPages();
+    openEndpoints();
     callers.serve(gateway::handler);
     timers.every(TICK_MILLIS, this::tick);
     timers.every(HOUSEKEEPING_MILLIS, client::closeExpired);
-    timers.every(SUMMARY_MILLIS, this::logCosts);
+    timers.every(SUMMARY_MILLIS, this::logSummaries);
     LOG.info(
         "name={} data_centre={} frontend={} outcome=started",
         settings.name(),
@@ -250,50 +259,59 @@
         settings.frontend());
   }
 
-  /** What one copy has learned of the store's history the other one must not learn late. */
-  private void configurationWentBack(EraChange<Configuration> change) {
-    returns.tell(Platform.Kind.CONFIGURATION, change, configurations.objects().keySet());
+  /** Reports the new era to the other copy as well, so that it is listed again at once. */
+  private void onConfigurationEraChange(EraChange<Configuration> change) {
+    rollbackReporter.report(Platform.Kind.CONFIGURATION, change, configurations.objects().keySet());
     nodes.onEraReported(change.currentPosition().era());
   }
 
-  private void nodesWentBack(EraChange<Node> change) {
-    returns.tell(Platform.Kind.NODES, change, nodes.objects().keySet());
-    sight.storeWentBack(change);
+  private void onNodesEraChange(EraChange<Node> change) {
+    rollbackReporter.report(Platform.Kind.NODES, change, nodes.objects().keySet());
+    clusterView.onStoreRollback(change);
     configurations.onEraReported(change.currentPosition().era());
   }
 
-  private void listenForPages() {
-    DaemonEndpoints pages =
+  private void openEndpoints() {
+    DaemonEndpoints endpoints =
         new DaemonEndpoints(
-            platform.readyPath(), registry, nodeCopies, configurationCopies, limitDesk, trialDesk);
+            platform.readyPath(),
+            registry,
+            nodeCopies,
+            configurationCopies,
+            limitPermits,
+            trialPermits);
     reactor.listen(
         settings.ready(),
-        () -> new SimpleResponseHandler(guard, target -> pages.ready(target, isReady())));
+        () -> new SimpleResponseHandler(lock, target -> endpoints.ready(target, isReady())));
     reactor.listen(
-        settings.metrics(), () -> new SimpleResponseHandler(guard, target -> pages.figures()));
-    Endpoint forPeers = new Endpoint(settings.address(), settings.peerPort() + COPY_PORT_OFFSET);
-    reactor.listen(forPeers, () -> new SimpleResponseHandler(guard, pages::forPeers));
+        settings.metrics(), () -> new SimpleResponseHandler(lock, target -> endpoints.metrics()));
+    Endpoint peerQueries =
+        new Endpoint(settings.address(), settings.peerPort() + QUERY_PORT_OFFSET);
+    reactor.listen(peerQueries, () -> new SimpleResponseHandler(lock, endpoints::answerPeer));
   }
 
   private boolean isReady() {
     return configuration != null && nodes.position().isKnown() && !stopping;
   }
 
-  private int nodesRestMillis() {
-    return leads ? cadence.leaderRestMillis(formation.isForming()) : cadence.restMillis();
+  private int nodesPauseMillis() {
+    return leading ? cadence.leaderRestMillis(formation.isForming()) : cadence.restMillis();
   }
 
-  /** One daemon of each data centre asks often, and its notes tell the others what is new. */
+  /**
+   * One daemon of each data centre waits for a short time only; its peer messages notify the other
+   * daemons of the data centre of a newer configuration.
+   */
   private int configurationWaitMillis() {
-    return peers.watchesForDataCentre(standing()) ? SHORT_WAIT_MILLIS : LONG_WAIT_MILLIS;
+    return peers.watchesForDataCentre(eligibility()) ? SHORT_WAIT_MILLIS : LONG_WAIT_MILLIS;
   }
 
-  private void logCosts() {
-    LOG.info("store_calls {}", storeFigures.summary());
+  private void logSummaries() {
+    LOG.info("store_calls {}", storeMetrics.summary());
     LOG.info("connections {}", client.summary());
   }
 
-  private void configurationChanged() {
+  private void onConfigurationChange() {
     Configuration newest = null;
     for (Configuration candidate : configurations.objects().values()) {
       if (newest == null || candidate.version() > newest.version()) {
@@ -316,11 +334,12 @@
   }
 
   /**
-   * What has changed is looked at with the next tick: a look goes through all nodes, 5 ms at 1,000
-   * of them, and while groups form there is a change every few milliseconds.
+   * Marks the upstreams as stale; a later tick refreshes them, because a refresh visits all nodes
+   * and changes may follow each other within milliseconds. If the change came from the store,
+   * notifies peers at once of nodes that have begun to drain or were removed.
    */
-  private void nodesChanged() {
-    Set<String> leaving = leavingNews.learn(nodes.objects().values());
+  private void onNodesChange() {
+    Set<String> leaving = departures.learn(nodes.objects().values());
     if (!leaving.isEmpty()) {
       LOG.info(
           "leaving={} place={} by={}",
@@ -329,10 +348,10 @@
           nodes.isActive() ? "store" : "peer");
     }
     if (!leaving.isEmpty() && nodes.isActive()) {
-      tellPeers(true);
+      sendPeerMessage(true);
     }
-    upstreamsAreOld = true;
-    if (!fleetIsKnown) {
+    upstreamsStale = true;
+    if (!upstreamsKnown) {
       refreshUpstreams();
     }
   }
@@ -342,31 +361,33 @@
     if (current == null) {
       return;
     }
-    upstreamsAreOld = false;
-    GroupAnnouncements announced = announced();
-    List<Node> serving = fleet.serving(sight.listedNodes(), current, announced);
-    suspicions.learn(serving, nodes.objects().keySet());
+    upstreamsStale = false;
+    GroupAnnouncements announced = announcements();
+    List<Node> serving = upstreamSelector.select(clusterView.listedNodes(), current, announced);
+    suspicions.update(serving, nodes.objects().keySet());
     dispatcher.serve(serving);
     dispatcher.retain(nodes.objects().keySet());
-    if (!fleetIsKnown && nodes.position().isKnown()) {
-      fleetIsKnown = true;
+    if (!upstreamsKnown && nodes.position().isKnown()) {
+      upstreamsKnown = true;
       gateway.fleetIsKnown();
     }
   }
 
-  private GroupAnnouncements announced() {
-    if (leads) {
+  private GroupAnnouncements announcements() {
+    if (leading) {
       return new GroupAnnouncements(formation.opened(), formation.closed());
     }
     PeerNote leader = peers.leadership().leaderNote();
     return leader == null
-        ? GroupAnnouncements.NOTHING
+        ? GroupAnnouncements.NONE
         : new GroupAnnouncements(leader.groups(), leader.closed());
   }
 
   private Collection<Node> engines() {
     Configuration current = configuration;
-    return current == null ? List.of() : UpstreamSelector.engines(sight.listedNodes(), current);
+    return current == null
+        ? List.of()
+        : UpstreamSelector.engines(clusterView.listedNodes(), current);
   }
 
   private static @Nullable EngineSpec engineOf(Configuration configuration) {
@@ -374,177 +395,188 @@
     return service == null ? null : service.engine();
   }
 
-  private void placesOfPeer(String address, boolean isNear, CopyPlaces places) {
-    boolean goesBefore = places.version() > versionInForce();
+  private void onPeerPositions(String address, boolean isNear, CopyPlaces positions) {
+    boolean takesPrecedence = positions.version() > activeVersion();
     configurationCopies.onAdvertisement(
-        new PeerCopyExchange.Advertisement(address, isNear, places.configuration(), goesBefore));
+        new PeerCopyExchange.Advertisement(
+            address, isNear, positions.configuration(), takesPrecedence));
     nodeCopies.onAdvertisement(
-        new PeerCopyExchange.Advertisement(address, isNear, places.nodes(), false));
+        new PeerCopyExchange.Advertisement(address, isNear, positions.nodes(), false));
   }
 
-  private long versionInForce() {
+  private long activeVersion() {
     Configuration current = configuration;
     return current == null ? CopyPlaces.NONE.version() : current.version();
   }
 
   private void tick() {
-    turn++;
-    watchStreams();
-    watchNews();
-    if (turn % FORMATION_TICKS == 0) {
-      formGroups();
+    tickCount++;
+    checkStreams();
+    sendUrgentUpdates();
+    if (tickCount % FORMATION_TICKS == 0) {
+      runFormation();
     }
-    if (turn % NOTE_TICKS == 0) {
-      tellPeersRegularly();
+    if (tickCount % MESSAGE_TICKS == 0) {
+      sendRegularMessage();
     }
   }
 
-  private void watchStreams() {
+  private void checkStreams() {
     if (gateway.underWay() == 0) {
       return;
     }
-    Set<String> shared = suspicions.ofPeers();
-    dispatcher.avoid(shared);
-    int before = suspicions.countOfOwn();
+    Set<String> peerSuspects = suspicions.peerSuspects();
+    dispatcher.avoid(peerSuspects);
+    int before = suspicions.ownSuspectCount();
     if (StallDetector.mayJudge(System.nanoTime() - startedNanos)) {
-      gateway.watchStreams(shared);
+      gateway.watchStreams(peerSuspects);
     }
-    if (suspicions.countOfOwn() > before) {
-      tellPeers(true);
+    if (suspicions.ownSuspectCount() > before) {
+      sendPeerMessage(true);
     }
     suspicions.expire(System.nanoTime());
   }
 
   /**
-   * What ends under a request is told at once: its caller asks another daemon within a second. So
-   * is a limit that a node names: until they know it the others send what they always did.
+   * Notifies peers at once of node exits under a request, because its caller retries at another
+   * daemon within a second, and of newly advertised limits, because other daemons exceed a limit
+   * until they know it.
    */
-  private void watchNews() {
+  private void sendUrgentUpdates() {
     gateway.repeats().settle();
-    if (news.takeNews()) {
-      tellPeers(true);
+    if (sharedUpdates.takeUrgentUpdate()) {
+      sendPeerMessage(true);
     }
   }
 
-  private void formGroups() {
+  private void runFormation() {
     Configuration current = configuration;
     EngineSpec engine = current == null ? null : engineOf(current);
-    formationTurn++;
-    boolean due = leads || formationTurn % FOLLOWER_TURNS == 0;
+    formationRuns++;
+    boolean due = leading || formationRuns % FOLLOWER_FORMATION_RUNS == 0;
     if (!due) {
       return;
     }
-    seeWhoIsInTouch();
+    updateReachableDaemons();
     if (engine != null) {
-      sight.learnFromPeers();
-      decideWhoLeads();
+      clusterView.updateStoreReachability();
+      electLeader();
       plan(engine);
-      learnFromPeers();
+      applyPeerState();
     }
-    if (upstreamsAreOld) {
+    if (upstreamsStale) {
       refreshUpstreams();
     }
   }
 
-  private void seeWhoIsInTouch() {
+  private void updateReachableDaemons() {
     Map<String, PeerNote> live = peers.live();
-    news.see(live.values(), peers.heardLately());
+    sharedUpdates.updateReachableDaemons(live.values(), peers.heardLately());
     dispatcher.daemons(live.size() + 1);
   }
 
-  private void decideWhoLeads() {
-    boolean led = leads;
-    leads = peers.decide(standing());
-    Standing standing = standing();
-    nodes.setActive(leads || !nodes.position().isKnown() || peers.watchesForDataCentre(standing));
-    if (leads && !led) {
-      tellPeers(true);
+  private void electLeader() {
+    boolean wasLeading = leading;
+    leading = peers.decide(eligibility());
+    Standing eligibility = eligibility();
+    nodes.setActive(
+        leading || !nodes.position().isKnown() || peers.watchesForDataCentre(eligibility));
+    if (leading && !wasLeading) {
+      sendPeerMessage(true);
     }
-    barred.look(leads, configurations.position().era());
+    quarantinePersistence.update(leading, configurations.position().era());
   }
 
   private void plan(EngineSpec engine) {
     if (gateway.hasServed() || peers.servedElsewhere()) {
       formation.boundLoads();
-      servedSinceNanos = servedSinceNanos == 0 ? System.nanoTime() : servedSinceNanos;
+      firstRequestNanos = firstRequestNanos == 0 ? System.nanoTime() : firstRequestNanos;
     }
-    Set<String> inSight = sight.dataCentres(dispatcher);
+    Set<String> reachable = clusterView.reachableDataCentres(dispatcher);
     if (settings.policy().cutsAreNoDeaths()) {
-      dispatcher.inSight(inSight::contains);
+      dispatcher.inSight(reachable::contains);
     }
-    if (leads) {
-      lead(engine, inSight);
+    if (leading) {
+      lead(engine, reachable);
     } else {
       formation.follow();
     }
   }
 
-  private void lead(EngineSpec engine, Set<String> inSight) {
+  private void lead(EngineSpec engine, Set<String> reachable) {
     List<StallEvidence.Witness> witnesses = suspicions.witnesses();
     boolean suspected = witnesses.stream().anyMatch(witness -> !witness.suspects().isEmpty());
     if (formation.isDue(nodes.position(), suspected)) {
       Collection<Node> engines = engines();
-      formation.lead(engines, engine, demand(engine), witnesses, inSight, resting(engines));
+      formation.lead(engines, engine, demand(engine), witnesses, reachable, paused(engines));
     }
   }
 
-  private Set<String> resting(Collection<Node> engines) {
+  /** Ids of the nodes that are in a Retry-After pause. */
+  private Set<String> paused(Collection<Node> engines) {
     long now = System.nanoTime();
-    Set<String> resting = new HashSet<>();
+    Set<String> paused = new HashSet<>();
     for (Node node : engines) {
       if (gate.rests(node.life(), now)) {
-        resting.add(node.id());
+        paused.add(node.id());
       }
     }
-    return resting;
+    return paused;
   }
 
-  private void learnFromPeers() {
-    GroupAnnouncements announced = announced();
-    boolean isNews = !announced.equals(announcedBefore);
-    if (isNews || sight.changesWithTime()) {
-      announcedBefore = announced;
-      upstreamsAreOld = true;
+  private void applyPeerState() {
+    GroupAnnouncements announced = announcements();
+    boolean hasChanged = !announced.equals(lastAnnounced);
+    if (hasChanged || clusterView.changesWithTime()) {
+      lastAnnounced = announced;
+      upstreamsStale = true;
     }
-    groupsAreNews |= isNews && leads;
-    Peers.OfUpstreams told = peers.ofUpstreams();
-    dispatcher.peersInFlight(told.inFlight());
-    dispatcher.refusingPeers(told.refusing());
+    announcementsChanged |= hasChanged && leading;
+    Peers.OfUpstreams upstreams = peers.ofUpstreams();
+    dispatcher.peersInFlight(upstreams.inFlight());
+    dispatcher.refusingPeers(upstreams.refusing());
     gateway.daemons(peers.daemons());
   }
 
   /**
-   * What the leader tells of groups goes to all with its next note; more often would fill links.
+   * Sends the regular message, as an urgent one if the leader's announcements have changed. They
+   * wait for the regular message to save bandwidth.
    */
-  private void tellPeersRegularly() {
-    boolean isNews = groupsAreNews;
-    groupsAreNews = false;
-    tellPeers(isNews);
+  private void sendRegularMessage() {
+    boolean urgent = announcementsChanged;
+    announcementsChanged = false;
+    sendPeerMessage(urgent);
   }
 
   private ModelDemand demand(EngineSpec engine) {
-    if (!settings.policy().observedDemand() || servedSinceNanos == 0) {
+    if (!settings.policy().observedDemand() || firstRequestNanos == 0) {
       return ModelDemand.declared(engine);
     }
     Map<String, Double> work = new HashMap<>(peers.offeredWork());
     gateway.offeredWork().forEach((model, groups) -> work.merge(model, groups, Double::sum));
-    double seconds = (System.nanoTime() - servedSinceNanos) / NANOS_PER_SECOND;
+    double seconds = (System.nanoTime() - firstRequestNanos) / NANOS_PER_SECOND;
     return ModelDemand.observed(engine, work, seconds);
   }
 
-  private Standing standing() {
+  private Standing eligibility() {
     boolean settled = System.nanoTime() - startedNanos > SETTLE_NANOS;
     if (!settled || stopping || !nodes.position().isKnown() || configuration == null) {
       return Standing.UNFIT;
     }
-    if (sight.storeAnswers()) {
+    if (clusterView.storeAnswers()) {
       return Standing.FIT;
     }
-    boolean alone = peers.daemons() > 1 && peers.live().isEmpty();
-    return alone ? Standing.UNFIT : Standing.WITHOUT_STORE;
+    boolean isIsolated = peers.daemons() > 1 && peers.live().isEmpty();
+    return isIsolated ? Standing.UNFIT : Standing.WITHOUT_STORE;
   }
 
-  private void tellPeers(boolean isNews) {
+  /**
+   * Sends the state of this daemon to its peers.
+   *
+   * @param urgent whether the message is also sent to the leader, to the own data centre and to the
+   *     relays of large clusters when no regular message to them is due; from the leader to all
+   */
+  private void sendPeerMessage(boolean urgent) {
     Map<String, Integer> inFlight = new HashMap<>();
     dispatcher
         .states()
@@ -556,38 +588,41 @@
             });
     DaemonState state =
         new DaemonState(
-            standing(),
+            eligibility(),
             gateway.hasServed(),
             inFlight,
             gateway.offeredWork(),
-            suspicions.own(),
+            suspicions.ownSuspects(),
             dispatcher.refusing(),
-            leads ? formation.opened() : List.of(),
-            leads ? formation.closed() : List.of());
-    CopyPlaces places = new CopyPlaces(configurations.newest(), versionInForce(), nodes.newest());
-    peers.tell(state, places, isNews);
+            leading ? formation.opened() : List.of(),
+            leading ? formation.closed() : List.of());
+    CopyPlaces positions = new CopyPlaces(configurations.newest(), activeVersion(), nodes.newest());
+    peers.tell(state, positions, urgent);
   }
 
-  private boolean refusesAndIsBusy(boolean refuse) {
-    synchronized (guard) {
-      if (refuse) {
+  private boolean hasRequestsInFlight(boolean refuseNew) {
+    synchronized (lock) {
+      if (refuseNew) {
         gateway.refuseNew();
       }
       return gateway.underWay() > 0;
     }
   }
 
-  /** Stops: readiness turns false, callers move away, requests under way end, then all ends. */
+  /**
+   * Stops the daemon gracefully: readiness fails, the balancer moves callers to other daemons,
+   * requests in flight complete within the grace period, then all services stop. Blocks until then.
+   */
   public void stop() {
     long begun = System.nanoTime();
-    synchronized (guard) {
+    synchronized (lock) {
       stopping = true;
       gateway.drain();
-      tellPeers(true);
+      sendPeerMessage(true);
       LOG.info("under_way={} outcome=stopping", gateway.underWay());
     }
     PlannedStop planned = new PlannedStop(begun, settings.bounds().graceMillis());
-    planned.await(System::nanoTime, Thread::sleep, this::refusesAndIsBusy);
+    planned.await(System::nanoTime, Thread::sleep, this::hasRequestsInFlight);
     LOG.info("under_way={} outcome=stopped", gateway.underWay());
     timers.stop();
     peers.stop();
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SettingsReader.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SettingsReader.java
@@ -14,21 +14,21 @@
 import org.fawnvale.serving.core.model.Settings;
 import org.fawnvale.serving.spi.JsonTree;
 
-/** Reads and checks a settings file; every fault is told with key, value and remedy. */
+/** Reads and validates a settings file; each error message names the key, value and remedy. */
 public final class SettingsReader {
 
-  private static final Set<String> POLICIES =
+  private static final Set<String> POLICY_SWITCHES =
       new TreeSet<>(
           Set.of("observedDemand", "secondModel", "exchange", "scarceModels", "cutsAreNoDeaths"));
 
   private final JsonNode root;
-  private final List<String> faults = new ArrayList<>();
+  private final List<String> errors = new ArrayList<>();
 
   private SettingsReader(JsonNode root) {
     this.root = root;
   }
 
-  /** A settings file that can't be used; the message lists every fault with its remedy. */
+  /** A settings file that can't be used; the message lists every error with its remedy. */
   public static final class BadSettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -42,11 +42,11 @@
   }
 
   /**
-   * Reads a file.
+   * Reads a settings file.
    *
-   * @param file the file, in JSON
+   * @param file a JSON file
    * @return the settings
-   * @throws BadSettingsException when it can't be read or a value is wrong
+   * @throws BadSettingsException when the file can't be read or a value is invalid
    */
   public static Settings read(Path file) throws BadSettingsException {
     JsonNode root;
@@ -54,7 +54,7 @@
       root = JsonTree.read(Files.readAllBytes(file));
     } catch (JsonProcessingException e) {
       throw new BadSettingsException(
-          file + " is not JSON: " + e.getOriginalMessage() + ". Correct it.", e);
+          file + " is not JSON: " + e.getOriginalMessage() + ". Correct the file.", e);
     } catch (IOException e) {
       throw new BadSettingsException(file + " can't be read: " + e + ". Name a readable file.", e);
     }
@@ -85,8 +85,8 @@
             bounds,
             policy(),
             isOn("firstStart"));
-    if (!faults.isEmpty()) {
-      throw new BadSettingsException(String.join(System.lineSeparator(), faults));
+    if (!errors.isEmpty()) {
+      throw new BadSettingsException(String.join(System.lineSeparator(), errors));
     }
     return settings;
   }
@@ -96,9 +96,9 @@
         .fieldNames()
         .forEachRemaining(
             name -> {
-              if (!POLICIES.contains(name)) {
-                faults.add(
-                    "policy." + name + ": there is no such switch. Write one of " + POLICIES + ".");
+              if (!POLICY_SWITCHES.contains(name)) {
+                errors.add(
+                    "policy." + name + ": unknown switch. Write one of " + POLICY_SWITCHES + ".");
               }
             });
     return new Policy(
@@ -112,7 +112,7 @@
   private boolean isOn(String key) {
     JsonNode value = at(key);
     if (!value.isMissingNode() && !value.isBoolean()) {
-      faults.add(key + " = " + value + ": it is no switch. Write true or false.");
+      errors.add(key + " = " + value + ": not a boolean. Write true or false.");
     }
     return value.asBoolean(true);
   }
@@ -124,7 +124,7 @@
   private String text(String key) {
     JsonNode value = at(key);
     if (!value.isTextual() || value.textValue().isBlank()) {
-      faults.add(key + " = " + value + ": a text is needed. Write it in quotes.");
+      errors.add(key + " = " + value + ": not a string. Write it in quotes.");
       return "";
     }
     return value.textValue();
@@ -133,7 +133,7 @@
   private int positive(String key) {
     double value = number(key);
     if (value < 1 || value > Integer.MAX_VALUE) {
-      faults.add(key + " = " + at(key) + ": it is out of range. Write a whole number above 0.");
+      errors.add(key + " = " + at(key) + ": out of range. Write a whole number above 0.");
       return 1;
     }
     return (int) value;
@@ -142,7 +142,7 @@
   private double number(String key) {
     JsonNode value = at(key);
     if (!value.isNumber()) {
-      faults.add(key + " = " + value + ": a number is needed. Write it without quotes.");
+      errors.add(key + " = " + value + ": not a number. Write it without quotes.");
       return 1;
     }
     return value.doubleValue();
@@ -154,7 +154,7 @@
       return Endpoint.parse(value);
     } catch (IllegalArgumentException e) {
       if (!value.isEmpty()) {
-        faults.add(key + " = " + value + ": it is no endpoint. Write it as IP:PORT.");
+        errors.add(key + " = " + value + ": not an endpoint. Write it as IP:PORT.");
       }
       return new Endpoint("127.0.0.1", 1);
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
@@ -12,25 +12,29 @@
 import org.fawnvale.serving.limit.LimitDesk;
 import org.fawnvale.serving.peer.Peers;
 
-/** What all daemons come to know together: requests that end nodes, and limits that nodes name. */
+/**
+ * Connects the state that all daemons share with the exchange of peer messages: records of requests
+ * that crash nodes, and limits that nodes advertise.
+ */
 final class SharedStateUpdates implements Peers.SharedNews {
 
   private final Owners owners;
   private final RepeatGuard repeats;
   private final SharedLimits limits;
-  private final LimitDesk desk;
+  private final LimitDesk limitPermits;
 
-  SharedStateUpdates(Owners owners, RepeatGuard repeats, SharedLimits limits, LimitDesk desk) {
+  SharedStateUpdates(
+      Owners owners, RepeatGuard repeats, SharedLimits limits, LimitDesk limitPermits) {
     this.owners = owners;
     this.repeats = repeats;
     this.limits = limits;
-    this.desk = desk;
+    this.limitPermits = limitPermits;
   }
 
-  /** Tells whether there is what the others should know at once. */
-  boolean takeNews() {
-    boolean ofRepeats = repeats.takeNews();
-    return limits.known().takeNews() || ofRepeats;
+  /** Tells whether an update since the last call has to reach the other daemons at once. */
+  boolean takeUrgentUpdate() {
+    boolean hasUrgentRecords = repeats.takeNews();
+    return limits.known().takeNews() || hasUrgentRecords;
   }
 
   @Override
@@ -48,11 +52,17 @@
     if (!records.isEmpty()) {
       repeats.hear(records);
     }
-    desk.learn(notes);
+    limitPermits.learn(notes);
   }
 
-  /** Takes in which daemons are in touch: they share limits, and trials of barred requests. */
-  void see(Collection<PeerNote> live, int heardLately) {
+  /**
+   * Updates which daemons are reachable, and with them the owners of limits and of the trials of
+   * barred requests.
+   *
+   * @param live the last messages of the live peers
+   * @param heardLately the number of daemons heard recently, this one included
+   */
+  void updateReachableDaemons(Collection<PeerNote> live, int heardLately) {
     List<Owners.Daemon> others = new ArrayList<>();
     live.forEach(
         note -> others.add(new Owners.Daemon(note.name(), note.address(), note.dataCentre())));
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SimpleResponseHandler.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SimpleResponseHandler.java
@@ -19,25 +19,25 @@
 import org.apache.hc.core5.http.protocol.HttpContext;
 import org.jspecify.annotations.Nullable;
 
-/** Answers a request with a small page that a function makes. */
+/** Answers a request with a small response that a function computes from the request target. */
 final class SimpleResponseHandler implements AsyncServerExchangeHandler {
 
-  private final Object guard;
-  private final Function<String, Page> pages;
+  private final Object lock;
+  private final Function<String, Response> responder;
   private ByteBuffer body = ByteBuffer.allocate(0);
   private boolean ended;
 
   /**
-   * A page.
+   * A response.
    *
-   * @param status its status
-   * @param body its body
+   * @param status the HTTP status
+   * @param body the body; may be empty
    */
-  record Page(int status, byte[] body) {}
+  record Response(int status, byte[] body) {}
 
-  SimpleResponseHandler(Object guard, Function<String, Page> pages) {
-    this.guard = guard;
-    this.pages = pages;
+  SimpleResponseHandler(Object lock, Function<String, Response> responder) {
+    this.lock = lock;
+    this.responder = responder;
   }
 
   @Override
@@ -47,18 +47,18 @@
       ResponseChannel channel,
       HttpContext context)
       throws HttpException, IOException {
-    Page page;
-    synchronized (guard) {
-      page = pages.apply(request.getRequestUri());
+    Response answer;
+    synchronized (lock) {
+      answer = responder.apply(request.getRequestUri());
     }
-    HttpResponse response = new BasicHttpResponse(page.status());
-    if (page.body().length == 0) {
+    HttpResponse response = new BasicHttpResponse(answer.status());
+    if (answer.body().length == 0) {
       channel.sendResponse(response, null, context);
       return;
     }
-    body = ByteBuffer.wrap(page.body());
+    body = ByteBuffer.wrap(answer.body());
     channel.sendResponse(
-        response, new BasicEntityDetails(page.body().length, ContentType.TEXT_PLAIN), context);
+        response, new BasicEntityDetails(answer.body().length, ContentType.TEXT_PLAIN), context);
   }
 
   @Override
@@ -73,7 +73,7 @@
 
   @Override
   public void streamEnd(@Nullable List<? extends Header> trailers) {
-    // The body of a question is not used.
+    // The request body is ignored.
   }
 
   @Override
@@ -92,11 +92,11 @@
 
   @Override
   public void failed(Exception cause) {
-    // The asker has left; nothing is kept.
+    // The connection is closed; there is nothing to release.
   }
 
   @Override
   public void releaseResources() {
-    // Nothing is kept.
+    // There is nothing to release.
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreRollbackReporter.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreRollbackReporter.java
@@ -10,7 +10,7 @@
 import org.fawnvale.serving.spi.Platform;
 import org.fawnvale.serving.store.EraChange;
 
-/** Tells people that the store has come back from a copy, and what that has changed here. */
+/** Reports rollbacks of the platform's store, and their effect on this daemon's copies. */
 final class StoreRollbackReporter {
 
   private static final Logger LOG = LogManager.getLogger("store");
@@ -18,22 +18,22 @@
   private final MeterRegistry registry;
 
   /**
-   * Creates the figures and lines.
+   * Creates a reporter.
    *
-   * @param registry serves the figures
+   * @param registry receives the counters
    */
   StoreRollbackReporter(MeterRegistry registry) {
     this.registry = registry;
   }
 
   /**
-   * Tells of one return, as one kind of objects shows it.
+   * Reports one rollback, as observed by the copy of one kind of objects.
    *
-   * @param kind the kind
-   * @param change what was known before
-   * @param listed names of the objects that are listed now
+   * @param kind the kind of objects
+   * @param change the state of the copy before the rollback
+   * @param listed names of the objects that the store lists now
    */
-  void tell(Platform.Kind kind, EraChange<?> change, Set<String> listed) {
+  void report(Platform.Kind kind, EraChange<?> change, Set<String> listed) {
     registry
         .counter("fawnvale.store.returns", "kind", kind.name().toLowerCase(Locale.ROOT))
         .increment();
@@ -45,26 +45,29 @@
         change.previousObjects().size(),
         listed.size(),
         lost(change.previousObjects(), listed),
-        back(change.removedNames(), listed));
-    tellJump(kind, change.previousPosition().era(), change.currentPosition().era());
+        reappeared(change.removedNames(), listed));
+    warnOnEraJump(kind, change.previousPosition().era(), change.currentPosition().era());
   }
 
-  /** Objects that were known and are not listed: made since the copy. */
+  /** Counts the known objects that the store no longer lists. */
   private static long lost(Map<String, ?> known, Set<String> listed) {
     return known.keySet().stream().filter(name -> !listed.contains(name)).count();
   }
 
-  /** Objects that had gone and are listed: removed since the copy. */
-  private static long back(Set<String> removed, Set<String> listed) {
+  /** Counts the removed objects that the store lists again. */
+  private static long reappeared(Set<String> removed, Set<String> listed) {
     return removed.stream().filter(listed::contains).count();
   }
 
-  /** Returns that went unseen cost nothing more: a list of the newest history is whole. */
-  private static void tellJump(Platform.Kind kind, StoreEra before, StoreEra now) {
+  /**
+   * Warns when this daemon did not observe an era. The copy is complete nevertheless, because it
+   * was listed in the latest era.
+   */
+  private static void warnOnEraJump(Platform.Kind kind, StoreEra before, StoreEra now) {
     if (!before.equals(StoreEra.UNTOLD) && Math.abs(now.number() - before.number()) > 1) {
       LOG.warn(
-          "kind={} era={} before={} outcome=era_jumped. Eras should rise by one; look whether the"
-              + " store went back unseen or was set up anew.",
+          "kind={} era={} before={} outcome=era_jumped. Eras should increase by one; check whether"
+              + " the store was rolled back unnoticed or was reinitialised.",
           kind,
           now,
           before);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/UpstreamSelector.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/UpstreamSelector.java
@@ -19,24 +19,28 @@
 import org.fawnvale.serving.core.model.ServiceSpec;
 import org.fawnvale.serving.core.peer.PeerNote;
 
-/** Which nodes may take requests: heads of whole, open groups, and nodes of plain services. */
+/**
+ * Selects the nodes that may receive requests: the heads of complete, open groups, and the nodes of
+ * services without engines.
+ */
 final class UpstreamSelector {
 
-  /** Groups that were seen whole and open. Members whose entries vanish later may still serve. */
-  private final Set<GroupKey> seenWhole = new HashSet<>();
+  /** Groups that were once observed as complete and open. */
+  private final Set<GroupKey> onceComplete = new HashSet<>();
 
-  private final boolean keepsIncomplete;
+  private final boolean keepIncomplete;
 
   /**
-   * Creates the view of one daemon.
+   * Creates a selector.
    *
-   * @param keepsIncomplete whether a group that was whole serves on while entries are missing
+   * @param keepIncomplete whether a group that was once complete continues to serve while entries
+   *     of members are missing
    */
-  UpstreamSelector(boolean keepsIncomplete) {
-    this.keepsIncomplete = keepsIncomplete;
+  UpstreamSelector(boolean keepIncomplete) {
+    this.keepIncomplete = keepIncomplete;
   }
 
-  /** Nodes whose service has engines that form groups. */
+  /** Returns the nodes of the engine service, which form groups. */
   static List<Node> engines(Collection<Node> nodes, Configuration configuration) {
     ServiceSpec service = configuration.engineService();
     List<Node> engines = new ArrayList<>();
@@ -49,14 +53,14 @@
   }
 
   /**
-   * Finds the upstreams that may take requests.
+   * Selects the upstreams that may receive requests.
    *
    * @param nodes all nodes
-   * @param configuration the configuration in force
-   * @param announced the leader's word on groups
+   * @param configuration the active configuration
+   * @param announced the leader's announcements of groups
    * @return the upstreams
    */
-  List<Node> serving(
+  List<Node> select(
       Collection<Node> nodes, Configuration configuration, GroupAnnouncements announced) {
     Map<String, Node> serving = new LinkedHashMap<>();
     for (Node node : nodes) {
@@ -79,7 +83,7 @@
       EngineSpec engine,
       GroupAnnouncements announced) {
     Map<GroupKey, GroupSeen> groups = GroupSeen.gather(engines);
-    seenWhole.retainAll(groups.keySet());
+    onceComplete.retainAll(groups.keySet());
     for (GroupSeen group : groups.values()) {
       Node head = group.head();
       boolean closed = announced.closed().contains(group.key().mark());
@@ -88,12 +92,14 @@
       }
     }
     Map<String, PeerNote.ServingGroup> opened = new HashMap<>();
-    announced.opened().forEach(group -> opened.merge(group.head(), group, UpstreamSelector::later));
+    announced
+        .opened()
+        .forEach(group -> opened.merge(group.head(), group, UpstreamSelector::laterEpoch));
     for (Node node : engines) {
       PeerNote.ServingGroup group = opened.isEmpty() ? null : opened.get(node.id());
       if (group != null && !node.draining() && !isInLaterGroup(node, group)) {
-        Membership place = new Membership(group.group(), group.epoch(), 0, MemberState.OPEN);
-        Node head = node.withGroup(group.model(), node.staged(), place);
+        Membership membership = new Membership(group.group(), group.epoch(), 0, MemberState.OPEN);
+        Node head = node.withGroup(group.model(), node.staged(), membership);
         serving.put(node.id(), head.withSlots(engine.slots()));
       }
     }
@@ -102,27 +108,27 @@
   private boolean isOpen(GroupSeen group, Node head, EngineSpec engine) {
     String modelName = head.model();
     ModelSpec model = modelName == null ? null : engine.model(modelName);
-    Membership place = head.membership();
-    if (model == null || place == null || place.state() != MemberState.OPEN) {
+    Membership membership = head.membership();
+    if (model == null || membership == null || membership.state() != MemberState.OPEN) {
       return false;
     }
-    boolean whole = group.members().size() >= model.size() && group.headMayServe();
-    if (whole) {
-      seenWhole.add(group.key());
+    boolean complete = group.members().size() >= model.size() && group.headMayServe();
+    if (complete) {
+      onceComplete.add(group.key());
     }
-    boolean wasWhole = keepsIncomplete && seenWhole.contains(group.key());
-    return whole || wasWhole && group.headMayServe();
+    boolean wasComplete = keepIncomplete && onceComplete.contains(group.key());
+    return complete || wasComplete && group.headMayServe();
   }
 
-  /** A head that was opened twice a short while ago serves the later group. */
-  private static PeerNote.ServingGroup later(
+  /** Chooses the later group if two announcements name the same head. */
+  private static PeerNote.ServingGroup laterEpoch(
       PeerNote.ServingGroup one, PeerNote.ServingGroup other) {
     return one.epoch() > other.epoch() ? one : other;
   }
 
-  /** Tells whether the list already shows a head in a later group than the leader's word does. */
+  /** Tells whether the list shows the head in a later group than the announcement. */
   private static boolean isInLaterGroup(Node node, PeerNote.ServingGroup group) {
-    Membership place = node.membership();
-    return place != null && place.epoch() > group.epoch();
+    Membership membership = node.membership();
+    return membership != null && membership.epoch() > group.epoch();
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/package-info.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/package-info.java
@@ -1,4 +1,4 @@
-/** The daemon: its parts, start, stop and figures. */
+/** The entry daemon: wiring of its services, start, graceful stop, settings and HTTP endpoints. */
 @NullMarked
 package org.fawnvale.serving.daemon;
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
@@ -20,9 +20,8 @@
 import org.fawnvale.serving.spi.Platform;
 
 /**
- * Persists the records of quarantined requests, whose execution ends nodes, in the platform's
- * store, so that a restart of all daemons does not lose them. Each record costs one call, as does
- * each start of a daemon. Callers hold the daemon's lock.
+ * Persists the records of barred requests, which crash nodes, in the platform's store, so that a
+ * restart of all daemons does not lose them. Callers hold the daemon's lock.
  */
 public final class QuarantineStore {
 
@@ -135,22 +134,22 @@
   /**
    * Saves a record for daemons that start later; retries until the store has accepted it.
    *
-   * @param quarantined the record of a request
+   * @param barred the record of a barred request
    */
-  public void save(RequestRecord quarantined) {
+  public void save(RequestRecord barred) {
     if (pending.size() < MAX_PENDING) {
-      pending.put(quarantined.fingerprint(), quarantined);
+      pending.put(barred.fingerprint(), barred);
       saveNext();
     } else {
       LOG.warn(
           "fingerprint={} outcome=not_kept; too many records are waiting to be saved.",
-          quarantined.fingerprint());
+          barred.fingerprint());
     }
   }
 
   /**
    * Deletes the record of a request that a node has since completed, so that daemons that start
-   * later accept the request.
+   * later do not bar it.
    *
    * @param fingerprint the request
    */
@@ -175,15 +174,14 @@
         reply -> onSaveReply(next, reply));
   }
 
-  private void onSaveReply(RequestRecord quarantined, WholeCall.Reply reply) {
+  private void onSaveReply(RequestRecord barred, WholeCall.Reply reply) {
     saving = false;
     boolean isSaved =
         reply instanceof WholeCall.Answered answer
             && (answer.status() < FIRST_REDIRECT || answer.status() == CONFLICT);
-    LOG.info(
-        "fingerprint={} outcome={}", quarantined.fingerprint(), isSaved ? "kept" : "not_kept_yet");
+    LOG.info("fingerprint={} outcome={}", barred.fingerprint(), isSaved ? "kept" : "not_kept_yet");
     if (isSaved) {
-      pending.remove(quarantined.fingerprint());
+      pending.remove(barred.fingerprint());
       saveNext();
     } else {
       timers.after(RETRY_DELAY_MILLIS, this::saveNext);
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/EarlyListenerTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/EarlyListenerTest.java
@@ -48,7 +48,7 @@
       listener.serve(
           () ->
               new SimpleResponseHandler(
-                  new Object(), target -> new SimpleResponseHandler.Page(200, new byte[0])));
+                  new Object(), target -> new SimpleResponseHandler.Response(200, new byte[0])));
 
       caller.setSoTimeout(LONG_MILLIS);
       assertThat(answerTo(caller)).startsWith("HTTP/1.1 200");
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/SettingsReaderTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/SettingsReaderTest.java
@@ -76,7 +76,7 @@
     String bad =
         GOOD.replace("\"unknown\": true", "\"policy\": {\"exchanges\": false, \"exchange\": 1}");
     assertThatThrownBy(() -> read(bad))
-        .hasMessageContaining("policy.exchanges: there is no such switch.")
+        .hasMessageContaining("policy.exchanges: unknown switch.")
         .hasMessageContaining("policy.exchange = 1")
         .hasMessageContaining("Write true or false.");
   }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/UpstreamSelectorTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/UpstreamSelectorTest.java
@@ -60,38 +60,37 @@
   private static final Node OTHER = member("other", 1, MemberState.READY);
 
   private List<String> serving(GroupAnnouncements announced, Node... nodes) {
-    return fleet.serving(List.of(nodes), CONFIGURATION, announced).stream().map(Node::id).toList();
+    return fleet.select(List.of(nodes), CONFIGURATION, announced).stream().map(Node::id).toList();
   }
 
   @Test
   void theHeadOfAWholeOpenGroupServes() {
-    assertThat(serving(GroupAnnouncements.NOTHING, HEAD, OTHER)).containsExactly("head");
+    assertThat(serving(GroupAnnouncements.NONE, HEAD, OTHER)).containsExactly("head");
   }
 
   @Test
   void aGroupThatWasNeverSeenWholeDoesNotServe() {
-    assertThat(serving(GroupAnnouncements.NOTHING, HEAD)).isEmpty();
+    assertThat(serving(GroupAnnouncements.NONE, HEAD)).isEmpty();
   }
 
   @Test
   void aGroupThatWasWholeServesOnWhileAnEntryIsMissing() {
-    serving(GroupAnnouncements.NOTHING, HEAD, OTHER);
-    assertThat(serving(GroupAnnouncements.NOTHING, HEAD)).containsExactly("head");
+    serving(GroupAnnouncements.NONE, HEAD, OTHER);
+    assertThat(serving(GroupAnnouncements.NONE, HEAD)).containsExactly("head");
   }
 
   @Test
   void aGroupServesOnWhileAMemberLeavesUntilTheLeaderEndsIt() {
-    serving(GroupAnnouncements.NOTHING, HEAD, OTHER);
-    assertThat(serving(GroupAnnouncements.NOTHING, HEAD, OTHER.asDraining()))
-        .containsExactly("head");
+    serving(GroupAnnouncements.NONE, HEAD, OTHER);
+    assertThat(serving(GroupAnnouncements.NONE, HEAD, OTHER.asDraining())).containsExactly("head");
     GroupAnnouncements closed = new GroupAnnouncements(List.of(), List.of("head@4"));
     assertThat(serving(closed, HEAD, OTHER.asDraining())).isEmpty();
   }
 
   @Test
   void aHeadThatLeavesIsSentNothing() {
-    serving(GroupAnnouncements.NOTHING, HEAD, OTHER);
-    assertThat(serving(GroupAnnouncements.NOTHING, HEAD.asDraining(), OTHER)).isEmpty();
+    serving(GroupAnnouncements.NONE, HEAD, OTHER);
+    assertThat(serving(GroupAnnouncements.NONE, HEAD.asDraining(), OTHER)).isEmpty();
   }
 
   @Test
