--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/QuarantinePersistence.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/QuarantinePersistence.java
@@ -11,7 +11,7 @@
  */
 final class QuarantinePersistence {
 
-  private final RepeatGuard repeats;
+  private final RepeatGuard quarantine;
   private final QuarantineStore store;
   private boolean leading;
   private StoreEra savedInEra = StoreEra.UNTOLD;
@@ -19,11 +19,12 @@
   /**
    * Creates the service; it does nothing before {@link #start}.
    *
-   * @param repeats notifies which requests are barred, and which a successful response has cleared
+   * @param quarantine notifies which requests are barred, and which a successful response has
+   *     cleared
    * @param store saves their records
    */
-  QuarantinePersistence(RepeatGuard repeats, QuarantineStore store) {
-    this.repeats = repeats;
+  QuarantinePersistence(RepeatGuard quarantine, QuarantineStore store) {
+    this.quarantine = quarantine;
     this.store = store;
   }
 
@@ -36,14 +37,14 @@
     if (mayHaveRecords) {
       store.load();
     }
-    repeats.onBarred(this::onBarred);
-    repeats.onCleared(store::delete);
+    quarantine.onBarred(this::onBarred);
+    quarantine.onCleared(store::delete);
   }
 
   /**
    * Saves the record of a newly barred request. All daemons are notified; the daemon that observed
-   * the last node exit saves the record, and so does the leader, because the other daemon may be
-   * shutting down.
+   * the node exit which led to the bar saves the record, and so does the leader, because the other
+   * daemon may be shutting down.
    */
   private void onBarred(RequestRecord barred, boolean own) {
     if (own || leading) {
@@ -62,7 +63,7 @@
     leading = leadsNow;
     if (leadsNow && !era.equals(savedInEra)) {
       savedInEra = era;
-      repeats.barred().forEach(store::save);
+      quarantine.barred().forEach(store::save);
     }
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
@@ -19,27 +19,27 @@
 final class SharedStateUpdates implements Peers.SharedNews {
 
   private final Owners owners;
-  private final RepeatGuard repeats;
+  private final RepeatGuard quarantine;
   private final SharedLimits limits;
   private final LimitDesk limitPermits;
 
   SharedStateUpdates(
-      Owners owners, RepeatGuard repeats, SharedLimits limits, LimitDesk limitPermits) {
+      Owners owners, RepeatGuard quarantine, SharedLimits limits, LimitDesk limitPermits) {
     this.owners = owners;
-    this.repeats = repeats;
+    this.quarantine = quarantine;
     this.limits = limits;
     this.limitPermits = limitPermits;
   }
 
   /** Tells whether an update since the last call has to reach the other daemons at once. */
   boolean takeUrgentUpdate() {
-    boolean hasUrgentRecords = repeats.takeNews();
+    boolean hasUrgentRecords = quarantine.takeNews();
     return limits.known().takeNews() || hasUrgentRecords;
   }
 
   @Override
   public List<RequestRecord> records(boolean forOthers) {
-    return repeats.toTell(forOthers);
+    return quarantine.toTell(forOthers);
   }
 
   @Override
@@ -48,11 +48,11 @@
   }
 
   @Override
-  public void hear(List<RequestRecord> records, List<LimitNote> notes) {
+  public void hear(List<RequestRecord> records, List<LimitNote> limitUpdates) {
     if (!records.isEmpty()) {
-      repeats.hear(records);
+      quarantine.hear(records);
     }
-    limitPermits.learn(notes);
+    limitPermits.learn(limitUpdates);
   }
 
   /**
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/EarlyListenerTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/EarlyListenerTest.java
@@ -12,14 +12,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/**
- * A caller that connects while the daemon is still being built has its connection accepted and its
- * request answered once the daemon is there, instead of a refused connection.
- */
+/** Guards against refused connections of callers that connect before the daemon is constructed. */
 class EarlyListenerTest {
 
-  private static final int LITTLE_WHILE_MILLIS = 50;
-  private static final int LONG_MILLIS = 10_000;
+  private static final int SHORT_TIMEOUT_MILLIS = 50;
+  private static final int LONG_TIMEOUT_MILLIS = 10_000;
   private static final String REQUEST = "GET /page HTTP/1.1\r\nHost: a\r\n\r\n";
 
   private Endpoint frontend;
@@ -27,8 +24,8 @@
 
   @BeforeEach
   void open() throws IOException {
-    try (ServerSocket free = new ServerSocket(0)) {
-      frontend = new Endpoint("127.0.0.1", free.getLocalPort());
+    try (ServerSocket freePort = new ServerSocket(0)) {
+      frontend = new Endpoint("127.0.0.1", freePort.getLocalPort());
     }
     listener = EarlyListener.open(frontend);
   }
@@ -39,23 +36,23 @@
   }
 
   @Test
-  void aRequestThatComesBeforeTheDaemonWaitsForIt() throws IOException {
+  void requestBeforeStartIsAnsweredOnceTheDaemonServes() throws IOException {
     try (Socket caller = new Socket(frontend.host(), frontend.port())) {
       caller.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
-      caller.setSoTimeout(LITTLE_WHILE_MILLIS);
-      assertThat(answerTo(caller)).isEmpty();
+      caller.setSoTimeout(SHORT_TIMEOUT_MILLIS);
+      assertThat(readResponse(caller)).isEmpty();
 
       listener.serve(
           () ->
               new SimpleResponseHandler(
                   new Object(), target -> new SimpleResponseHandler.Response(200, new byte[0])));
 
-      caller.setSoTimeout(LONG_MILLIS);
-      assertThat(answerTo(caller)).startsWith("HTTP/1.1 200");
+      caller.setSoTimeout(LONG_TIMEOUT_MILLIS);
+      assertThat(readResponse(caller)).startsWith("HTTP/1.1 200");
     }
   }
 
-  private static String answerTo(Socket caller) throws IOException {
+  private static String readResponse(Socket caller) throws IOException {
     byte[] buffer = new byte[64];
     try {
       int length = caller.getInputStream().read(buffer);
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/PlannedStopTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/PlannedStopTest.java
@@ -5,7 +5,7 @@
 import java.util.function.LongPredicate;
 import org.junit.jupiter.api.Test;
 
-/** When a daemon that was told to stop ends, in virtual time; its grace is eight seconds. */
+/** Timing of a graceful shutdown in virtual time, with a grace period of eight seconds. */
 class PlannedStopTest {
 
   private static final long MILLI = 1_000_000L;
@@ -13,31 +13,31 @@
   private long now;
   private long refusedFromMillis = -1;
 
-  private long endsAfterMillis(LongPredicate busyAtMillis) {
-    PlannedStop planned = new PlannedStop(0, 8_000);
-    planned.await(
+  private long stopsAfterMillis(LongPredicate busyAtMillis) {
+    PlannedStop shutdown = new PlannedStop(0, 8_000);
+    shutdown.await(
         () -> now,
         millis -> now += millis * MILLI,
-        refuse -> {
-          refusedFromMillis = refuse && refusedFromMillis < 0 ? now / MILLI : refusedFromMillis;
+        refuseNew -> {
+          refusedFromMillis = refuseNew && refusedFromMillis < 0 ? now / MILLI : refusedFromMillis;
           return busyAtMillis.test(now / MILLI);
         });
     return now / MILLI;
   }
 
   @Test
-  void anIdleDaemonEndsOnceTheBalancerHasLeftIt() {
-    assertThat(endsAfterMillis(millis -> false)).isEqualTo(3_000);
+  void idleDaemonStopsAfterBalancerRemoval() {
+    assertThat(stopsAfterMillis(millis -> false)).isEqualTo(3_000);
     assertThat(refusedFromMillis).isEqualTo(3_000);
   }
 
   @Test
-  void theLastBytesOfTheLastAnswerHaveTimeToLeave() {
-    assertThat(endsAfterMillis(millis -> millis < 4_000)).isEqualTo(4_100);
+  void waitsForTheLastBytesOfTheLastResponse() {
+    assertThat(stopsAfterMillis(millis -> millis < 4_000)).isEqualTo(4_100);
   }
 
   @Test
-  void itEndsWithinItsGraceWhateverIsUnderWay() {
-    assertThat(endsAfterMillis(millis -> true)).isEqualTo(7_300);
+  void stopsWithinTheGracePeriodDespiteRequestsInFlight() {
+    assertThat(stopsAfterMillis(millis -> true)).isEqualTo(7_300);
   }
 }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/SettingsReaderTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/SettingsReaderTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Settings are checked as a whole; every fault names key, value and remedy. */
+/** Parsing and validation of settings; error messages name key, value and remedy. */
 class SettingsReaderTest {
 
-  static final String GOOD =
+  static final String VALID =
       """
       {"name": "edge-1", "address": "127.0.0.1", "dataCentre": "a",
        "listen": {"frontend": "127.0.0.1:1", "ready": "127.0.0.1:2", "metrics": "127.0.0.1:3"},
@@ -35,8 +35,8 @@
   }
 
   @Test
-  void goodSettingsAreReadAndUnknownKeysIgnored() throws Exception {
-    Settings settings = read(GOOD);
+  void readsValidSettingsAndIgnoresUnknownKeys() throws Exception {
+    Settings settings = read(VALID);
     assertThat(settings.name()).isEqualTo("edge-1");
     assertThat(settings.seedHosts()).containsExactly("127.0.0.2", "127.0.0.3");
     assertThat(settings.bounds().graceMillis()).isEqualTo(8000);
@@ -44,45 +44,45 @@
   }
 
   @Test
-  void theFirstStartOfTheSystemIsOneUnlessTheSettingsDenyIt() throws Exception {
-    assertThat(read(GOOD).firstStart()).isTrue();
-    assertThat(read(GOOD.replace("\"unknown\": true", "\"firstStart\": false")).firstStart())
+  void firstStartIsTrueByDefault() throws Exception {
+    assertThat(read(VALID).firstStart()).isTrue();
+    assertThat(read(VALID.replace("\"unknown\": true", "\"firstStart\": false")).firstStart())
         .isFalse();
-    assertThatThrownBy(() -> read(GOOD.replace("\"unknown\": true", "\"firstStart\": 1")))
+    assertThatThrownBy(() -> read(VALID.replace("\"unknown\": true", "\"firstStart\": 1")))
         .hasMessageContaining("firstStart = 1")
         .hasMessageContaining("Write true or false.");
   }
 
   @Test
-  void everyFaultIsToldAtOnce() {
-    String bad = GOOD.replace("\"edge-1\"", "7").replace("\"127.0.0.1:4\"", "\"nowhere\"");
-    assertThatThrownBy(() -> read(bad))
+  void reportsAllErrorsAtOnce() {
+    String invalid = VALID.replace("\"edge-1\"", "7").replace("\"127.0.0.1:4\"", "\"nowhere\"");
+    assertThatThrownBy(() -> read(invalid))
         .hasMessageContaining("name = 7")
         .hasMessageContaining("store.address = nowhere")
         .hasMessageContaining("Write it as IP:PORT.");
   }
 
   @Test
-  void allMechanismsAreOnUnlessASwitchTurnsOneOff() throws Exception {
-    assertThat(read(GOOD).policy()).isEqualTo(Policy.DEFAULT);
+  void policySwitchesAreOnByDefault() throws Exception {
+    assertThat(read(VALID).policy()).isEqualTo(Policy.DEFAULT);
     Policy policy =
-        read(GOOD.replace("\"unknown\": true", "\"policy\": {\"exchange\": false}")).policy();
+        read(VALID.replace("\"unknown\": true", "\"policy\": {\"exchange\": false}")).policy();
     assertThat(policy.exchange()).isFalse();
     assertThat(policy.secondModel()).isTrue();
   }
 
   @Test
-  void aSwitchThatDoesNotExistOrIsNoSwitchIsToldWithARemedy() {
-    String bad =
-        GOOD.replace("\"unknown\": true", "\"policy\": {\"exchanges\": false, \"exchange\": 1}");
-    assertThatThrownBy(() -> read(bad))
+  void reportsUnknownAndNonBooleanPolicySwitches() {
+    String invalid =
+        VALID.replace("\"unknown\": true", "\"policy\": {\"exchanges\": false, \"exchange\": 1}");
+    assertThatThrownBy(() -> read(invalid))
         .hasMessageContaining("policy.exchanges: unknown switch.")
         .hasMessageContaining("policy.exchange = 1")
         .hasMessageContaining("Write true or false.");
   }
 
   @Test
-  void brokenJsonIsToldWithItsFile() {
+  void reportsMalformedJson() {
     assertThatThrownBy(() -> read("{")).hasMessageContaining("is not JSON");
   }
 }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/UpstreamSelectorTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/UpstreamSelectorTest.java
@@ -17,7 +17,7 @@
 import org.fawnvale.serving.core.peer.PeerNote;
 import org.junit.jupiter.api.Test;
 
-/** Which heads are sent requests, by the list and by the leader's word. */
+/** Selection of heads from the list of nodes and the leader's announcements. */
 class UpstreamSelectorTest {
 
   private static final EngineSpec ENGINE =
@@ -40,7 +40,7 @@
       new Configuration(
           1, List.of(), Map.of("engines", new ServiceSpec("engines", 100, ENGINE)), null, 1, 1, 1);
 
-  private final UpstreamSelector fleet = new UpstreamSelector(true);
+  private final UpstreamSelector selector = new UpstreamSelector(true);
 
   private static Node member(String id, int rank, MemberState state) {
     return new Node(
@@ -59,52 +59,55 @@
   private static final Node HEAD = member("head", 0, MemberState.OPEN);
   private static final Node OTHER = member("other", 1, MemberState.READY);
 
-  private List<String> serving(GroupAnnouncements announced, Node... nodes) {
-    return fleet.select(List.of(nodes), CONFIGURATION, announced).stream().map(Node::id).toList();
+  private List<String> selectedIds(GroupAnnouncements announced, Node... nodes) {
+    return selector.select(List.of(nodes), CONFIGURATION, announced).stream()
+        .map(Node::id)
+        .toList();
   }
 
   @Test
-  void theHeadOfAWholeOpenGroupServes() {
-    assertThat(serving(GroupAnnouncements.NONE, HEAD, OTHER)).containsExactly("head");
+  void selectsHeadOfCompleteOpenGroup() {
+    assertThat(selectedIds(GroupAnnouncements.NONE, HEAD, OTHER)).containsExactly("head");
   }
 
   @Test
-  void aGroupThatWasNeverSeenWholeDoesNotServe() {
-    assertThat(serving(GroupAnnouncements.NONE, HEAD)).isEmpty();
+  void omitsGroupThatWasNeverComplete() {
+    assertThat(selectedIds(GroupAnnouncements.NONE, HEAD)).isEmpty();
   }
 
   @Test
-  void aGroupThatWasWholeServesOnWhileAnEntryIsMissing() {
-    serving(GroupAnnouncements.NONE, HEAD, OTHER);
-    assertThat(serving(GroupAnnouncements.NONE, HEAD)).containsExactly("head");
+  void keepsGroupWhileAMemberEntryIsMissing() {
+    selectedIds(GroupAnnouncements.NONE, HEAD, OTHER);
+    assertThat(selectedIds(GroupAnnouncements.NONE, HEAD)).containsExactly("head");
   }
 
   @Test
-  void aGroupServesOnWhileAMemberLeavesUntilTheLeaderEndsIt() {
-    serving(GroupAnnouncements.NONE, HEAD, OTHER);
-    assertThat(serving(GroupAnnouncements.NONE, HEAD, OTHER.asDraining())).containsExactly("head");
+  void keepsGroupWithDrainingMemberUntilTheLeaderClosesIt() {
+    selectedIds(GroupAnnouncements.NONE, HEAD, OTHER);
+    assertThat(selectedIds(GroupAnnouncements.NONE, HEAD, OTHER.asDraining()))
+        .containsExactly("head");
     GroupAnnouncements closed = new GroupAnnouncements(List.of(), List.of("head@4"));
-    assertThat(serving(closed, HEAD, OTHER.asDraining())).isEmpty();
+    assertThat(selectedIds(closed, HEAD, OTHER.asDraining())).isEmpty();
   }
 
   @Test
-  void aHeadThatLeavesIsSentNothing() {
-    serving(GroupAnnouncements.NONE, HEAD, OTHER);
-    assertThat(serving(GroupAnnouncements.NONE, HEAD.asDraining(), OTHER)).isEmpty();
+  void omitsDrainingHead() {
+    selectedIds(GroupAnnouncements.NONE, HEAD, OTHER);
+    assertThat(selectedIds(GroupAnnouncements.NONE, HEAD.asDraining(), OTHER)).isEmpty();
   }
 
   @Test
-  void aGroupThatTheLeaderTakesApartIsSentNothing() {
+  void omitsGroupThatTheLeaderCloses() {
     GroupAnnouncements closed = new GroupAnnouncements(List.of(), List.of("head@4"));
-    assertThat(serving(closed, HEAD, OTHER)).isEmpty();
+    assertThat(selectedIds(closed, HEAD, OTHER)).isEmpty();
   }
 
   @Test
-  void aGroupThatTheListDoesNotShowYetServesByTheLeadersWord() {
+  void selectsAnnouncedGroupThatIsNotListedYet() {
     Node free = HEAD.withGroup(null, List.of(), null);
     GroupAnnouncements opened =
         new GroupAnnouncements(
             List.of(new PeerNote.ServingGroup("head", "g~head", 5, "m")), List.of());
-    assertThat(serving(opened, free)).containsExactly("head");
+    assertThat(selectedIds(opened, free)).containsExactly("head");
   }
 }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/CopyPacingTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/CopyPacingTest.java
@@ -5,33 +5,33 @@
 import org.fawnvale.serving.core.watch.CopyTimes;
 import org.junit.jupiter.api.Test;
 
-/** How often copies are fetched while many peers tell of a newer one. */
+/** Delay and rate of fetches while many peers advertise a newer copy. */
 class CopyPacingTest {
 
   private static final long MILLI = 1_000_000L;
 
   private final CopyPacing pacing = new CopyPacing(CopyTimes.CONFIGURATION);
 
-  private int fetches(int millis, boolean watches, boolean isNear) {
-    int begun = 0;
+  private int countFetches(int millis, boolean watches, boolean isNear) {
+    int started = 0;
     for (int now = 0; now < millis; now += 10) {
       int delay = pacing.delayMillis(watches, isNear, now * MILLI);
       boolean isWithin = now + delay < millis;
-      boolean later = delay > 0 && isWithin && pacing.tryStartFetch((now + delay) * MILLI);
-      boolean atOnce = delay == 0 && pacing.tryStartFetch(now * MILLI);
-      begun += later || atOnce ? 1 : 0;
+      boolean startedLater = delay > 0 && isWithin && pacing.tryStartFetch((now + delay) * MILLI);
+      boolean startedNow = delay == 0 && pacing.tryStartFetch(now * MILLI);
+      started += startedLater || startedNow ? 1 : 0;
     }
-    return begun;
+    return started;
   }
 
   @Test
-  void aNearCopyIsFetchedAtOnceAndThenOnceANote() {
+  void fetchesFromNearPeerAtOnceAndThenOncePerInterval() {
     assertThat(pacing.delayMillis(false, true, 0)).isZero();
-    assertThat(fetches(1_500, false, true)).isBetween(9, 10);
+    assertThat(countFetches(1_500, false, true)).isBetween(9, 10);
   }
 
   @Test
-  void aNearCopyThatIsToldOfWithinThePauseIsFetchedAtItsEnd() {
+  void schedulesNearFetchForTheEndOfTheInterval() {
     assertThat(pacing.delayMillis(false, true, 0)).isZero();
     assertThat(pacing.tryStartFetch(0)).isTrue();
     assertThat(pacing.delayMillis(false, true, 100 * MILLI)).isEqualTo(50);
@@ -40,20 +40,20 @@
   }
 
   @Test
-  void aFarCopyIsFetchedLateAndNotOnceForEachPeerThatTellsOfIt() {
+  void delaysFarFetchAndIgnoresFurtherAdvertisements() {
     assertThat(pacing.delayMillis(false, false, 0)).isEqualTo(700);
     assertThat(pacing.delayMillis(false, false, 10 * MILLI)).isEqualTo(CopyPacing.NEVER);
-    assertThat(fetches(3_000, false, false)).isLessThanOrEqualTo(5);
+    assertThat(countFetches(3_000, false, false)).isLessThanOrEqualTo(5);
   }
 
   @Test
-  void aWatcherWaitsForTheStoreFirst() {
+  void delaysFetchOfDaemonThatWatchesTheStore() {
     assertThat(pacing.delayMillis(true, true, 0)).isEqualTo(600);
     assertThat(pacing.delayMillis(true, true, 10 * MILLI)).isEqualTo(CopyPacing.NEVER);
   }
 
   @Test
-  void aNearCopyIsFetchedWhileAFarOneIsWaitedFor() {
+  void fetchesFromNearPeerDuringTheDelayOfAFarFetch() {
     pacing.delayMillis(false, false, 0);
     assertThat(pacing.delayMillis(false, true, 10 * MILLI)).isZero();
   }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/ObjectTableTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/ObjectTableTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What daemons tell each other of the store's objects is complete and never goes back, but with the
- * store itself.
+ * Guards against copies that miss changes or return to an earlier state when daemons exchange
+ * updates, other than after a rollback of the store.
  */
 class ObjectTableTest {
 
@@ -27,7 +27,7 @@
   private final Map<String, Long> storeRevisions = new LinkedHashMap<>();
   private final ObjectTable<String> watcher = table();
   private final ObjectTable<String> follower = table();
-  private final ObjectTable<String> secondHand = table();
+  private final ObjectTable<String> secondFollower = table();
   private long revision;
   private long era = 1;
 
@@ -40,7 +40,7 @@
     return new StorePlace(new StoreEra(era), ofRevision);
   }
 
-  private Page.Item<String> changeOne(Random random) {
+  private Page.Item<String> changeRandomObject(Random random) {
     String name = "n" + random.nextInt(NAMES);
     revision++;
     if (store.containsKey(name) && random.nextInt(3) == 0) {
@@ -53,16 +53,16 @@
     return new Page.Item<>(name, at(revision), false, "at " + revision);
   }
 
-  private void watch(Random random) {
+  private void watchRandomChanges(Random random) {
     List<Page.Item<String>> items = new ArrayList<>();
     for (int count = random.nextInt(4); count > 0; count--) {
-      items.add(changeOne(random));
+      items.add(changeRandomObject(random));
     }
     watcher.applyChanges(new Page<>(items, false, "", at(revision)));
   }
 
-  private void list(Random random) {
-    changeOne(random);
+  private void listAfterOneChange(Random random) {
+    changeRandomObject(random);
     Map<String, Page.Item<String>> items = new LinkedHashMap<>();
     store.forEach(
         (name, value) ->
@@ -70,7 +70,7 @@
     watcher.replace(items, at(revision));
   }
 
-  private static void tell(ObjectTable<String> from, ObjectTable<String> to) {
+  private static void sendUpdate(ObjectTable<String> from, ObjectTable<String> to) {
     if (from.newest().isAfter(to.newest())) {
       to.merge(from.updateSince(to.position()));
     }
@@ -78,54 +78,54 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void changesToldFromDaemonToDaemonGiveTheStoresObjects(long seed) {
+  void updatesBetweenDaemonsReproduceTheStoreContent(long seed) {
     Random random = new Random(seed);
-    list(random);
+    listAfterOneChange(random);
     for (int step = 0; step < STEPS; step++) {
       if (random.nextInt(10) == 0) {
-        list(random);
+        listAfterOneChange(random);
       } else {
-        watch(random);
+        watchRandomChanges(random);
       }
       if (random.nextInt(3) == 0) {
-        tell(watcher, follower);
+        sendUpdate(watcher, follower);
         assertThat(follower.objects()).isEqualTo(store);
       }
       if (random.nextInt(3) == 0) {
-        tell(follower, secondHand);
-        assertThat(secondHand.objects()).isEqualTo(follower.objects());
+        sendUpdate(follower, secondFollower);
+        assertThat(secondFollower.objects()).isEqualTo(follower.objects());
       }
     }
   }
 
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13})
-  void anOlderCopyChangesNothing(long seed) {
+  void ignoresOlderUpdate(long seed) {
     Random random = new Random(seed);
-    list(random);
+    listAfterOneChange(random);
     CopyUpdate<String> old = watcher.updateSince(StorePlace.NONE);
-    watch(random);
-    list(random);
-    tell(watcher, follower);
+    watchRandomChanges(random);
+    listAfterOneChange(random);
+    sendUpdate(watcher, follower);
     assertThat(follower.merge(old)).isFalse();
     assertThat(follower.objects()).isEqualTo(store);
   }
 
   @Test
-  void aNodeThatCannotBeReadAnyMoreNamesNothingHereAndAtPeers() {
+  void removesUnreadableNodeHereAndAtPeers() {
     watcher.applyChanges(page(new Page.Item<>("n1", at(1), false, "good"), 1));
-    tell(watcher, follower);
+    sendUpdate(watcher, follower);
     watcher.applyChanges(page(new Page.Item<>("n1", at(2), false, null), 2));
-    tell(watcher, follower);
+    sendUpdate(watcher, follower);
     assertThat(watcher.objects()).isEmpty();
     assertThat(follower.objects()).isEmpty();
     watcher.applyChanges(page(new Page.Item<>("n1", at(3), false, "good again"), 3));
-    tell(watcher, follower);
+    sendUpdate(watcher, follower);
     assertThat(follower.objects()).containsEntry("n1", "good again");
   }
 
   @Test
-  void aConfigurationThatCannotBeReadLeavesTheLastGoodOneInForce() {
+  void keepsLastReadableConfiguration() {
     ObjectTable<String> table =
         new ObjectTable<>(
             "configuration", ObjectTable.UnreadablePolicy.KEEPS_LAST, MergePolicy.byPosition());
@@ -134,47 +134,48 @@
     assertThat(table.objects()).containsEntry("main", "good");
   }
 
-  /** Back to a state of a while ago, in a new era: its revisions are given out again. */
-  private void goBack(Map<String, String> copy, Map<String, Long> copyRevisions, long copied) {
+  /** Restores an earlier content of the store in a new era, which reuses later revisions. */
+  private void rollBack(
+      Map<String, String> backup, Map<String, Long> backupRevisions, long backupRevision) {
     store.clear();
-    store.putAll(copy);
+    store.putAll(backup);
     storeRevisions.clear();
-    storeRevisions.putAll(copyRevisions);
-    revision = copied;
+    storeRevisions.putAll(backupRevisions);
+    revision = backupRevision;
     era++;
   }
 
   @ParameterizedTest
   @ValueSource(longs = {21, 22, 23, 24, 25, 26, 27, 28})
-  void afterTheStoreHasGoneBackItsListHoldsAtAllDaemonsHoweverFarItsRevisionsHaveCome(long seed) {
+  void listAfterRollbackReplacesAllCopiesWhateverTheRevisions(long seed) {
     Random random = new Random(seed);
-    list(random);
+    listAfterOneChange(random);
     for (int round = 0; round < 20; round++) {
-      Map<String, String> copy = new LinkedHashMap<>(store);
-      Map<String, Long> copyRevisions = new LinkedHashMap<>(storeRevisions);
-      long copied = revision;
+      Map<String, String> backup = new LinkedHashMap<>(store);
+      Map<String, Long> backupRevisions = new LinkedHashMap<>(storeRevisions);
+      long backupRevision = revision;
       for (int lost = 1 + random.nextInt(6); lost > 0; lost--) {
-        watch(random);
+        watchRandomChanges(random);
       }
-      tell(watcher, follower);
-      CopyUpdate<String> ofLostHistory = follower.updateSince(StorePlace.NONE);
-      goBack(copy, copyRevisions, copied);
-      for (int again = random.nextInt(8); again > 0; again--) {
-        changeOne(random);
+      sendUpdate(watcher, follower);
+      CopyUpdate<String> ofPreviousEra = follower.updateSince(StorePlace.NONE);
+      rollBack(backup, backupRevisions, backupRevision);
+      for (int count = random.nextInt(8); count > 0; count--) {
+        changeRandomObject(random);
       }
-      list(random);
+      listAfterOneChange(random);
       assertThat(watcher.objects()).isEqualTo(store);
-      assertThat(watcher.merge(ofLostHistory)).isFalse();
-      watch(random);
-      tell(watcher, follower);
+      assertThat(watcher.merge(ofPreviousEra)).isFalse();
+      watchRandomChanges(random);
+      sendUpdate(watcher, follower);
       assertThat(follower.objects()).isEqualTo(store);
-      tell(follower, secondHand);
-      assertThat(secondHand.objects()).isEqualTo(store);
+      sendUpdate(follower, secondFollower);
+      assertThat(secondFollower.objects()).isEqualTo(store);
     }
   }
 
   @Test
-  void changesOfAnotherHistoryAreNotMixedIntoACopy() {
+  void ignoresChangesOfAnotherEra() {
     watcher.applyChanges(page(new Page.Item<>("n1", at(7), false, "lost"), 7));
     era = 2;
     CopyUpdate<String> changes =
@@ -185,58 +186,58 @@
   }
 
   @Test
-  void aChangeOfTheHistoryIsToldOnceWithWhatWasKnown() {
-    List<EraChange<String>> told = new ArrayList<>();
-    watcher.onEraChange(told::add);
+  void notifiesEraChangeOnceWithThePreviousContent() {
+    List<EraChange<String>> notified = new ArrayList<>();
+    watcher.onEraChange(notified::add);
     watcher.applyChanges(page(new Page.Item<>("n1", at(7), false, "lost"), 7));
     watcher.applyChanges(page(new Page.Item<>("n2", at(7), true, null), 8));
     era = 2;
     watcher.replace(Map.of(), at(3));
     watcher.replace(Map.of(), at(4));
-    assertThat(told).hasSize(1);
-    assertThat(told.get(0).previousObjects()).containsEntry("n1", "lost");
-    assertThat(told.get(0).removedNames()).containsExactly("n2");
+    assertThat(notified).hasSize(1);
+    assertThat(notified.get(0).previousObjects()).containsEntry("n1", "lost");
+    assertThat(notified.get(0).removedNames()).containsExactly("n2");
   }
 
-  private static final MergePolicy<String> LATER =
-      (known, shown) -> shown == null || known.compareTo(shown) > 0;
+  private static final MergePolicy<String> LATEST_WINS =
+      (version, other) -> other == null || version.compareTo(other) > 0;
 
   /**
-   * What the soak saw: the store went back behind its only configuration, and daemons that started
-   * again got it from nobody, though others had it in force.
+   * Guards against restarted daemons that never receive the active configuration after a rollback
+   * has removed it from the store.
    */
   @Test
-  void aConfigurationThatTheStoreHasLostIsToldToDaemonsThatStartAgain() {
-    ObjectTable<String> knows =
-        new ObjectTable<>("configuration", ObjectTable.UnreadablePolicy.KEEPS_LAST, LATER);
-    ObjectTable<String> startsAgain =
-        new ObjectTable<>("configuration", ObjectTable.UnreadablePolicy.KEEPS_LAST, LATER);
-    knows.applyChanges(page(new Page.Item<>("main", at(9), false, "version 5"), 9));
+  void sendsConfigurationThatTheStoreHasLostToRestartedDaemons() {
+    ObjectTable<String> informed =
+        new ObjectTable<>("configuration", ObjectTable.UnreadablePolicy.KEEPS_LAST, LATEST_WINS);
+    ObjectTable<String> restarted =
+        new ObjectTable<>("configuration", ObjectTable.UnreadablePolicy.KEEPS_LAST, LATEST_WINS);
+    informed.applyChanges(page(new Page.Item<>("main", at(9), false, "version 5"), 9));
     era = 2;
-    knows.replace(Map.of(), at(4));
-    startsAgain.replace(Map.of(), at(4));
-    assertThat(knows.objects()).containsEntry("main", "version 5");
-    assertThat(startsAgain.merge(knows.updateSince(StorePlace.NONE))).isTrue();
-    assertThat(startsAgain.objects()).containsEntry("main", "version 5");
+    informed.replace(Map.of(), at(4));
+    restarted.replace(Map.of(), at(4));
+    assertThat(informed.objects()).containsEntry("main", "version 5");
+    assertThat(restarted.merge(informed.updateSince(StorePlace.NONE))).isTrue();
+    assertThat(restarted.objects()).containsEntry("main", "version 5");
   }
 
   @Test
-  void aHigherVersionGoesBeforeTheOneThatTheStoreHasGoneBackToAndIsToldToOthers() {
-    ObjectTable<String> knows =
-        new ObjectTable<>("configuration", ObjectTable.UnreadablePolicy.KEEPS_LAST, LATER);
-    ObjectTable<String> beganLater =
-        new ObjectTable<>("configuration", ObjectTable.UnreadablePolicy.KEEPS_LAST, LATER);
-    knows.applyChanges(page(new Page.Item<>("main", at(9), false, "version 5"), 9));
+  void prefersAndSendsHigherVersionThanTheStoreAfterRollback() {
+    ObjectTable<String> informed =
+        new ObjectTable<>("configuration", ObjectTable.UnreadablePolicy.KEEPS_LAST, LATEST_WINS);
+    ObjectTable<String> startedLater =
+        new ObjectTable<>("configuration", ObjectTable.UnreadablePolicy.KEEPS_LAST, LATEST_WINS);
+    informed.applyChanges(page(new Page.Item<>("main", at(9), false, "version 5"), 9));
     era = 2;
     Map<String, Page.Item<String>> shown =
         Map.of("main", new Page.Item<>("main", at(4), false, "version 3"));
-    knows.replace(shown, at(4));
-    beganLater.replace(shown, at(4));
-    assertThat(knows.objects()).containsEntry("main", "version 5");
-    assertThat(beganLater.merge(knows.updateSince(StorePlace.NONE))).isTrue();
-    assertThat(beganLater.objects()).containsEntry("main", "version 5");
-    knows.applyChanges(page(new Page.Item<>("main", at(5), false, "version 6"), 5));
-    assertThat(knows.objects()).containsEntry("main", "version 6");
+    informed.replace(shown, at(4));
+    startedLater.replace(shown, at(4));
+    assertThat(informed.objects()).containsEntry("main", "version 5");
+    assertThat(startedLater.merge(informed.updateSince(StorePlace.NONE))).isTrue();
+    assertThat(startedLater.objects()).containsEntry("main", "version 5");
+    informed.applyChanges(page(new Page.Item<>("main", at(5), false, "version 6"), 5));
+    assertThat(informed.objects()).containsEntry("main", "version 6");
   }
 
   private Page<String> page(Page.Item<String> item, long ofRevision) {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StorePositionTextTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StorePositionTextTest.java
@@ -9,20 +9,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A place comes out of its text as it went in. */
+/** Round trips and rejected inputs of the text form of store positions. */
 class StorePositionTextTest {
 
   @Test
-  void whatIsWrittenIsRead() {
-    StorePlace place = new StorePlace(new StoreEra(3), 120);
-    assertThat(StorePositionText.read(StorePositionText.write(place))).isEqualTo(place);
+  void readsWhatWasWritten() {
+    StorePlace position = new StorePlace(new StoreEra(3), 120);
+    assertThat(StorePositionText.read(StorePositionText.write(position))).isEqualTo(position);
     assertThat(StorePositionText.read(StorePositionText.write(StorePlace.NONE)))
         .isEqualTo(StorePlace.NONE);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "12", "a.b", "3.", ".4"})
-  void otherTextsAreRefused(String text) {
+  void rejectsInvalidText(String text) {
     assertThatThrownBy(() -> StorePositionText.read(text))
         .isInstanceOf(NumberFormatException.class);
   }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StoreRollbackExhaustiveTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StoreRollbackExhaustiveTest.java
@@ -13,58 +13,63 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * All orders of events in a small world whose store goes back up to twice: no daemon goes back to a
- * lower version, and once the trouble is over all agree with the store. Each flaw that is built in
- * breaks that somewhere.
+ * Explores all event orders up to a bounded depth in a model whose store is rolled back up to
+ * twice. Guards against daemons whose configuration version decreases and against copies that do
+ * not converge to the store. Each injected fault must violate one of these properties.
  */
 class StoreRollbackExhaustiveTest {
 
   private static final int DEPTH = 11;
 
-  /** Fewer would mean that most events can't happen any more. */
-  private static final int LEAST_STATES = 100_000;
+  /** A lower count would indicate that most events of the model are never possible. */
+  private static final int MIN_STATES = 100_000;
 
-  /** What a search has found. */
-  private record Found(int states, List<StoreRollbackModel.Event> broken) {}
+  /**
+   * The result of a search.
+   *
+   * @param states the number of distinct states
+   * @param violation the first event order that violates a property; empty if there is none
+   */
+  private record SearchResult(int states, List<StoreRollbackModel.Event> violation) {}
 
-  private static StoreRollbackModel play(
-      Set<StoreRollbackModel.Flaw> flaws, List<StoreRollbackModel.Event> events) {
-    StoreRollbackModel world = new StoreRollbackModel(flaws);
-    events.forEach(world::happens);
-    return world;
+  private static StoreRollbackModel replay(
+      Set<StoreRollbackModel.Fault> faults, List<StoreRollbackModel.Event> events) {
+    StoreRollbackModel model = new StoreRollbackModel(faults);
+    events.forEach(model::tryApply);
+    return model;
   }
 
-  private static Found search(Set<StoreRollbackModel.Flaw> flaws) {
+  private static SearchResult search(Set<StoreRollbackModel.Fault> faults) {
     Set<String> seen = new HashSet<>();
     Deque<List<StoreRollbackModel.Event>> open = new ArrayDeque<>();
     open.add(List.of());
     while (!open.isEmpty()) {
       List<StoreRollbackModel.Event> path = open.removeFirst();
-      if (play(flaws, path).hasGoneBack() || !play(flaws, path).endsRight()) {
-        return new Found(seen.size(), path);
+      if (replay(faults, path).hasVersionDecreased() || !replay(faults, path).converges()) {
+        return new SearchResult(seen.size(), path);
       }
       for (StoreRollbackModel.Event event : StoreRollbackModel.Event.values()) {
-        StoreRollbackModel world = play(flaws, path);
-        if (path.size() < DEPTH && world.happens(event) && seen.add(world.signature())) {
+        StoreRollbackModel model = replay(faults, path);
+        if (path.size() < DEPTH && model.tryApply(event) && seen.add(model.signature())) {
           List<StoreRollbackModel.Event> longer = new ArrayList<>(path);
           longer.add(event);
           open.add(longer);
         }
       }
     }
-    return new Found(seen.size(), List.of());
+    return new SearchResult(seen.size(), List.of());
   }
 
   @Test
-  void noOrderMakesADaemonGoBackOrDisagreeForGood() {
-    Found found = search(Set.of());
-    assertThat(found.broken()).as("of %d states", found.states()).isEmpty();
-    assertThat(found.states()).isGreaterThan(LEAST_STATES);
+  void noEventOrderViolatesTheProperties() {
+    SearchResult result = search(Set.of());
+    assertThat(result.violation()).as("of %d states", result.states()).isEmpty();
+    assertThat(result.states()).isGreaterThan(MIN_STATES);
   }
 
   @ParameterizedTest
-  @EnumSource(StoreRollbackModel.Flaw.class)
-  void eachFlawIsFound(StoreRollbackModel.Flaw flaw) {
-    assertThat(search(Set.of(flaw)).broken()).as("the search misses %s", flaw).isNotEmpty();
+  @EnumSource(StoreRollbackModel.Fault.class)
+  void searchDetectsEachInjectedFault(StoreRollbackModel.Fault fault) {
+    assertThat(search(Set.of(fault)).violation()).as("the search misses %s", fault).isNotEmpty();
   }
 }
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StoreRollbackModel.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StoreRollbackModel.java
@@ -14,103 +14,104 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A store with a configuration and a node, a daemon that watches it and one that takes copies from
- * the other. The store goes back; answers and copies come late. The daemons' rules are the real
- * ones, or the real ones with a flaw.
+ * A model of a store with one configuration and one node, a daemon that watches the store, and a
+ * follower that takes updates from the watcher. The store can be rolled back, and answers and
+ * updates can be delayed. The daemons use the production rules, optionally with injected faults.
  */
 final class StoreRollbackModel {
 
   private static final String CONFIGURATION = "configuration";
   private static final String NODE = "node";
-  private static final int MOST_VERSIONS = 3;
-  private static final int MOST_RETURNS = 2;
-  private static final int CALLS_UNTIL_AT_REST = 6;
-  private static final MergePolicy<Integer> HIGHER = (known, told) -> told != null && known > told;
+  private static final int MAX_VERSIONS = 3;
+  private static final int MAX_ROLLBACKS = 2;
+  private static final int CALLS_TO_CONVERGE = 6;
+  private static final MergePolicy<Integer> HIGHEST_WINS =
+      (version, other) -> other != null && version > other;
 
-  /** What may happen next, where it can. */
+  /** The possible events; an event returns false when it can't happen in the current state. */
   enum Event {
-    OPERATOR_WRITES(
-        world -> world.newestVersion < MOST_VERSIONS && world.write(++world.newestVersion)),
-    OPERATOR_WRITES_AGAIN(
-        world -> world.now().version() < world.newestVersion && world.write(world.newestVersion)),
-    NODE_GOES(world -> !world.nodeHasGone && world.nodeGoes()),
-    STORE_GOES_BACK(world -> world.goBack(1)),
-    STORE_GOES_FAR_BACK(world -> world.goBack(2)),
-    STORE_LISTS(world -> world.list == null && world.mayList() && world.storeLists()),
-    LIST_COMES(world -> world.list != null && world.listComes()),
-    STORE_TELLS_CHANGES(
-        world -> world.changes == null && !world.mustList && world.storeTellsChanges()),
-    CHANGES_COME(world -> world.changes != null && world.changesCome()),
-    WATCHER_GIVES_COPY(world -> world.copy == null && world.giveCopy()),
-    COPY_COMES(world -> world.copy != null && world.copyComes()),
-    WATCHER_TAKES_COPY(world -> world.watcher.position().isKnown() && world.watcherTakesCopy());
-
-    private final Predicate<StoreRollbackModel> happens;
-
-    Event(Predicate<StoreRollbackModel> happens) {
-      this.happens = happens;
+    OPERATOR_WRITES_NEW_VERSION(
+        model -> model.newestVersion < MAX_VERSIONS && model.write(++model.newestVersion)),
+    OPERATOR_REWRITES_LOST_VERSION(
+        model -> model.now().version() < model.newestVersion && model.write(model.newestVersion)),
+    NODE_IS_REMOVED(model -> !model.nodeRemoved && model.removeNode()),
+    STORE_LOSES_ONE_CHANGE(model -> model.rollBack(1)),
+    STORE_LOSES_TWO_CHANGES(model -> model.rollBack(2)),
+    STORE_SENDS_LIST(model -> model.list == null && model.mayList() && model.sendList()),
+    LIST_ARRIVES(model -> model.list != null && model.listArrives()),
+    STORE_SENDS_CHANGES(model -> model.changes == null && !model.mustList && model.sendChanges()),
+    CHANGES_ARRIVE(model -> model.changes != null && model.changesArrive()),
+    WATCHER_SENDS_UPDATE(model -> model.update == null && model.sendUpdate()),
+    UPDATE_ARRIVES(model -> model.update != null && model.updateArrives()),
+    WATCHER_MERGES_PEER_UPDATE(
+        model -> model.watcher.position().isKnown() && model.watcherMergesPeerUpdate());
+
+    private final Predicate<StoreRollbackModel> action;
+
+    Event(Predicate<StoreRollbackModel> action) {
+      this.action = action;
     }
   }
 
-  /** A fault that is built in, to show that the search finds it. */
-  enum Flaw {
-    /** Places are compared by their revisions alone. */
+  /** Faults to inject, which the search must detect. */
+  enum Fault {
+    /** Positions are compared by their revisions alone. */
     ERAS_IGNORED,
-    /** An answer of an earlier history is taken in. */
-    LATE_ANSWER_TAKEN,
-    /** Changes are taken in though the store has begun another history since their place. */
+    /** An answer of an earlier era is accepted. */
+    LATE_ANSWER_ACCEPTED,
+    /** The watch continues without a new list although the store has begun another era. */
     WATCH_CONTINUED,
-    /** The configuration is what the store shows. */
-    CONFIGURATION_GOES_BACK,
-    /** A copy of an earlier history passes for one of the present. */
-    OLD_COPY_MERGED,
-    /** A store that does not have the place asked for is asked for it again. */
-    REFUSAL_IGNORED,
-    /** Changes since a place of an earlier history are taken in by a copy of the present one. */
-    ASKED_PLACE_IGNORED
+    /** The configuration follows the store, even to a lower version. */
+    CONFIGURATION_ROLLED_BACK,
+    /** An update of an earlier era is merged as if it were of the current era. */
+    OLD_UPDATE_MERGED,
+    /** The watcher does not list again when the store rejects the requested position. */
+    REJECTION_IGNORED,
+    /** Changes since a position of an earlier era are applied to a copy of the current era. */
+    REQUESTED_POSITION_IGNORED
   }
 
-  /** The store at a revision. */
-  private record State(long revision, int version, boolean nodeIsThere) {}
+  /** The content of the store at a revision. */
+  private record State(long revision, int version, boolean nodeListed) {}
 
   /**
-   * An answer on its way.
+   * An answer in transit.
    *
-   * @param at where the store was
-   * @param asked the place since which changes were asked for; none for a list
-   * @param page null when the store does not have that place
+   * @param position the position of the store when it answered
+   * @param requested the position since which changes were requested; none for a list
+   * @param page null when the store does not have the requested position
    */
-  private record Answer(StorePlace at, StorePlace asked, @Nullable Page<Integer> page) {}
+  private record Answer(StorePlace position, StorePlace requested, @Nullable Page<Integer> page) {}
 
-  private final Set<Flaw> flaws;
+  private final Set<Fault> faults;
   private final EraRule rule = new EraRule();
   private final ObjectTable<Integer> watcher;
   private final ObjectTable<Integer> follower;
   private final List<State> history = new ArrayList<>();
   private long era = 1;
   private int newestVersion = 1;
-  private int returns;
-  private boolean nodeHasGone;
+  private int rollbacks;
+  private boolean nodeRemoved;
   private boolean mustList = true;
   private @Nullable Answer list;
   private @Nullable Answer changes;
-  private @Nullable CopyUpdate<Integer> copy;
+  private @Nullable CopyUpdate<Integer> update;
   private int watcherVersion;
   private int followerVersion;
-  private boolean wentBack;
-  private boolean peersTell = true;
+  private boolean versionDecreased;
+  private boolean peersReport = true;
 
-  StoreRollbackModel(Set<Flaw> flaws) {
-    this.flaws = flaws.isEmpty() ? EnumSet.noneOf(Flaw.class) : EnumSet.copyOf(flaws);
+  StoreRollbackModel(Set<Fault> faults) {
+    this.faults = faults.isEmpty() ? EnumSet.noneOf(Fault.class) : EnumSet.copyOf(faults);
     this.watcher = table();
     this.follower = table();
     history.add(new State(1, 1, true));
   }
 
   private ObjectTable<Integer> table() {
-    boolean keepsNone = flaws.contains(Flaw.CONFIGURATION_GOES_BACK);
-    MergePolicy<Integer> succession = keepsNone ? MergePolicy.byPosition() : HIGHER;
-    return new ObjectTable<>(NODE, ObjectTable.UnreadablePolicy.NAMES_NOTHING, succession);
+    boolean followsStore = faults.contains(Fault.CONFIGURATION_ROLLED_BACK);
+    MergePolicy<Integer> mergePolicy = followsStore ? MergePolicy.byPosition() : HIGHEST_WINS;
+    return new ObjectTable<>(NODE, ObjectTable.UnreadablePolicy.NAMES_NOTHING, mergePolicy);
   }
 
   private State now() {
@@ -118,30 +119,30 @@
   }
 
   private StorePlace at(long revision) {
-    return new StorePlace(new StoreEra(flaws.contains(Flaw.ERAS_IGNORED) ? 1 : era), revision);
+    return new StorePlace(new StoreEra(faults.contains(Fault.ERAS_IGNORED) ? 1 : era), revision);
   }
 
-  /** Lets something happen; false when it can't. */
-  boolean happens(Event event) {
-    return event.happens.test(this);
+  /** Applies an event; returns false when the event is not possible. */
+  boolean tryApply(Event event) {
+    return event.action.test(this);
   }
 
   private boolean write(int version) {
-    history.add(new State(now().revision() + 1, version, now().nodeIsThere()));
+    history.add(new State(now().revision() + 1, version, now().nodeListed()));
     return true;
   }
 
-  private boolean nodeGoes() {
-    nodeHasGone = true;
+  private boolean removeNode() {
+    nodeRemoved = true;
     history.add(new State(now().revision() + 1, now().version(), false));
     return true;
   }
 
-  private boolean goBack(int changesLost) {
-    if (returns == MOST_RETURNS || history.size() <= changesLost) {
+  private boolean rollBack(int changesLost) {
+    if (rollbacks == MAX_ROLLBACKS || history.size() <= changesLost) {
       return false;
     }
-    returns++;
+    rollbacks++;
     era++;
     for (int lost = 0; lost < changesLost; lost++) {
       history.remove(history.size() - 1);
@@ -149,12 +150,12 @@
     return true;
   }
 
-  /** A peer may have told that the store has begun a later history, while a call still waits. */
+  /** A list is also possible when a peer has reported a later era while a watch call waits. */
   private boolean mayList() {
-    return mustList || peersTell && era > watcher.position().era().number();
+    return mustList || peersReport && era > watcher.position().era().number();
   }
 
-  private boolean storeLists() {
+  private boolean sendList() {
     Page<Integer> page = new Page<>(items(now()), false, "", at(now().revision()));
     list = new Answer(page.place(), StorePlace.NONE, page);
     return true;
@@ -163,13 +164,13 @@
   private List<Page.Item<Integer>> items(State state) {
     List<Page.Item<Integer>> items = new ArrayList<>();
     items.add(new Page.Item<>(CONFIGURATION, at(state.revision()), false, state.version()));
-    if (state.nodeIsThere()) {
+    if (state.nodeListed()) {
       items.add(new Page.Item<>(NODE, at(1), false, 0));
     }
     return items;
   }
 
-  private boolean listComes() {
+  private boolean listArrives() {
     Answer answer = list;
     list = null;
     if (answer == null || answer.page() == null || isDropped(answer)) {
@@ -177,17 +178,17 @@
     }
     Map<String, Page.Item<Integer>> listed = new LinkedHashMap<>();
     answer.page().items().forEach(item -> listed.put(item.name(), item));
-    watcher.replace(listed, answer.at());
+    watcher.replace(listed, answer.position());
     mustList = false;
-    look();
+    recordVersions();
     return true;
   }
 
-  private boolean storeTellsChanges() {
-    StorePlace asked = watcher.position();
-    boolean hasIt = asked.revision() <= now().revision();
-    Page<Integer> page = hasIt ? changesSince(asked.revision()) : null;
-    changes = new Answer(at(now().revision()), asked, page);
+  private boolean sendChanges() {
+    StorePlace requested = watcher.position();
+    boolean hasPosition = requested.revision() <= now().revision();
+    Page<Integer> page = hasPosition ? changesSince(requested.revision()) : null;
+    changes = new Answer(at(now().revision()), requested, page);
     return true;
   }
 
@@ -199,7 +200,7 @@
         if (state.version() != before.version()) {
           items.add(new Page.Item<>(CONFIGURATION, at(state.revision()), false, state.version()));
         }
-        if (before.nodeIsThere() && !state.nodeIsThere()) {
+        if (before.nodeListed() && !state.nodeListed()) {
           items.add(new Page.Item<>(NODE, at(state.revision()), true, null));
         }
       }
@@ -208,110 +209,113 @@
     return new Page<>(items, false, "", at(now().revision()));
   }
 
-  private boolean changesCome() {
+  private boolean changesArrive() {
     Answer answer = changes;
     changes = null;
     if (answer == null) {
       return true;
     }
     if (answer.page() == null) {
-      mustList = !flaws.contains(Flaw.REFUSAL_IGNORED);
+      mustList = !faults.contains(Fault.REJECTION_IGNORED);
     } else if (!isDropped(answer) && !mustList) {
       watcher.applyChanges(answer.page());
-      look();
+      recordVersions();
     }
     return true;
   }
 
   private boolean isDropped(Answer answer) {
-    boolean isList = !answer.asked().isKnown();
-    boolean ignoresAsked = !isList && flaws.contains(Flaw.ASKED_PLACE_IGNORED);
-    StorePlace asked = ignoresAsked ? watcher.position() : answer.asked();
-    EraRule.Verdict verdict = rule.judge(answer.at().era(), watcher.position(), asked, 0);
-    if (verdict == EraRule.Verdict.LIST_ANEW && !flaws.contains(Flaw.WATCH_CONTINUED)) {
+    boolean isList = !answer.requested().isKnown();
+    boolean ignoresRequested = !isList && faults.contains(Fault.REQUESTED_POSITION_IGNORED);
+    StorePlace requested = ignoresRequested ? watcher.position() : answer.requested();
+    EraRule.Verdict verdict = rule.judge(answer.position().era(), watcher.position(), requested, 0);
+    if (verdict == EraRule.Verdict.LIST_ANEW && !faults.contains(Fault.WATCH_CONTINUED)) {
       mustList = true;
     }
-    return verdict == EraRule.Verdict.DROP && !flaws.contains(Flaw.LATE_ANSWER_TAKEN);
+    return verdict == EraRule.Verdict.DROP && !faults.contains(Fault.LATE_ANSWER_ACCEPTED);
   }
 
-  /** Another daemon that watches has just listed, and tells. */
-  private boolean watcherTakesCopy() {
+  /** Another watching daemon has just listed the store, and sends its objects to the watcher. */
+  private boolean watcherMergesPeerUpdate() {
     ObjectTable<Integer> other = table();
     Map<String, Page.Item<Integer>> listed = new LinkedHashMap<>();
     items(now()).forEach(item -> listed.put(item.name(), item));
     other.replace(listed, at(now().revision()));
-    boolean taken = watcher.merge(other.updateSince(StorePlace.NONE));
-    look();
-    return taken;
+    boolean merged = watcher.merge(other.updateSince(StorePlace.NONE));
+    recordVersions();
+    return merged;
   }
 
-  private boolean giveCopy() {
+  private boolean sendUpdate() {
     if (!watcher.newest().isKnown()) {
       return false;
     }
-    copy = watcher.updateSince(follower.position());
+    update = watcher.updateSince(follower.position());
     return true;
   }
 
-  private boolean copyComes() {
-    CopyUpdate<Integer> told = copy;
-    copy = null;
-    if (told != null) {
-      follower.merge(flaws.contains(Flaw.OLD_COPY_MERGED) ? asPresent(told) : told);
-      look();
+  private boolean updateArrives() {
+    CopyUpdate<Integer> arrived = update;
+    update = null;
+    if (arrived != null) {
+      follower.merge(faults.contains(Fault.OLD_UPDATE_MERGED) ? asCurrentEra(arrived) : arrived);
+      recordVersions();
     }
     return true;
   }
 
-  private CopyUpdate<Integer> asPresent(CopyUpdate<Integer> told) {
-    StorePlace present = new StorePlace(follower.position().era(), told.place().revision() + 9);
-    Map<String, StorePlace> places = new LinkedHashMap<>();
-    told.places().keySet().forEach(name -> places.put(name, present));
-    return new CopyUpdate<>(present, present, told.whole(), told.objects(), places, told.removed());
+  private CopyUpdate<Integer> asCurrentEra(CopyUpdate<Integer> old) {
+    StorePlace current = new StorePlace(follower.position().era(), old.place().revision() + 9);
+    Map<String, StorePlace> positions = new LinkedHashMap<>();
+    old.places().keySet().forEach(name -> positions.put(name, current));
+    return new CopyUpdate<>(current, current, old.whole(), old.objects(), positions, old.removed());
   }
 
-  private void look() {
+  private void recordVersions() {
     int watched = watcher.objects().getOrDefault(CONFIGURATION, 0);
     int copied = follower.objects().getOrDefault(CONFIGURATION, 0);
-    wentBack |= watched < watcherVersion || copied < followerVersion;
+    versionDecreased |= watched < watcherVersion || copied < followerVersion;
     watcherVersion = Math.max(watcherVersion, watched);
     followerVersion = Math.max(followerVersion, copied);
   }
 
-  /** Tells whether a daemon has gone back to a lower version. */
-  boolean hasGoneBack() {
-    return wentBack;
+  /** Tells whether the configuration version of a daemon has decreased. */
+  boolean hasVersionDecreased() {
+    return versionDecreased;
   }
 
   /**
-   * Lets all calls be answered without trouble or a word of peers, and compares all with the store.
+   * Completes further calls without rollbacks or reports of peers. Returns true when no version has
+   * decreased and all copies match the store.
    */
-  boolean endsRight() {
-    peersTell = false;
-    for (int call = 0; call < CALLS_UNTIL_AT_REST; call++) {
-      happens(Event.STORE_LISTS);
-      happens(Event.LIST_COMES);
-      happens(Event.STORE_TELLS_CHANGES);
-      happens(Event.CHANGES_COME);
-      happens(Event.COPY_COMES);
-      happens(Event.WATCHER_GIVES_COPY);
-      happens(Event.COPY_COMES);
+  boolean converges() {
+    peersReport = false;
+    for (int call = 0; call < CALLS_TO_CONVERGE; call++) {
+      tryApply(Event.STORE_SENDS_LIST);
+      tryApply(Event.LIST_ARRIVES);
+      tryApply(Event.STORE_SENDS_CHANGES);
+      tryApply(Event.CHANGES_ARRIVE);
+      tryApply(Event.UPDATE_ARRIVES);
+      tryApply(Event.WATCHER_SENDS_UPDATE);
+      tryApply(Event.UPDATE_ARRIVES);
     }
-    return !wentBack && isRight(watcher, watcherVersion) && isRight(follower, followerVersion);
+    return !versionDecreased
+        && matchesStore(watcher, watcherVersion)
+        && matchesStore(follower, followerVersion);
   }
 
-  private boolean isRight(ObjectTable<Integer> table, int highest) {
+  private boolean matchesStore(ObjectTable<Integer> table, int highest) {
     int expected = Math.max(highest, now().version());
-    boolean node = table.objects().containsKey(NODE) == now().nodeIsThere();
+    boolean node = table.objects().containsKey(NODE) == now().nodeListed();
     return node && table.objects().getOrDefault(CONFIGURATION, 0) == expected;
   }
 
-  /** All that tells this world from another. */
+  /** Identifies the state of the model. */
   String signature() {
     return String.join(
         "|",
         history.toString(),
-        era + " " + newestVersion + " " + nodeHasGone + " " + mustList + " " + wentBack,
+        era + " " + newestVersion + " " + nodeRemoved + " " + mustList + " " + versionDecreased,
         watcher.position() + " " + watcher.newest() + " " + watcher.objects() + watcher.positions(),
         follower.position()
             + " "
@@ -321,7 +325,7 @@
             + follower.positions(),
         String.valueOf(list),
         String.valueOf(changes),
-        String.valueOf(copy),
+        String.valueOf(update),
         watcherVersion + " " + followerVersion);
   }
 }
