--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonEndpoints.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonEndpoints.java
@@ -51,7 +51,7 @@
 
   /**
    * Answers a peer's query: for a newer copy of the store's objects, for a permit under a limit, or
-   * for a permit to try a barred request.
+   * for a permit to try a quarantined request.
    */
   SimpleResponseHandler.Response answerPeer(String target) {
     byte[] body = new byte[0];
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/QuarantinePersistence.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/QuarantinePersistence.java
@@ -6,8 +6,8 @@
 import org.fawnvale.serving.store.QuarantineStore;
 
 /**
- * Decides which daemon saves the records of barred requests in the platform's store, for daemons
- * that start later. Only few daemons save a record, to limit the number of calls.
+ * Decides which daemon saves the records of quarantined requests in the platform's store, for
+ * daemons that start later. Only few daemons save a record, to limit the number of calls.
  */
 final class QuarantinePersistence {
 
@@ -19,7 +19,7 @@
   /**
    * Creates the service; it does nothing before {@link #start}.
    *
-   * @param quarantine notifies which requests are barred, and which a successful response has
+   * @param quarantine notifies which requests are quarantined, and which a successful response has
    *     cleared
    * @param store saves their records
    */
@@ -42,13 +42,13 @@
   }
 
   /**
-   * Saves the record of a newly barred request. All daemons are notified; the daemon that observed
-   * the node exit which led to the bar saves the record, and so does the leader, because the other
-   * daemon may be shutting down.
+   * Saves the record of a newly quarantined request. All daemons are notified; the daemon that
+   * observed the node exit which led to the quarantine saves the record, and so does the leader,
+   * because the other daemon may be shutting down.
    */
-  private void onBarred(RequestRecord barred, boolean own) {
+  private void onBarred(RequestRecord quarantined, boolean own) {
     if (own || leading) {
-      store.save(barred);
+      store.save(quarantined);
     }
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
@@ -57,16 +57,16 @@
 
   /**
    * Updates which daemons are reachable, and with them the owners of limits and of the trials of
-   * barred requests.
+   * quarantined requests.
    *
    * @param live the last messages of the live peers
-   * @param heardLately the number of daemons heard recently, this one included
+   * @param recentlySeenCount the number of daemons heard recently, this one included
    */
-  void updateReachableDaemons(Collection<PeerNote> live, int heardLately) {
+  void updateReachableDaemons(Collection<PeerNote> live, int recentlySeenCount) {
     List<Owners.Daemon> others = new ArrayList<>();
     live.forEach(
         note -> others.add(new Owners.Daemon(note.name(), note.address(), note.dataCentre())));
-    if (owners.see(others, heardLately, System.nanoTime())) {
+    if (owners.see(others, recentlySeenCount, System.nanoTime())) {
       limits.ownersChanged();
     }
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreRollbackReporter.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/StoreRollbackReporter.java
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Warns when this daemon did not observe an era. The copy is complete nevertheless, because it
-   * was listed in the latest era.
+   * Warns when this daemon did not observe an era. The copy is complete nevertheless, because each
+   * change of the era replaces it as a whole.
    */
   private static void warnOnEraJump(Platform.Kind kind, StoreEra before, StoreEra now) {
     if (!before.equals(StoreEra.UNTOLD) && Math.abs(now.number() - before.number()) > 1) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/ObjectTable.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/ObjectTable.java
@@ -14,8 +14,9 @@
 /**
  * This daemon's copy of the store's objects of one kind, with the change and removal positions that
  * are needed to send peers only the changes. Within one era the copy never moves to an earlier
- * position. When the store begins another era, its list replaces the copy: the store assigns the
- * same revisions again, so positions of two eras can't be compared by revision.
+ * position. When the store begins another era, its list replaces the copy, except for objects that
+ * the merge policy prefers: the store assigns the same revisions again, so positions of two eras
+ * can't be compared by revision.
  *
  * @param <T> the type of the objects
  */
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
@@ -20,8 +20,8 @@
 import org.fawnvale.serving.spi.Platform;
 
 /**
- * Persists the records of barred requests, which crash nodes, in the platform's store, so that a
- * restart of all daemons does not lose them. Callers hold the daemon's lock.
+ * Persists the records of quarantined requests, which crash nodes, in the platform's store, so that
+ * a restart of all daemons does not lose them. Callers hold the daemon's lock.
  */
 public final class QuarantineStore {
 
@@ -134,22 +134,22 @@
   /**
    * Saves a record for daemons that start later; retries until the store has accepted it.
    *
-   * @param barred the record of a barred request
+   * @param quarantined the record of a quarantined request
    */
-  public void save(RequestRecord barred) {
+  public void save(RequestRecord quarantined) {
     if (pending.size() < MAX_PENDING) {
-      pending.put(barred.fingerprint(), barred);
+      pending.put(quarantined.fingerprint(), quarantined);
       saveNext();
     } else {
       LOG.warn(
           "fingerprint={} outcome=not_kept; too many records are waiting to be saved.",
-          barred.fingerprint());
+          quarantined.fingerprint());
     }
   }
 
   /**
    * Deletes the record of a request that a node has since completed, so that daemons that start
-   * later do not bar it.
+   * later do not quarantine it.
    *
    * @param fingerprint the request
    */
@@ -174,14 +174,15 @@
         reply -> onSaveReply(next, reply));
   }
 
-  private void onSaveReply(RequestRecord barred, WholeCall.Reply reply) {
+  private void onSaveReply(RequestRecord quarantined, WholeCall.Reply reply) {
     saving = false;
     boolean isSaved =
         reply instanceof WholeCall.Answered answer
             && (answer.status() < FIRST_REDIRECT || answer.status() == CONFLICT);
-    LOG.info("fingerprint={} outcome={}", barred.fingerprint(), isSaved ? "kept" : "not_kept_yet");
+    LOG.info(
+        "fingerprint={} outcome={}", quarantined.fingerprint(), isSaved ? "kept" : "not_kept_yet");
     if (isSaved) {
-      pending.remove(barred.fingerprint());
+      pending.remove(quarantined.fingerprint());
       saveNext();
     } else {
       timers.after(RETRY_DELAY_MILLIS, this::saveNext);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
@@ -327,7 +327,7 @@
 
   private void call(
       Call call,
-      StorePlace asked,
+      StorePlace requested,
       StoreCallMetrics.Reason reason,
       int timeoutMillis,
       int ofSequence,
@@ -340,14 +340,14 @@
         timeoutMillis,
         reply -> {
           if (ofSequence == sequence) {
-            onReply(reply, asked, reason, onPage);
+            onReply(reply, requested, reason, onPage);
           }
         });
   }
 
   private void onReply(
       WholeCall.Reply reply,
-      StorePlace asked,
+      StorePlace requested,
       StoreCallMetrics.Reason reason,
       Consumer<Page<T>> onPage) {
     if (!(reply instanceof WholeCall.Answered answer) || answer.status() != OK) {
@@ -355,7 +355,7 @@
       return;
     }
     StoreEra era = platform.era(answer.head());
-    switch (eraRule.judge(era, position(), asked, System.nanoTime())) {
+    switch (eraRule.judge(era, position(), requested, System.nanoTime())) {
       case DROP -> onEarlierEra(era, reason);
       case LIST_ANEW -> {
         onAnswer();
