--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonEndpoints.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonEndpoints.java
@@ -4,11 +4,13 @@
 import java.nio.charset.StandardCharsets;
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.Node;
+
+
+import org.fawnvale.serving.store.PeerCopyExchange;
 import org.fawnvale.serving.limit.LimitPermitService;
 import org.fawnvale.serving.limit.TrialPermitService;
-import org.fawnvale.serving.store.PeerCopyExchange;
 
-/** What a daemon answers to the balancer, to those who read its figures, and to its peers. */
+/** The daemon's HTTP endpoints for the balancer, for metrics and for queries of peers. */
 final class DaemonEndpoints {
 
   private static final int OK = 200;
@@ -19,47 +21,51 @@
   private final PrometheusMeterRegistry registry;
   private final PeerCopyExchange<Node> nodes;
   private final PeerCopyExchange<Configuration> configurations;
-  private final LimitPermitService limits;
-  private final TrialPermitService trials;
+  private final LimitPermitService limitPermits;
+  private final TrialPermitService trialPermits;
 
   DaemonEndpoints(
       String readyPath,
       PrometheusMeterRegistry registry,
       PeerCopyExchange<Node> nodes,
       PeerCopyExchange<Configuration> configurations,
-      LimitPermitService limits,
-      TrialPermitService trials) {
+      LimitPermitService limitPermits,
+      TrialPermitService trialPermits) {
     this.readyPath = readyPath;
     this.registry = registry;
     this.nodes = nodes;
     this.configurations = configurations;
-    this.limits = limits;
-    this.trials = trials;
+    this.limitPermits = limitPermits;
+    this.trialPermits = trialPermits;
   }
 
-  SimpleResponseHandler.Page ready(String target, boolean isReady) {
+  SimpleResponseHandler.Response ready(String target, boolean isReady) {
     if (!readyPath.equals(target)) {
-      return new SimpleResponseHandler.Page(NOT_FOUND, new byte[0]);
+      return new SimpleResponseHandler.Response(NOT_FOUND, new byte[0]);
     }
-    return new SimpleResponseHandler.Page(isReady ? OK : UNAVAILABLE, new byte[0]);
+    return new SimpleResponseHandler.Response(isReady ? OK : UNAVAILABLE, new byte[0]);
   }
 
-  SimpleResponseHandler.Page figures() {
-    return new SimpleResponseHandler.Page(OK, registry.scrape().getBytes(StandardCharsets.UTF_8));
+  SimpleResponseHandler.Response metrics() {
+    return new SimpleResponseHandler.Response(
+        OK, registry.scrape().getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Gives a peer what it lacks of the store's objects, or leave for what is counted once. */
-  SimpleResponseHandler.Page forPeers(String target) {
-    byte[] copy = new byte[0];
-    if (limits.handles(target)) {
-      copy = limits.answer(target);
-    } else if (trials.handles(target)) {
-      copy = trials.answer(target);
-    } else if (nodes.isAskedBy(target)) {
-      copy = nodes.give(target);
-    } else if (configurations.isAskedBy(target)) {
-      copy = configurations.give(target);
+  /**
+   * Answers a peer's query: for a newer copy of the store's objects, for a permit under a limit, or
+   * for a permit to try a quarantined request.
+   */
+  SimpleResponseHandler.Response answerPeer(String target) {
+    byte[] body = new byte[0];
+    if (limitPermits.handles(target)) {
+      body = limitPermits.answer(target);
+    } else if (trialPermits.handles(target)) {
+      body = trialPermits.answer(target);
+    } else if (nodes.handles(target)) {
+      body = nodes.respond(target);
+    } else if (configurations.handles(target)) {
+      body = configurations.respond(target);
     }
-    return new SimpleResponseHandler.Page(copy.length == 0 ? UNAVAILABLE : OK, copy);
+    return new SimpleResponseHandler.Response(body.length == 0 ? UNAVAILABLE : OK, body);
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/QuarantinePersistence.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/QuarantinePersistence.java
@@ -1,67 +1,71 @@
 package org.fawnvale.serving.daemon;
 
-import org.fawnvale.serving.core.quarantine.QuarantineRecord;
+
 import org.fawnvale.serving.core.watch.StoreEra;
-import org.fawnvale.serving.gateway.RequestQuarantine;
+
 import org.fawnvale.serving.store.QuarantineStore;
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
+import org.fawnvale.serving.gateway.RequestQuarantine;
 
 /**
- * Who keeps requests that end nodes in the platform's store, for daemons to come: few daemons,
- * since each call costs.
+ * Decides which daemon saves the records of quarantined requests in the platform's store, for
+ * daemons that start later. Only few daemons save a record, to limit the number of calls.
  */
 final class QuarantinePersistence {
 
-  private final RequestQuarantine repeats;
+  private final RequestQuarantine quarantine;
   private final QuarantineStore store;
-  private boolean leads;
-  private StoreEra keptIn = StoreEra.UNKNOWN;
+  private boolean leading;
+  private StoreEra savedInEra = StoreEra.UNKNOWN;
 
   /**
-   * Creates the keeper; it does nothing before {@link #begin}.
+   * Creates the service; it does nothing before {@link #start}.
    *
-   * @param repeats tells which requests are barred and which an answer has cleared
-   * @param store keeps them
+   * @param quarantine notifies which requests are quarantined, and which a successful response has
+   *     cleared
+   * @param store saves their records
    */
-  QuarantinePersistence(RequestQuarantine repeats, QuarantineStore store) {
-    this.repeats = repeats;
+  QuarantinePersistence(RequestQuarantine quarantine, QuarantineStore store) {
+    this.quarantine = quarantine;
     this.store = store;
   }
 
   /**
-   * Begins to hear of them.
+   * Loads the saved records and registers the listeners.
    *
-   * @param mayBeKnown whether earlier daemons may have kept some
+   * @param mayHaveRecords whether the store may contain records of earlier daemons
    */
-  void begin(boolean mayBeKnown) {
-    if (mayBeKnown) {
-      store.learn();
+  void start(boolean mayHaveRecords) {
+    if (mayHaveRecords) {
+      store.load();
     }
-    repeats.onBarred(this::barred);
-    repeats.onCleared(store::forget);
+    quarantine.onBarred(this::onBarred);
+    quarantine.onCleared(store::delete);
   }
 
   /**
-   * Each daemon hears of a request that is barred. The one that saw the last end keeps it for those
-   * to come, and the leader, since the other may be at its end.
+   * Saves the record of a newly quarantined request. All daemons are notified; the daemon that
+   * observed the node exit which led to the quarantine saves the record, and so does the leader,
+   * because the other daemon may be shutting down.
    */
-  private void barred(QuarantineRecord told, boolean own) {
-    if (own || leads) {
-      store.keep(told);
+  private void onBarred(QuarantineRecord quarantined, boolean own) {
+    if (own || leading) {
+      store.save(quarantined);
     }
   }
 
   /**
-   * Takes note of who leads. The store may have gone back behind what was kept there: the leader,
-   * which knows all of it from the notes, keeps it again, once for each history of the store.
+   * Records whether this daemon leads. A rollback of the store may have removed saved records, so
+   * the leader, which receives all of them in peer messages, saves them again once in each era.
    *
    * @param leadsNow whether this daemon leads
-   * @param era the store's history that its copies show
+   * @param era the era of this daemon's copies
    */
-  void look(boolean leadsNow, StoreEra era) {
-    leads = leadsNow;
-    if (leadsNow && !era.equals(keptIn)) {
-      keptIn = era;
-      repeats.barredRecords().forEach(store::keep);
+  void update(boolean leadsNow, StoreEra era) {
+    leading = leadsNow;
+    if (leadsNow && !era.equals(savedInEra)) {
+      savedInEra = era;
+      quarantine.barredRecords().forEach(store::save);
     }
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
@@ -3,43 +3,49 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-import org.fawnvale.serving.core.limit.LimitUpdate;
+
 import org.fawnvale.serving.core.limit.SharedLimits;
+
+
+
+
+
+import org.fawnvale.serving.peer.Peers;
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.gateway.RequestQuarantine;
 import org.fawnvale.serving.limit.LimitPermitService;
-import org.fawnvale.serving.peer.Peers;
 
-/** What all daemons come to know together: requests that end nodes, and limits that nodes name. */
+/**
+ * Connects the state that all daemons share with the exchange of peer messages: records of requests
+ * that crash nodes, and limits that nodes advertise.
+ */
 final class SharedStateUpdates implements Peers.SharedNews {
 
   private final RendezvousOwners owners;
-  private final RequestQuarantine repeats;
+  private final RequestQuarantine quarantine;
   private final SharedLimits limits;
-  private final LimitPermitService desk;
+  private final LimitPermitService limitPermits;
 
   SharedStateUpdates(
-      RendezvousOwners owners,
-      RequestQuarantine repeats,
-      SharedLimits limits,
-      LimitPermitService desk) {
+      RendezvousOwners owners, RequestQuarantine quarantine, SharedLimits limits, LimitPermitService limitPermits) {
     this.owners = owners;
-    this.repeats = repeats;
+    this.quarantine = quarantine;
     this.limits = limits;
-    this.desk = desk;
+    this.limitPermits = limitPermits;
   }
 
-  /** Tells whether there is what the others should know at once. */
-  boolean takeNews() {
-    boolean ofRepeats = repeats.takeUrgentUpdate();
-    return limits.knownLimits().takeUrgent() || ofRepeats;
+  /** Tells whether an update since the last call has to reach the other daemons at once. */
+  boolean takeUrgentUpdate() {
+    boolean hasUrgentRecords = quarantine.takeUrgentUpdate();
+    return limits.knownLimits().takeUrgent() || hasUrgentRecords;
   }
 
   @Override
   public List<QuarantineRecord> records(boolean forOthers) {
-    return repeats.recordsToSend(forOthers);
+    return quarantine.recordsToSend(forOthers);
   }
 
   @Override
@@ -48,21 +54,25 @@
   }
 
   @Override
-  public void hear(List<QuarantineRecord> records, List<LimitUpdate> notes) {
+  public void hear(List<QuarantineRecord> records, List<LimitUpdate> limitUpdates) {
     if (!records.isEmpty()) {
-      repeats.receive(records);
+      quarantine.receive(records);
     }
-    desk.receive(notes);
+    limitPermits.receive(limitUpdates);
   }
 
-  /** Takes in which daemons are in touch: they share limits, and trials of barred requests. */
-  void see(Collection<PeerMessage> live, int heardLately) {
+  /**
+   * Updates which daemons are reachable, and with them the owners of limits and of the trials of
+   * quarantined requests.
+   *
+   * @param live the last messages of the live peers
+   * @param recentlySeenCount the number of daemons heard recently, this one included
+   */
+  void updateReachableDaemons(Collection<PeerMessage> live, int recentlySeenCount) {
     List<RendezvousOwners.Daemon> others = new ArrayList<>();
     live.forEach(
-        note ->
-            others.add(
-                new RendezvousOwners.Daemon(note.name(), note.address(), note.dataCentre())));
-    if (owners.updateReachable(others, heardLately, System.nanoTime())) {
+        note -> others.add(new RendezvousOwners.Daemon(note.name(), note.address(), note.dataCentre())));
+    if (owners.updateReachable(others, recentlySeenCount, System.nanoTime())) {
       limits.ownersChanged();
     }
   }
