--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Assembler.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Assembler.java
@@ -21,7 +21,7 @@
 final class Assembler {
 
   private static final long MILLI = 1_000_000L;
-  private static final long ATTEMPT_SLACK_NANOS = 2_500 * MILLI;
+  private static final long ATTEMPT_MARGIN_NANOS = 2_500 * MILLI;
 
   /**
    * The list shows a member that has become ready within a rest of the leader, 120 ms while groups
@@ -29,14 +29,14 @@
    */
   private static final long REPORT_AFTER_NANOS = 300 * MILLI;
 
-  private static final long REPORT_EVERY_NANOS = 800 * MILLI;
+  private static final long REPORT_INTERVAL_NANOS = 800 * MILLI;
 
   /** A group that another leader began is asked at once, member by member. */
-  private static final long ADOPTED_REPORT_EVERY_NANOS = 250 * MILLI;
+  private static final long ADOPTED_REPORT_INTERVAL_NANOS = 250 * MILLI;
 
-  private static final long OPEN_AGAIN_NANOS = 200 * MILLI;
+  private static final long OPEN_RETRY_NANOS = 200 * MILLI;
 
-  private final OrderTracker log;
+  private final OrderTracker tracker;
   private final Map<GroupKey, FormationAttempt> attempts = new LinkedHashMap<>();
   private final Map<GroupKey, Long> openSent = new LinkedHashMap<>();
   private final Predicate<GroupKey> released;
@@ -47,8 +47,8 @@
    * @param log what is known of the nodes' orders
    * @param released tells whether the members of a group may join another one
    */
-  Assembler(OrderTracker log, Predicate<GroupKey> released) {
-    this.log = log;
+  Assembler(OrderTracker tracker, Predicate<GroupKey> released) {
+    this.tracker = tracker;
     this.released = released;
   }
 
@@ -63,13 +63,13 @@
     return attempts.values();
   }
 
-  Set<String> taken() {
-    Set<String> taken = new HashSet<>();
-    attempts.values().forEach(attempt -> taken.addAll(attempt.members));
-    return taken;
+  Set<String> assignedNodes() {
+    Set<String> assignedNodes = new HashSet<>();
+    attempts.values().forEach(attempt -> assignedNodes.addAll(attempt.members));
+    return assignedNodes;
   }
 
-  int loadsUnderWay() {
+  int loadsInProgress() {
     int loads = 0;
     for (FormationAttempt attempt : attempts.values()) {
       boolean loading = attempt.openedNanos < 0 && !attempt.allReady();
@@ -80,9 +80,10 @@
 
   void begin(GroupKey key, FormationPolicy.Proposal proposal, List<String> members, long now) {
     long ready = now + proposal.readyMillis() * MILLI;
-    long giveUp = ready + 2 * proposal.readyMillis() * MILLI + ATTEMPT_SLACK_NANOS;
+    long deadline = ready + 2 * proposal.readyMillis() * MILLI + ATTEMPT_MARGIN_NANOS;
     attempts.put(
-        key, new FormationAttempt(key, proposal.model(), members, proposal.loads(), ready, giveUp));
+        key,
+        new FormationAttempt(key, proposal.model(), members, proposal.loads(), ready, deadline));
   }
 
   /** Takes a whole group over that a former leader began. */
@@ -91,31 +92,31 @@
     group.members().stream()
         .sorted((a, b) -> Integer.compare(rank(a), rank(b)))
         .forEach(node -> members.add(node.id()));
-    long patience = 2 * model.loadMillis() * MILLI + ATTEMPT_SLACK_NANOS;
+    long timeout = 2 * model.loadMillis() * MILLI + ATTEMPT_MARGIN_NANOS;
     FormationAttempt attempt =
         new FormationAttempt(
-            group.key(), model, members, 0, now + ADOPTED_REPORT_EVERY_NANOS, now + patience);
+            group.key(), model, members, 0, now + ADOPTED_REPORT_INTERVAL_NANOS, now + timeout);
     attempt.joined.addAll(members);
     attempt.adopted = true;
-    attempt.headAsked = true;
+    attempt.headOrdered = true;
     attempts.put(group.key(), attempt);
   }
 
   /** Ends attempts that serve or that can't succeed. */
-  List<Failed> judge(
-      Map<String, Node> nodes, Set<String> stalledHeads, List<String> remarks, long now) {
+  List<Failed> endFinished(
+      Map<String, Node> nodes, Set<String> stalledHeads, List<String> logLines, long now) {
     List<Failed> failed = new ArrayList<>();
     for (FormationAttempt attempt : List.copyOf(attempts.values())) {
       Node head = nodes.get(attempt.head());
-      if (head != null && attempt.key.holds(head.membership()) && isOpen(head)) {
+      if (head != null && attempt.key.matches(head.membership()) && isOpen(head)) {
         end(attempt);
-        remarks.add("group=" + attempt.key.name() + " serves model=" + attempt.model.name());
+        logLines.add("group=" + attempt.key.name() + " serves model=" + attempt.model.name());
         continue;
       }
-      String fault = fault(attempt, nodes, stalledHeads, now);
-      if (fault != null) {
+      String failureReason = failureReason(attempt, nodes, stalledHeads, now);
+      if (failureReason != null) {
         end(attempt);
-        failed.add(new Failed(attempt, fault));
+        failed.add(new Failed(attempt, failureReason));
       }
     }
     return failed;
@@ -126,24 +127,24 @@
     openSent.remove(attempt.key);
   }
 
-  private @Nullable String fault(
+  private @Nullable String failureReason(
       FormationAttempt attempt, Map<String, Node> nodes, Set<String> stalledHeads, long now) {
     for (String member : attempt.members) {
       Node node = nodes.get(member);
       if (node == null || node.draining()) {
         return "member " + member + " is gone or leaving";
       }
-      if (log.inConflict(member, now)) {
+      if (tracker.inConflict(member, now)) {
         return "member " + member + " is in a group that may serve";
       }
-      if (log.failedProof(member)) {
+      if (tracker.failedLivenessCheck(member)) {
         return "member " + member + " gives no answer";
       }
     }
-    if (attempt.moved != null) {
-      return "member " + attempt.moved + " has left it";
+    if (attempt.departedMember != null) {
+      return "member " + attempt.departedMember + " has left it";
     }
-    if (attempt.openedNanos < 0 && now > attempt.giveUpNanos) {
+    if (attempt.openedNanos < 0 && now > attempt.deadlineNanos) {
       return "it was not ready in time";
     }
     return stalledHeads.contains(attempt.key.headAtEpoch()) ? "its head stands still" : null;
@@ -153,7 +154,7 @@
     for (FormationAttempt attempt : attempts.values()) {
       for (String member : attempt.members) {
         Node node = nodes.get(member);
-        if (node != null && !log.busy(member)) {
+        if (node != null && !tracker.isBusy(member)) {
           advanceMember(attempt, node, sink, now);
         }
       }
@@ -161,9 +162,9 @@
       boolean due =
           attempt.allReady()
               && attempt.openedNanos < 0
-              && now - openSent.getOrDefault(attempt.key, now - OPEN_AGAIN_NANOS)
-                  >= OPEN_AGAIN_NANOS;
-      if (due && head != null && !log.busy(head.id())) {
+              && now - openSent.getOrDefault(attempt.key, now - OPEN_RETRY_NANOS)
+                  >= OPEN_RETRY_NANOS;
+      if (due && head != null && !tracker.isBusy(head.id())) {
         openSent.put(attempt.key, now);
         sink.add(head, GroupOrder.Kind.OPEN, attempt.key);
       }
@@ -173,25 +174,28 @@
   private void advanceMember(FormationAttempt attempt, Node node, OrderSink sink, long now) {
     String id = node.id();
     if (!attempt.joined.contains(id)) {
-      GroupKey place = log.place(id);
-      if (isNew(node)) {
-        attempt.headAsked |= id.equals(attempt.head());
+      GroupKey membership = tracker.group(id);
+      if (hasNoKnownOrders(node)) {
+        attempt.headOrdered |= id.equals(attempt.head());
         sink.join(node, attempt, 0);
-      } else if (log.orders(id) == OrderTracker.UNKNOWN) {
+      } else if (tracker.orders(id) == OrderTracker.UNKNOWN) {
         sink.report(node);
-      } else if (place == null || place.equals(attempt.key) || released.test(place)) {
-        attempt.headAsked |= id.equals(attempt.head());
-        sink.join(node, attempt, log.orders(id));
+      } else if (membership == null
+          || membership.equals(attempt.key)
+          || released.test(membership)) {
+        attempt.headOrdered |= id.equals(attempt.head());
+        sink.join(node, attempt, tracker.orders(id));
       } else {
-        log.conflict(id, now);
+        tracker.recordConflict(id, now);
       }
       return;
     }
     if (attempt.ready.contains(id)) {
       return;
     }
-    Membership place = node.membership();
-    boolean listedReady = place != null && attempt.key.holds(place) && isReady(place.state());
+    Membership membership = node.membership();
+    boolean listedReady =
+        membership != null && attempt.key.matches(membership) && isReady(membership.state());
     if (listedReady && !attempt.adopted) {
       attempt.ready.add(id);
     } else if (reportIsDue(attempt, id, now)) {
@@ -204,22 +208,23 @@
    * none. It is not asked first: the join names a count of none, and a node that has taken any
    * refuses it.
    */
-  private boolean isNew(Node node) {
+  private boolean hasNoKnownOrders(Node node) {
     boolean bare = node.membership() == null && node.model() == null && node.staged().isEmpty();
-    return bare && !log.hasMet(node.id());
+    return bare && !tracker.wasContacted(node.id());
   }
 
   /** The word of the list is not enough for a group that another leader began. */
   private boolean reportIsDue(FormationAttempt attempt, String id, long now) {
-    boolean expected = attempt.adopted || now > attempt.expectedReadyNanos + REPORT_AFTER_NANOS;
-    long pause = attempt.adopted ? ADOPTED_REPORT_EVERY_NANOS : REPORT_EVERY_NANOS;
-    return expected && now - log.lastReport(id) > pause;
+    boolean reportExpected =
+        attempt.adopted || now > attempt.expectedReadyNanos + REPORT_AFTER_NANOS;
+    long pause = attempt.adopted ? ADOPTED_REPORT_INTERVAL_NANOS : REPORT_INTERVAL_NANOS;
+    return reportExpected && now - tracker.lastReportNanos(id) > pause;
   }
 
   void outcome(GroupOrder order, GroupOrder.Outcome outcome, long now) {
     FormationAttempt attempt = attempts.get(new GroupKey(order.group(), order.epoch()));
-    boolean holds = outcome == GroupOrder.Outcome.BEGUN || outcome == GroupOrder.Outcome.DONE;
-    if (attempt == null || !holds) {
+    boolean matches = outcome == GroupOrder.Outcome.BEGUN || outcome == GroupOrder.Outcome.DONE;
+    if (attempt == null || !matches) {
       return;
     }
     if (order.kind() == GroupOrder.Kind.JOIN) {
@@ -231,36 +236,36 @@
   }
 
   /** A member that was ready in its former life is in no group in its new one. */
-  void begunAnew(String id) {
+  void nodeRestarted(String id) {
     for (FormationAttempt attempt : attempts.values()) {
       if (attempt.joined.contains(id)) {
-        attempt.moved = id;
+        attempt.departedMember = id;
       }
     }
   }
 
-  void report(String id, @Nullable Membership place) {
+  void report(String id, @Nullable Membership membership) {
     for (FormationAttempt attempt : attempts.values()) {
       if (attempt.members.contains(id)) {
-        report(attempt, id, place);
+        report(attempt, id, membership);
       }
     }
   }
 
-  private static void report(FormationAttempt attempt, String id, @Nullable Membership place) {
-    if (place != null && attempt.key.holds(place)) {
+  private static void report(FormationAttempt attempt, String id, @Nullable Membership membership) {
+    if (membership != null && attempt.key.matches(membership)) {
       attempt.joined.add(id);
-      if (isReady(place.state())) {
+      if (isReady(membership.state())) {
         attempt.ready.add(id);
       }
     } else if (attempt.adopted) {
-      attempt.moved = id;
+      attempt.departedMember = id;
     }
   }
 
   private static boolean isOpen(Node head) {
-    Membership place = head.membership();
-    return place != null && place.state() == MemberState.OPEN;
+    Membership membership = head.membership();
+    return membership != null && membership.state() == MemberState.OPEN;
   }
 
   private static boolean isReady(MemberState state) {
@@ -268,7 +273,7 @@
   }
 
   private static int rank(Node node) {
-    Membership place = node.membership();
-    return place == null ? Integer.MAX_VALUE : place.rank();
+    Membership membership = node.membership();
+    return membership == null ? Integer.MAX_VALUE : membership.rank();
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Dissolution.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Dissolution.java
@@ -13,7 +13,7 @@
     /** The head ends its work first. */
     GRACEFUL,
     /** At once. */
-    AT_ONCE
+    IMMEDIATE
   }
 
   final GroupKey key;
@@ -21,10 +21,10 @@
   final List<String> members;
   final Manner manner;
   final long sinceNanos;
-  final Set<String> left = new HashSet<>();
+  final Set<String> leftMembers = new HashSet<>();
   boolean closed;
   boolean drained;
-  boolean headSilent;
+  boolean headUnresponsive;
   boolean headLeft;
   long headLeftAtNanos;
   long brokenAtNanos = Long.MAX_VALUE;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Dissolver.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Dissolver.java
@@ -20,7 +20,7 @@
 
   private static final long MILLI = 1_000_000L;
   private static final long BREAK_MARGIN_NANOS = 400 * MILLI;
-  private static final long GRACE_NANOS = 3_000 * MILLI;
+  private static final long DRAIN_TIMEOUT_NANOS = 3_000 * MILLI;
 
   /** How often a head that closes is asked whether its work has ended. */
   private static final long DRAIN_POLL_NANOS = 200 * MILLI;
@@ -28,19 +28,19 @@
   /** Reports are of some hundred milliseconds earlier; the engines' configuration tells 200. */
   private static final long REPORT_LAG_NANOS = 300 * MILLI;
 
-  private static final long SETTLED_NANOS = 2_000 * MILLI;
-  private static final int MOST_RELEASED = 1_000;
+  private static final long STABLE_LISTING_NANOS = 2_000 * MILLI;
+  private static final int MAX_RELEASED = 1_000;
 
-  private final OrderTracker log;
+  private final OrderTracker tracker;
   private final long stallNanos;
   private final Map<GroupKey, Dissolution> dissolutions = new LinkedHashMap<>();
-  private final Map<String, Node> known = new LinkedHashMap<>();
+  private final Map<String, Node> lastSeen = new LinkedHashMap<>();
   private final Map<String, Long> listedSince = new HashMap<>();
   private Map<String, Node> listed = Map.of();
   private final Set<GroupKey> released = new LinkedHashSet<>();
 
-  Dissolver(OrderTracker log, long stallNanos) {
-    this.log = log;
+  Dissolver(OrderTracker tracker, long stallNanos) {
+    this.tracker = tracker;
     this.stallNanos = stallNanos;
   }
 
@@ -59,8 +59,8 @@
     return dissolutions.containsKey(key) || released.contains(key);
   }
 
-  void learn(Map<String, Node> nodes, long now) {
-    known.putAll(nodes);
+  void observe(Map<String, Node> nodes, long now) {
+    lastSeen.putAll(nodes);
     listed = nodes;
     listedSince.keySet().retainAll(nodes.keySet());
     nodes.keySet().forEach(id -> listedSince.putIfAbsent(id, now));
@@ -81,7 +81,7 @@
     }
     for (String member : dissolution.members) {
       Long since = listedSince.get(member);
-      if (since != null && now - since < SETTLED_NANOS) {
+      if (since != null && now - since < STABLE_LISTING_NANOS) {
         return false;
       }
     }
@@ -90,8 +90,10 @@
 
   /** Any other state may be an old one: the head may have opened since the list was made. */
   private static boolean isBroken(Node head, GroupKey key) {
-    Membership place = head.membership();
-    return place != null && key.holds(place) && place.state() == MemberState.BROKEN;
+    Membership membership = head.membership();
+    return membership != null
+        && key.matches(membership)
+        && membership.state() == MemberState.BROKEN;
   }
 
   void begin(GroupKey key, List<String> members, Dissolution.Manner manner, long now) {
@@ -111,13 +113,13 @@
         released.add(dissolution.key);
       }
     }
-    while (released.size() > MOST_RELEASED) {
+    while (released.size() > MAX_RELEASED) {
       released.remove(released.iterator().next());
     }
   }
 
   /** The groups of a head that has begun a new life ended with its former one. */
-  void begunAnew(String id, long now) {
+  void nodeRestarted(String id, long now) {
     for (Dissolution dissolution : dissolutions.values()) {
       if (id.equals(dissolution.head)) {
         dissolution.headLeft(now);
@@ -137,12 +139,12 @@
   }
 
   /** The groups whose members are not free yet. */
-  int pending(long now) {
-    int pending = 0;
+  int pendingCount(long now) {
+    int pendingCount = 0;
     for (Dissolution dissolution : dissolutions.values()) {
-      pending += isReleased(dissolution, now) ? 0 : 1;
+      pendingCount += isReleased(dissolution, now) ? 0 : 1;
     }
-    return pending;
+    return pendingCount;
   }
 
   boolean isFree(GroupKey key, long now) {
@@ -151,9 +153,9 @@
   }
 
   /** Tells whether the head gives no answer, so that its group is apart only after a long wait. */
-  boolean isStuck(GroupKey key) {
+  boolean isHeadUnresponsive(GroupKey key) {
     Dissolution dissolution = dissolutions.get(key);
-    return dissolution != null && dissolution.headSilent && !dissolution.headLeft;
+    return dissolution != null && dissolution.headUnresponsive && !dissolution.headLeft;
   }
 
   void advance(Map<String, Node> nodes, OrderSink sink, long now) {
@@ -165,17 +167,18 @@
   }
 
   private void advance(Dissolution dissolution, Map<String, Node> nodes, OrderSink sink, long now) {
-    Node head = dissolution.head == null ? null : known.get(dissolution.head);
+    Node head = dissolution.head == null ? null : lastSeen.get(dissolution.head);
     Node entry = dissolution.head == null ? null : nodes.get(dissolution.head);
     if (entry != null && hasLeft(entry, dissolution.key)) {
       dissolution.headLeft(now);
       return;
     }
-    if (head == null || dissolution.headSilent) {
-      breakByLeaving(dissolution, sink, now);
+    if (head == null || dissolution.headUnresponsive) {
+      removeOtherMembers(dissolution, sink, now);
     }
-    boolean resting = dissolution.headSilent && head != null && log.isSilent(head.id(), now);
-    if (head == null || resting || log.busy(head.id())) {
+    boolean backingOff =
+        dissolution.headUnresponsive && head != null && tracker.isUnresponsive(head.id(), now);
+    if (head == null || backingOff || tracker.isBusy(head.id())) {
       return;
     }
     closeOrLeave(dissolution, head, serves((entry == null ? head : entry).membership()), sink, now);
@@ -185,7 +188,7 @@
       Dissolution dissolution, Node head, boolean serves, OrderSink sink, long now) {
     boolean closeFirst =
         dissolution.manner == Dissolution.Manner.GRACEFUL
-            && now - dissolution.sinceNanos < GRACE_NANOS
+            && now - dissolution.sinceNanos < DRAIN_TIMEOUT_NANOS
             && serves
             && !dissolution.drained;
     if (!closeFirst) {
@@ -193,7 +196,7 @@
     } else if (!dissolution.closed) {
       dissolution.closed = true;
       sink.add(head, GroupOrder.Kind.CLOSE, dissolution.key);
-    } else if (now - log.lastReport(head.id()) > DRAIN_POLL_NANOS) {
+    } else if (now - tracker.lastReportNanos(head.id()) > DRAIN_POLL_NANOS) {
       sink.report(head);
     }
   }
@@ -203,34 +206,36 @@
    * in the group yet answered that it had left, and may have joined since by another leader's
    * order. A report of a moment after the leave may still be of the time before.
    */
-  void report(String id, @Nullable Membership place, long now) {
-    released.removeIf(key -> id.equals(key.head()) && key.holds(place));
+  void report(String id, @Nullable Membership membership, long now) {
+    released.removeIf(key -> id.equals(key.head()) && key.matches(membership));
     for (Dissolution dissolution : dissolutions.values()) {
       if (id.equals(dissolution.head)) {
-        boolean isMember = dissolution.key.holds(place);
+        boolean isMember = dissolution.key.matches(membership);
         dissolution.headLeft &= !isMember || now - dissolution.headLeftAtNanos < REPORT_LAG_NANOS;
-        dissolution.drained |= dissolution.closed && !(isMember && serves(place));
+        dissolution.drained |= dissolution.closed && !(isMember && serves(membership));
       }
     }
   }
 
   private static boolean hasLeft(Node head, GroupKey key) {
-    Membership place = head.membership();
-    return place != null && place.epoch() > key.epoch();
+    Membership membership = head.membership();
+    return membership != null && membership.epoch() > key.epoch();
   }
 
-  private static boolean serves(@Nullable Membership place) {
-    return place != null
-        && (place.state() == MemberState.OPEN || place.state() == MemberState.CLOSING);
+  private static boolean serves(@Nullable Membership membership) {
+    return membership != null
+        && (membership.state() == MemberState.OPEN || membership.state() == MemberState.CLOSING);
   }
 
   /** A head that gives no answer is broken by the leaving of its members. */
-  private void breakByLeaving(Dissolution dissolution, OrderSink sink, long now) {
+  private void removeOtherMembers(Dissolution dissolution, OrderSink sink, long now) {
     for (String member : dissolution.members) {
-      Node node = known.get(member);
+      Node node = lastSeen.get(member);
       boolean skip =
-          node == null || member.equals(dissolution.head) || dissolution.left.contains(member);
-      if (!skip && !log.busy(member) && !log.isSilent(member, now)) {
+          node == null
+              || member.equals(dissolution.head)
+              || dissolution.leftMembers.contains(member);
+      if (!skip && !tracker.isBusy(member) && !tracker.isUnresponsive(member, now)) {
         sink.leave(node, dissolution.key);
       }
     }
@@ -243,31 +248,31 @@
     }
     String id = order.node().id();
     switch (outcome) {
-      case BEGUN, DONE -> left(dissolution, id, now);
+      case BEGUN, DONE -> memberLeft(dissolution, id, now);
       case CONFLICT -> {
         // A leave that named a count may have been refused for the count alone.
         if (order.expectedOrders() == OrderTracker.UNKNOWN) {
-          left(dissolution, id, now);
+          memberLeft(dissolution, id, now);
         }
       }
       // Another life answers at the address, so the one that was meant has ended.
-      case OTHER_NODE -> ended(dissolution, id, now);
+      case OTHER_NODE -> recordLeft(dissolution, id, now);
       // A refused connection proves nothing: a cut may reset connections as well.
-      case GONE, UNKNOWN -> dissolution.headSilent |= id.equals(dissolution.head);
+      case GONE, UNKNOWN -> dissolution.headUnresponsive |= id.equals(dissolution.head);
       default -> {
         // Fenced: the caller steps back, and this planner is dropped. Held: it is due again later.
       }
     }
   }
 
-  private void left(Dissolution dissolution, String id, long now) {
-    ended(dissolution, id, now);
-    long broken = now + stallNanos + BREAK_MARGIN_NANOS;
-    dissolution.brokenAtNanos = Math.min(dissolution.brokenAtNanos, broken);
+  private void memberLeft(Dissolution dissolution, String id, long now) {
+    recordLeft(dissolution, id, now);
+    long brokenAt = now + stallNanos + BREAK_MARGIN_NANOS;
+    dissolution.brokenAtNanos = Math.min(dissolution.brokenAtNanos, brokenAt);
   }
 
-  private static void ended(Dissolution dissolution, String id, long now) {
-    dissolution.left.add(id);
+  private static void recordLeft(Dissolution dissolution, String id, long now) {
+    dissolution.leftMembers.add(id);
     if (id.equals(dissolution.head)) {
       dissolution.headLeft(now);
     }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/DomainPackings.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/DomainPackings.java
@@ -27,11 +27,11 @@
     this.models = engine.models();
     this.nodesBySet = new int[1 << models.size()];
     for (Node node : nodes) {
-      nodesBySet[joinable(node, rule)]++;
+      nodesBySet[joinableModels(node, rule)]++;
     }
   }
 
-  private int joinable(Node node, JoinRule rule) {
+  private int joinableModels(Node node, JoinRule rule) {
     int set = 0;
     for (int index = 0; index < models.size(); index++) {
       set |= rule.mayJoin(node, models.get(index)) ? 1 << index : 0;
@@ -45,11 +45,11 @@
    * @return each as numbers of groups in the order of the engine's models; at least one
    */
   List<List<Integer>> maximal() {
-    fill(new int[models.size()], 0);
+    enumerate(new int[models.size()], 0);
     return maximal;
   }
 
-  private void fill(int[] groups, int index) {
+  private void enumerate(int[] groups, int index) {
     if (index == groups.length) {
       if (isMaximal(groups)) {
         List<Integer> packing = new ArrayList<>();
@@ -62,7 +62,7 @@
     }
     int before = groups[index];
     while (fits(groups)) {
-      fill(groups, index + 1);
+      enumerate(groups, index + 1);
       groups[index]++;
     }
     groups[index] = before;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/DrainingMembers.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/DrainingMembers.java
@@ -10,16 +10,16 @@
    * How long a group may serve with a member that leaves. A member serves on for two seconds and
    * more after it has said that it leaves, and the list lags by up to one.
    */
-  private static final long PATIENCE_NANOS = 1_500_000_000L;
+  private static final long TIMEOUT_NANOS = 1_500_000_000L;
 
-  private final Map<GroupKey, Long> since = new HashMap<>();
+  private final Map<GroupKey, Long> sinceNanos = new HashMap<>();
 
   void retain(Map<GroupKey, ObservedGroup> groups) {
-    since.keySet().retainAll(groups.keySet());
+    sinceNanos.keySet().retainAll(groups.keySet());
   }
 
   /** Tells whether a group has had a member that leaves for as long as it may. */
-  boolean hasWaited(GroupKey key, long now) {
-    return now - since.computeIfAbsent(key, group -> now) >= PATIENCE_NANOS;
+  boolean hasTimedOut(GroupKey key, long now) {
+    return now - sinceNanos.computeIfAbsent(key, group -> now) >= TIMEOUT_NANOS;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ExchangePolicy.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ExchangePolicy.java
@@ -23,34 +23,35 @@
    * that a tenth of noise in it doubles the ratio; with less, groups would be taken apart to and
    * fro.
    */
-  private static final double GAIN_OVER_LOSS = 3.0;
+  private static final double MIN_GAIN_RATIO = 3.0;
 
   /** Groups that one exchange takes apart at most; more would be felt by callers at once. */
-  private static final int MOST_VICTIMS = 4;
+  private static final int MAX_VICTIMS = 4;
 
   /** How long an exchange serves, in seconds: about as long as demand stays within its noise. */
-  private static final double SERVES_SECONDS = 10;
+  private static final double BENEFIT_SECONDS = 10;
 
   /** How long the nodes of an exchange serve nobody, in seconds: its head closes, members join. */
-  private static final double TAKES_SECONDS = 2.5;
+  private static final double EXCHANGE_SECONDS = 2.5;
 
   /**
    * What taking a group apart costs besides, in seconds of a group: its last streams keep its nodes
    * and its connections are lost. Without it a fleet at a third of its load exchanged groups five
    * times in three seconds, to and fro with a tenth of noise in the demand.
    */
-  private static final double VICTIM_SECONDS = 0.5;
+  private static final double DISSOLUTION_COST_SECONDS = 0.5;
 
   private final EngineSpec engine;
   private final MixPlanner mix;
-  private final Map<String, Integer> standing;
+  private final Map<String, Integer> groupCounts;
   private final JoinRule rule;
 
-  ExchangePolicy(EngineSpec engine, MixPlanner mix, Map<String, Integer> standing, JoinRule rule) {
+  ExchangePolicy(
+      EngineSpec engine, MixPlanner mix, Map<String, Integer> groupCounts, JoinRule rule) {
     this.rule = rule;
     this.engine = engine;
     this.mix = mix;
-    this.standing = standing;
+    this.groupCounts = groupCounts;
   }
 
   /**
@@ -65,8 +66,8 @@
     for (ModelSpec model : engine.models()) {
       List<ObservedGroup> open = new ArrayList<>();
       groups.stream().filter(group -> isOpen(group, model)).forEach(open::add);
-      open.sort(Comparator.comparingLong(this::nodesOfOneModel));
-      for (int count = 1; count <= Math.min(open.size(), MOST_VICTIMS); count++) {
+      open.sort(Comparator.comparingLong(this::singleModelNodes));
+      for (int count = 1; count <= Math.min(open.size(), MAX_VICTIMS); count++) {
         List<ObservedGroup> victims = open.subList(0, count);
         List<Integer> packing = gainingPacking(free, model, victims);
         if (packing != null) {
@@ -94,7 +95,7 @@
   String describeMix() {
     StringBuilder text = new StringBuilder();
     for (ModelSpec model : engine.models()) {
-      int groups = standing.getOrDefault(model.name(), 0);
+      int groups = groupCounts.getOrDefault(model.name(), 0);
       text.append(' ').append(model.name()).append('=').append(groups);
       text.append('/').append(String.format(Locale.ROOT, "%.4f", mix.demand(model)));
     }
@@ -102,7 +103,7 @@
   }
 
   /** Groups whose members hold several models are of most use for another. */
-  private long nodesOfOneModel(ObservedGroup group) {
+  private long singleModelNodes(ObservedGroup group) {
     return group.members().stream()
         .filter(
             node ->
@@ -115,7 +116,7 @@
     Node head = group.head();
     return head != null
         && model.name().equals(head.model())
-        && group.complete(model.size())
+        && group.isComplete(model.size())
         && group.any(MemberState.OPEN);
   }
 
@@ -123,39 +124,41 @@
       List<Node> free, ModelSpec model, List<ObservedGroup> victims) {
     List<Node> nodes = new ArrayList<>(free);
     victims.forEach(group -> nodes.addAll(group.members()));
-    Map<String, Integer> left = new HashMap<>(standing);
-    left.merge(model.name(), -victims.size(), Integer::sum);
+    Map<String, Integer> remaining = new HashMap<>(groupCounts);
+    remaining.merge(model.name(), -victims.size(), Integer::sum);
     String domain = nodes.get(0).domain();
-    List<Integer> packing = mix.choose(Map.of(domain, nodes), left, rule).get(domain);
+    List<Integer> packing = mix.choose(Map.of(domain, nodes), remaining, rule).get(domain);
     boolean gains =
-        packing != null && gainsBy(packing, left) && isWorthIt(packing, left, victims.size());
+        packing != null
+            && exceedsGainRatio(packing, remaining)
+            && isWorthwhile(packing, remaining, victims.size());
     return gains ? packing : null;
   }
 
   /** What callers get in time afterwards against what they lose meanwhile. */
-  private boolean isWorthIt(List<Integer> packing, Map<String, Integer> left, int victims) {
-    if (!mix.knowsWork()) {
+  private boolean isWorthwhile(List<Integer> packing, Map<String, Integer> remaining, int victims) {
+    if (!mix.hasObservedWork()) {
       return true;
     }
     double gained = 0;
-    double lost = victims * VICTIM_SECONDS;
+    double lost = victims * DISSOLUTION_COST_SECONDS;
     for (int index = 0; index < packing.size(); index++) {
       ModelSpec model = engine.models().get(index);
-      int during = left.getOrDefault(model.name(), 0);
-      double before = mix.lostWork(model, standing.getOrDefault(model.name(), 0));
+      int during = remaining.getOrDefault(model.name(), 0);
+      double before = mix.lostWork(model, groupCounts.getOrDefault(model.name(), 0));
       gained += before - mix.lostWork(model, during + packing.get(index));
-      lost += TAKES_SECONDS * Math.max(0, mix.lostWork(model, during) - before);
+      lost += EXCHANGE_SECONDS * Math.max(0, mix.lostWork(model, during) - before);
     }
-    return SERVES_SECONDS * gained > lost;
+    return BENEFIT_SECONDS * gained > lost;
   }
 
-  private boolean gainsBy(List<Integer> packing, Map<String, Integer> left) {
+  private boolean exceedsGainRatio(List<Integer> packing, Map<String, Integer> remaining) {
     double gained = 0;
     double lost = 0;
     for (int index = 0; index < packing.size(); index++) {
       ModelSpec model = engine.models().get(index);
-      int before = standing.getOrDefault(model.name(), 0);
-      int after = left.getOrDefault(model.name(), 0) + packing.get(index);
+      int before = groupCounts.getOrDefault(model.name(), 0);
+      int after = remaining.getOrDefault(model.name(), 0) + packing.get(index);
       if (after == 0 && before > 0) {
         return false;
       }
@@ -163,6 +166,6 @@
       gained += Math.max(0, change);
       lost += Math.max(0, -change);
     }
-    return lost > 0 && gained > GAIN_OVER_LOSS * lost;
+    return lost > 0 && gained > MIN_GAIN_RATIO * lost;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ExpectedGroups.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ExpectedGroups.java
@@ -35,11 +35,11 @@
   static ExpectedGroups of(
       EngineSpec engine,
       MixPlanner mix,
-      Map<String, Integer> standing,
+      Map<String, Integer> groupCounts,
       JoinRule rule,
       Map<String, List<Node>> soonFree) {
     ExpectedGroups expected = new ExpectedGroups();
-    mix.choose(soonFree, standing, rule)
+    mix.choose(soonFree, groupCounts, rule)
         .forEach((domain, packing) -> expected.add(engine, domain, packing));
     return expected;
   }
@@ -59,7 +59,7 @@
   }
 
   /** Counts the groups as if they stood. */
-  void addTo(Map<String, Integer> standing) {
-    byModel.forEach((model, groups) -> standing.merge(model, groups, Integer::sum));
+  void addTo(Map<String, Integer> groupCounts) {
+    byModel.forEach((model, groups) -> groupCounts.merge(model, groups, Integer::sum));
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/FormationAttempt.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/FormationAttempt.java
@@ -16,10 +16,10 @@
   final Set<String> joined = new HashSet<>();
   final Set<String> ready = new HashSet<>();
   final long expectedReadyNanos;
-  final long giveUpNanos;
+  final long deadlineNanos;
   boolean adopted;
-  @Nullable String moved;
-  boolean headAsked;
+  @Nullable String departedMember;
+  boolean headOrdered;
   long openedNanos = -1;
 
   FormationAttempt(
@@ -28,13 +28,13 @@
       List<String> members,
       int loads,
       long expectedReadyNanos,
-      long giveUpNanos) {
+      long deadlineNanos) {
     this.key = key;
     this.model = model;
     this.members = List.copyOf(members);
     this.loads = loads;
     this.expectedReadyNanos = expectedReadyNanos;
-    this.giveUpNanos = giveUpNanos;
+    this.deadlineNanos = deadlineNanos;
   }
 
   String head() {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/FormationPolicy.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/FormationPolicy.java
@@ -54,21 +54,21 @@
    */
   static List<Proposal> proposals(
       List<Node> free, List<Integer> packing, EngineSpec engine, JoinRule rule) {
-    List<ModelSpec> wanted = new ArrayList<>();
+    List<ModelSpec> planned = new ArrayList<>();
     for (int index = 0; index < packing.size(); index++) {
       for (int count = 0; count < packing.get(index); count++) {
-        wanted.add(engine.models().get(index));
+        planned.add(engine.models().get(index));
       }
     }
-    wanted.sort(Comparator.comparingInt(ModelSpec::size).reversed());
-    List<Node> left = new ArrayList<>(free);
+    planned.sort(Comparator.comparingInt(ModelSpec::size).reversed());
+    List<Node> remaining = new ArrayList<>(free);
     List<Proposal> proposals = new ArrayList<>();
-    for (ModelSpec model : wanted) {
-      List<Node> fit = left.stream().filter(node -> rule.mayJoin(node, model)).toList();
+    for (ModelSpec model : planned) {
+      List<Node> fit = remaining.stream().filter(node -> rule.mayJoin(node, model)).toList();
       if (fit.size() >= model.size()) {
-        Proposal proposal = quickest(fit, model, wanted);
+        Proposal proposal = quickest(fit, model, planned);
         proposals.add(proposal);
-        left.removeAll(proposal.members());
+        remaining.removeAll(proposal.members());
       }
     }
     return proposals;
@@ -82,10 +82,10 @@
    * @param standing the groups of each model that stand or are being formed
    * @return the proposal; null when no model is missing or no group fits
    */
-  static @Nullable Proposal missing(
-      List<Node> free, EngineSpec engine, Map<String, Integer> standing) {
+  static @Nullable Proposal proposalForUnserved(
+      List<Node> free, EngineSpec engine, Map<String, Integer> groupCounts) {
     for (ModelSpec model : engine.models()) {
-      boolean isMissing = standing.getOrDefault(model.name(), 0) == 0;
+      boolean isMissing = groupCounts.getOrDefault(model.name(), 0) == 0;
       if (isMissing && free.size() >= model.size()) {
         return quickest(free, model, List.of(model));
       }
@@ -101,10 +101,10 @@
   }
 
   /** Nodes that can join no other group that is wanted go first, then those that are ready soon. */
-  private static Proposal quickest(List<Node> fit, ModelSpec model, List<ModelSpec> wanted) {
+  private static Proposal quickest(List<Node> fit, ModelSpec model, List<ModelSpec> planned) {
     List<Node> sorted = new ArrayList<>(fit);
     sorted.sort(
-        Comparator.comparingLong((Node node) -> others(node, model, wanted))
+        Comparator.comparingLong((Node node) -> countOtherModels(node, model, planned))
             .thenComparingInt(node -> joinMillis(node, model))
             .thenComparing(Node::id));
     List<Node> members = sorted.subList(0, model.size());
@@ -118,7 +118,7 @@
     return new Proposal(model, List.copyOf(members), loads, slowest);
   }
 
-  private static long others(Node node, ModelSpec model, List<ModelSpec> wanted) {
-    return wanted.stream().filter(other -> !other.equals(model) && holds(node, other)).count();
+  private static long countOtherModels(Node node, ModelSpec model, List<ModelSpec> planned) {
+    return planned.stream().filter(other -> !other.equals(model) && holds(node, other)).count();
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupKey.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupKey.java
@@ -51,7 +51,7 @@
    * @param place a node's place; null when it has none
    * @return true when name and epoch are equal
    */
-  boolean holds(@Nullable Membership place) {
-    return place != null && place.group().equals(name) && place.epoch() == epoch;
+  boolean matches(@Nullable Membership membership) {
+    return membership != null && membership.group().equals(name) && membership.epoch() == epoch;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -31,33 +31,33 @@
 public final class GroupPlanner {
 
   private static final long MILLI = 1_000_000L;
-  private static final long PROOF_EVERY_NANOS = 700 * MILLI;
+  private static final long LIVENESS_CHECK_INTERVAL_NANOS = 700 * MILLI;
 
   /** A line each two seconds, of the leader alone. */
-  private static final long MIX_REMARK_NANOS = 2_000 * MILLI;
+  private static final long MIX_LOG_INTERVAL_NANOS = 2_000 * MILLI;
 
   /** Of how many groups one may be taken apart at a time because a member leaves. */
-  private static final int GROUPS_FOR_EACH_END = 4;
+  private static final int GROUPS_PER_DISSOLUTION = 4;
 
   private final String namePrefix;
   private final LoadLimiter limiter;
-  private final OrderTracker log = new OrderTracker();
+  private final OrderTracker tracker = new OrderTracker();
   private final Assembler assembler;
   private final Dissolver dissolver;
   private final StagingPlanner staging;
   private final Policy policy;
-  private final List<String> remarks = new ArrayList<>();
+  private final List<String> logLines = new ArrayList<>();
   private final Exchanges exchanges = new Exchanges();
   private final IdleTimes idleTimes = new IdleTimes();
-  private final MissingMembers missing = new MissingMembers();
-  private final DrainingMembers leaving = new DrainingMembers();
-  private final RecentGroups recent = new RecentGroups();
-  private final Lives lives = new Lives();
+  private final MissingMembers missingMembers = new MissingMembers();
+  private final DrainingMembers drainingMembers = new DrainingMembers();
+  private final RecentGroups recentGroups = new RecentGroups();
+  private final Lives incarnations = new Lives();
   private Map<GroupKey, ObservedGroup> groups = Map.of();
-  private final ListSettling settling = new ListSettling();
-  private Predicate<String> inSight = anywhere -> true;
-  private long lastPlan;
-  private long lastMixRemark = Long.MIN_VALUE / 2;
+  private final ListSettling listSettling = new ListSettling();
+  private Predicate<String> reachable = dataCentre -> true;
+  private long lastPlanNanos;
+  private long lastMixLogNanos = Long.MIN_VALUE / 2;
   private long nextName;
   private long highestEpoch;
 
@@ -74,8 +74,8 @@
     this.limiter = limiter;
     this.policy = policy;
     this.staging = new StagingPlanner(policy.secondModel());
-    this.dissolver = new Dissolver(log, stallNanos);
-    this.assembler = new Assembler(log, key -> dissolver.isFree(key, lastPlan));
+    this.dissolver = new Dissolver(tracker, stallNanos);
+    this.assembler = new Assembler(tracker, key -> dissolver.isFree(key, lastPlanNanos));
   }
 
   /**
@@ -94,8 +94,8 @@
       EngineSpec engine,
       ModelDemand demand,
       Set<String> stalledHeads,
-      Set<String> inSight,
-      Set<String> resting,
+      Set<String> reachableDataCentres,
+      Set<String> pausedNodes,
       long fence) {}
 
   /**
@@ -106,44 +106,45 @@
    * @return the orders; each is to be answered by {@link #outcome} or {@link #report}
    */
   public List<GroupOrder> plan(Input input, long now) {
-    lastPlan = now;
-    inSight = policy.cutsAreNoDeaths() ? input.inSight()::contains : anywhere -> true;
+    lastPlanNanos = now;
+    reachable =
+        policy.cutsAreNoDeaths() ? input.reachableDataCentres()::contains : dataCentre -> true;
     Map<String, Node> nodes = new LinkedHashMap<>();
     input.nodes().forEach(node -> nodes.put(node.id(), node));
-    log.rest(input.resting());
-    dissolver.learn(nodes, now);
-    settling.learn(nodes.keySet(), now);
-    learnLives(nodes, now);
+    tracker.setPausedNodes(input.pausedNodes());
+    dissolver.observe(nodes, now);
+    listSettling.update(nodes.keySet(), now);
+    observeIncarnations(nodes, now);
     groups = ObservedGroup.gather(input.nodes());
     groups.keySet().forEach(key -> highestEpoch = Math.max(highestEpoch, key.epoch()));
-    missing.retain(groups);
-    leaving.retain(groups);
-    OrderSink sink = new OrderSink(log, input.fence());
+    missingMembers.retain(groups);
+    drainingMembers.retain(groups);
+    OrderSink sink = new OrderSink(tracker, input.fence());
     dissolver.forget(groups, now);
-    judgeGroups(input, now);
-    judgeAttempts(input, nodes, now);
+    checkGroups(input, now);
+    checkAttempts(input, nodes, now);
     exchange(input, nodes, now);
     dissolver.advance(nodes, sink, now);
     form(input, nodes, now);
     assembler.advance(nodes, sink, now);
-    remarkMoves(sink, now);
+    logMoves(sink, now);
     stage(input, nodes, sink, now);
-    noteOpened(input.engine(), now);
-    askForProof(nodes, sink, now);
+    recordOpened(input.engine(), now);
+    requestLivenessChecks(nodes, sink, now);
     return sink.orders();
   }
 
   /** What was known of a node ends with its life, and so does its part in a group. */
-  private void learnLives(Map<String, Node> nodes, long now) {
-    for (String id : lives.learn(nodes.values())) {
-      remarks.add("node=" + id + " started_ms=" + nodes.get(id).life().startedMillis() + " anew");
-      log.begunAnew(id);
-      dissolver.begunAnew(id, now);
-      assembler.begunAnew(id);
-      recent.headBegunAnew(id);
+  private void observeIncarnations(Map<String, Node> nodes, long now) {
+    for (String id : incarnations.learn(nodes.values())) {
+      logLines.add("node=" + id + " started_ms=" + nodes.get(id).life().startedMillis() + " anew");
+      tracker.reset(id);
+      dissolver.nodeRestarted(id, now);
+      assembler.nodeRestarted(id);
+      recentGroups.headRestarted(id);
       groups.values().stream()
           .filter(group -> ids(group.members()).contains(id))
-          .forEach(group -> missing.surely(group.key()));
+          .forEach(group -> missingMembers.markLost(group.key()));
     }
   }
 
@@ -154,7 +155,7 @@
    * @return true while there is such a group
    */
   public boolean isBusy() {
-    return !assembler.attempts().isEmpty() || dissolver.pending(lastPlan) > 0;
+    return !assembler.attempts().isEmpty() || dissolver.pendingCount(lastPlanNanos) > 0;
   }
 
   /**
@@ -163,8 +164,8 @@
    * @return the lines, oldest first
    */
   public List<String> drainLogLines() {
-    List<String> drained = List.copyOf(remarks);
-    remarks.clear();
+    List<String> drained = List.copyOf(logLines);
+    logLines.clear();
     return drained;
   }
 
@@ -175,51 +176,51 @@
    * @return the groups
    */
   public RecentGroups recent() {
-    return recent;
+    return recentGroups;
   }
 
-  private void noteOpened(EngineSpec engine, long now) {
-    recent.forget(groups.keySet(), now);
+  private void recordOpened(EngineSpec engine, long now) {
+    recentGroups.removeExpired(groups.keySet(), now);
     for (FormationAttempt attempt : assembler.attempts()) {
-      boolean serves =
+      boolean mayServe =
           attempt.openedNanos >= 0 && now - attempt.openedNanos >= engine.formMillis() * MILLI;
-      if (serves) {
-        recent.opened(attempt.key, attempt.model.name(), now);
+      if (mayServe) {
+        recentGroups.opened(attempt.key, attempt.model.name(), now);
       }
     }
   }
 
   /** Tells from which group each node is taken, and by what evidence. */
-  private void remarkMoves(OrderSink sink, long now) {
+  private void logMoves(OrderSink sink, long now) {
     for (GroupOrder order : sink.orders()) {
-      GroupKey place = log.place(order.node().id());
-      if (order.kind() == GroupOrder.Kind.JOIN && place != null) {
-        String move = "node=" + order.node().id() + " group=" + order.group();
-        String evidence = dissolver.evidence(place, now).name().toLowerCase(Locale.ROOT);
-        remarks.add(move + " taken_from=" + place.name() + " evidence=" + evidence);
+      GroupKey group = tracker.group(order.node().id());
+      if (order.kind() == GroupOrder.Kind.JOIN && group != null) {
+        String source = "node=" + order.node().id() + " group=" + order.group();
+        String evidence = dissolver.evidence(group, now).name().toLowerCase(Locale.ROOT);
+        logLines.add(source + " taken_from=" + group.name() + " evidence=" + evidence);
       }
     }
   }
 
-  private void judgeGroups(Input input, long now) {
+  private void checkGroups(Input input, long now) {
     for (ObservedGroup group : groups.values()) {
       if (!dissolver.handles(group.key()) && !assembler.handles(group.key())) {
-        judge(group, input, now);
+        check(group, input, now);
       }
     }
   }
 
-  private void judge(ObservedGroup group, Input input, long now) {
+  private void check(ObservedGroup group, Input input, long now) {
     ModelSpec model = modelOf(group, input.engine());
     if (input.stalledHeads().contains(group.key().headAtEpoch())) {
-      dissolve(group, Dissolution.Manner.AT_ONCE, "its head stands still", now);
-    } else if (model != null && group.complete(model.size())) {
-      missing.whole(group.key());
+      dissolve(group, Dissolution.Manner.IMMEDIATE, "its head stands still", now);
+    } else if (model != null && group.isComplete(model.size())) {
+      missingMembers.markComplete(group.key());
       adoptUnlessOpen(group, model, now);
-    } else if (group.isLeaving()) {
-      endUnlessTooMany(group, now);
-    } else if (!mayComeBack(group, now)) {
-      dissolve(group, Dissolution.Manner.AT_ONCE, "a member is missing or broken", now);
+    } else if (group.hasDrainingMember()) {
+      dissolveUnlessTooMany(group, now);
+    } else if (!mayRecover(group, now)) {
+      dissolve(group, Dissolution.Manner.IMMEDIATE, "a member is missing or broken", now);
     }
   }
 
@@ -227,9 +228,9 @@
    * A member that leaves stays for a while. When many leave at once, their groups end one after the
    * other, so that most serve while some are formed anew.
    */
-  private void endUnlessTooMany(ObservedGroup group, long now) {
-    boolean crowded = dissolver.pending(now) >= 1 + groups.size() / GROUPS_FOR_EACH_END;
-    if (!group.headMayServe() || !crowded || leaving.hasWaited(group.key(), now)) {
+  private void dissolveUnlessTooMany(ObservedGroup group, long now) {
+    boolean crowded = dissolver.pendingCount(now) >= 1 + groups.size() / GROUPS_PER_DISSOLUTION;
+    if (!group.headMayServe() || !crowded || drainingMembers.hasTimedOut(group.key(), now)) {
       dissolve(group, Dissolution.Manner.GRACEFUL, "a member leaves", now);
     }
   }
@@ -237,7 +238,7 @@
   private void adoptUnlessOpen(ObservedGroup group, ModelSpec model, long now) {
     if (!group.any(MemberState.OPEN)) {
       assembler.adopt(group, model, now);
-      remarks.add("group=" + group.key().name() + " adopted");
+      logLines.add("group=" + group.key().name() + " adopted");
     }
   }
 
@@ -246,20 +247,21 @@
   }
 
   /** Entries that vanished may be back soon; members that leave or are broken may not. */
-  private boolean mayComeBack(ObservedGroup group, long now) {
-    boolean served = group.head() == null || group.any(MemberState.OPEN);
-    boolean lacksOnlyEntries = served && group.soundAsListed();
-    return policy.cutsAreNoDeaths() && lacksOnlyEntries && !missing.isOver(group, now);
+  private boolean mayRecover(ObservedGroup group, long now) {
+    boolean wasServing = group.head() == null || group.any(MemberState.OPEN);
+    boolean lacksOnlyEntries = wasServing && group.hasOnlyHealthyMembers();
+    return policy.cutsAreNoDeaths() && lacksOnlyEntries && !missingMembers.hasTimedOut(group, now);
   }
 
-  private void judgeAttempts(Input input, Map<String, Node> nodes, long now) {
-    for (Assembler.Failed failed : assembler.judge(nodes, input.stalledHeads(), remarks, now)) {
+  private void checkAttempts(Input input, Map<String, Node> nodes, long now) {
+    for (Assembler.Failed failed :
+        assembler.endFinished(nodes, input.stalledHeads(), logLines, now)) {
       FormationAttempt attempt = failed.attempt();
-      if (attempt.headAsked) {
-        Dissolution.Manner manner = Dissolution.Manner.AT_ONCE;
+      if (attempt.headOrdered) {
+        Dissolution.Manner manner = Dissolution.Manner.IMMEDIATE;
         dissolve(attempt.key, attempt.members, manner, failed.reason(), now);
       } else {
-        remarks.add("group=" + attempt.key.name() + " given up reason=" + failed.reason());
+        logLines.add("group=" + attempt.key.name() + " given up reason=" + failed.reason());
       }
     }
   }
@@ -267,18 +269,20 @@
   private void dissolve(
       GroupKey key, List<String> members, Dissolution.Manner manner, String reason, long now) {
     dissolver.begin(key, members, manner, now);
-    recent.closed(key, now);
-    if (manner == Dissolution.Manner.AT_ONCE) {
-      members.forEach(log::mistrust);
+    recentGroups.closed(key, now);
+    if (manner == Dissolution.Manner.IMMEDIATE) {
+      members.forEach(tracker::requireLivenessCheck);
     }
-    remarks.add("group=" + key.name() + " epoch=" + key.epoch() + " dissolved reason=" + reason);
+    logLines.add("group=" + key.name() + " epoch=" + key.epoch() + " dissolved reason=" + reason);
   }
 
   /** Nodes that did not answer, or whose group stood still, prove by a report that they live. */
-  private void askForProof(Map<String, Node> nodes, OrderSink sink, long now) {
+  private void requestLivenessChecks(Map<String, Node> nodes, OrderSink sink, long now) {
     for (Node node : nodes.values()) {
       String id = node.id();
-      if (log.unproven(id) && !log.busy(id) && log.mayAsk(id, now, PROOF_EVERY_NANOS)) {
+      if (tracker.needsLivenessCheck(id)
+          && !tracker.isBusy(id)
+          && tracker.mayCheckAgain(id, now, LIVENESS_CHECK_INTERVAL_NANOS)) {
         sink.report(node);
       }
     }
@@ -286,7 +290,7 @@
 
   /** Before the first request there is time to wait for a whole list. */
   private boolean isSettled(long now) {
-    return limiter.isEnforced() || settling.isSettled(now);
+    return limiter.isEnforced() || listSettling.isSettled(now);
   }
 
   /**
@@ -300,22 +304,22 @@
 
   /** Takes groups apart whose nodes, with the free ones, serve callers better otherwise. */
   private void exchange(Input input, Map<String, Node> nodes, long now) {
-    exchanges.settle(key -> dissolver.isFree(key, now), dissolver::isStuck, now);
+    exchanges.removeFinished(key -> dissolver.isFree(key, now), dissolver::isHeadUnresponsive, now);
     if (!policy.exchange() || !isSettled(now) || !isDemandKnown(input)) {
       return;
     }
     Map<String, List<Node>> free = free(nodes, now);
-    idleTimes.learn(free.values(), now);
+    idleTimes.update(free.values(), now);
     Set<String> busy = busyDomains(nodes);
-    boolean settles = !busy.isEmpty() || exchanges.rests(now);
+    boolean isSettling = !busy.isEmpty() || exchanges.isCoolingDown(now);
     ExpectedGroups expected = expectedGroups(input, nodes);
     ExchangePolicy choice = exchangePolicy(input, nodes.values(), expected);
-    remarkMix(choice, now);
-    for (Map.Entry<String, List<ObservedGroup>> domain : untouchedGroups().entrySet()) {
+    logMix(choice, now);
+    for (Map.Entry<String, List<ObservedGroup>> domain : stableGroups().entrySet()) {
       List<Node> spare = free.getOrDefault(domain.getKey(), List.of());
-      boolean mayWait = spare.isEmpty() && settles;
-      boolean untouched = !busy.contains(domain.getKey()) && !expected.anyIn(domain.getKey());
-      if (mayWait || !untouched) {
+      boolean deferred = spare.isEmpty() && isSettling;
+      boolean stable = !busy.contains(domain.getKey()) && !expected.anyIn(domain.getKey());
+      if (deferred || !stable) {
         continue;
       }
       ExchangePolicy.Plan plan = choice.plan(spare, domain.getValue());
@@ -327,10 +331,10 @@
   }
 
   /** What each model has and is asked for, now and then: the inputs of what is not exchanged. */
-  private void remarkMix(ExchangePolicy choice, long now) {
-    if (now - lastMixRemark >= MIX_REMARK_NANOS) {
-      lastMixRemark = now;
-      remarks.add("mix" + choice.describeMix());
+  private void logMix(ExchangePolicy choice, long now) {
+    if (now - lastMixLogNanos >= MIX_LOG_INTERVAL_NANOS) {
+      lastMixLogNanos = now;
+      logLines.add("mix" + choice.describeMix());
     }
   }
 
@@ -338,17 +342,17 @@
       Input input, Collection<Node> nodes, ExpectedGroups expected) {
     EngineSpec engine = input.engine();
     MixPlanner mix = new MixPlanner(engine, input.demand());
-    Map<String, Integer> standing = standing(engine);
-    expected.addTo(standing);
-    return new ExchangePolicy(engine, mix, standing, joinRule(engine, mix, standing, nodes));
+    Map<String, Integer> groupCounts = groupCounts(engine);
+    expected.addTo(groupCounts);
+    return new ExchangePolicy(engine, mix, groupCounts, joinRule(engine, mix, groupCounts, nodes));
   }
 
   private ExpectedGroups expectedGroups(Input input, Map<String, Node> nodes) {
     EngineSpec engine = input.engine();
     MixPlanner mix = new MixPlanner(engine, input.demand());
-    Map<String, Integer> standing = standing(engine);
-    JoinRule rule = joinRule(engine, mix, standing, nodes.values());
-    return ExpectedGroups.of(engine, mix, standing, rule, soonFree(nodes));
+    Map<String, Integer> groupCounts = groupCounts(engine);
+    JoinRule rule = joinRule(engine, mix, groupCounts, nodes.values());
+    return ExpectedGroups.of(engine, mix, groupCounts, rule, soonFree(nodes));
   }
 
   /**
@@ -356,19 +360,19 @@
    * still one node is gone, but nothing tells which one until its entry lapses.
    */
   private Map<String, List<Node>> soonFree(Map<String, Node> nodes) {
-    Set<String> taken = new HashSet<>(assembler.taken());
-    untouchedGroups()
+    Set<String> taken = new HashSet<>(assembler.assignedNodes());
+    stableGroups()
         .values()
         .forEach(here -> here.forEach(group -> taken.addAll(ids(group.members()))));
     Map<String, List<Node>> soonFree = new LinkedHashMap<>();
     for (Node node : nodes.values()) {
-      boolean comes =
+      boolean counted =
           !node.draining()
-              && inSight.test(node.dataCentre())
+              && reachable.test(node.dataCentre())
               && !taken.contains(node.id())
-              && !log.failedProof(node.id())
+              && !tracker.failedLivenessCheck(node.id())
               && !exchanges.domains().contains(node.domain());
-      if (comes) {
+      if (counted) {
         soonFree.computeIfAbsent(node.domain(), domain -> new ArrayList<>()).add(node);
       }
     }
@@ -376,7 +380,7 @@
   }
 
   private void begin(String domain, ExchangePolicy.Plan plan, ExchangePolicy choice, long now) {
-    remarks.add("domain=" + domain + " exchanges " + choice.describe(plan));
+    logLines.add("domain=" + domain + " exchanges " + choice.describe(plan));
     exchanges.begin(domain, plan, now);
     for (ObservedGroup group : plan.victims()) {
       dissolve(group, Dissolution.Manner.GRACEFUL, "its nodes serve more as another model", now);
@@ -387,9 +391,9 @@
    * Domains in which groups are being formed or exchanged, or nodes have to prove that they live.
    */
   private Set<String> busyDomains(Map<String, Node> nodes) {
-    Set<String> busy = domainsAwaitingProof(nodes);
+    Set<String> busy = domainsAwaitingLivenessChecks(nodes);
     busy.addAll(exchanges.domains());
-    for (String id : assembler.taken()) {
+    for (String id : assembler.assignedNodes()) {
       Node node = nodes.get(id);
       if (node != null) {
         busy.add(node.domain());
@@ -399,11 +403,11 @@
   }
 
   /** Groups in sight that nothing is being done to, by domain. */
-  private Map<String, List<ObservedGroup>> untouchedGroups() {
+  private Map<String, List<ObservedGroup>> stableGroups() {
     Map<String, List<ObservedGroup>> byDomain = new LinkedHashMap<>();
     for (ObservedGroup group : groups.values()) {
-      boolean untouched = !dissolver.handles(group.key()) && !assembler.handles(group.key());
-      if (untouched && inSight.test(group.members().get(0).dataCentre())) {
+      boolean stable = !dissolver.handles(group.key()) && !assembler.handles(group.key());
+      if (stable && reachable.test(group.members().get(0).dataCentre())) {
         String domain = group.members().get(0).domain();
         byDomain.computeIfAbsent(domain, name -> new ArrayList<>()).add(group);
       }
@@ -416,42 +420,47 @@
       return;
     }
     EngineSpec engine = input.engine();
-    Map<String, Integer> standing = standing(engine);
+    Map<String, Integer> groupCounts = groupCounts(engine);
     Map<String, List<Node>> free = free(nodes, now);
-    free.keySet().removeAll(domainsAwaitingProof(nodes));
+    free.keySet().removeAll(domainsAwaitingLivenessChecks(nodes));
     free.keySet().removeAll(exchanges.domains());
     MixPlanner mix = new MixPlanner(engine, input.demand());
-    JoinRule rule = joinRule(engine, mix, standing, nodes.values());
-    mix.choose(free, standing, rule)
+    JoinRule rule = joinRule(engine, mix, groupCounts, nodes.values());
+    mix.choose(free, groupCounts, rule)
         .forEach(
             (domain, packing) -> {
               for (FormationPolicy.Proposal proposal :
                   FormationPolicy.proposals(free.get(domain), packing, engine, rule)) {
-                beginIfLoadsAllow(proposal, engine, standing, now);
+                beginIfLoadsAllow(proposal, engine, groupCounts, now);
               }
             });
-    formMissing(free, engine, standing, now);
+    formUnservedModels(free, engine, groupCounts, now);
   }
 
   private JoinRule joinRule(
-      EngineSpec engine, MixPlanner mix, Map<String, Integer> standing, Collection<Node> nodes) {
+      EngineSpec engine, MixPlanner mix, Map<String, Integer> groupCounts, Collection<Node> nodes) {
     if (!limiter.isEnforced()) {
       return JoinRule.ANY;
     }
     return policy.scarceModels()
         ? new ScarceModels(
-            engine, mix, standing, nodes, node -> idleTimes.hasWaited(node, lastPlan))
+            engine,
+            mix,
+            groupCounts,
+            nodes,
+            node -> idleTimes.isReservedTooLong(node, lastPlanNanos))
         : JoinRule.HOLDERS;
   }
 
-  private void formMissing(
-      Map<String, List<Node>> free, EngineSpec engine, Map<String, Integer> standing, long now) {
-    Set<String> taken = assembler.taken();
+  private void formUnservedModels(
+      Map<String, List<Node>> free, EngineSpec engine, Map<String, Integer> groupCounts, long now) {
+    Set<String> taken = assembler.assignedNodes();
     for (List<Node> nodes : free.values()) {
       List<Node> left = nodes.stream().filter(node -> !taken.contains(node.id())).toList();
-      FormationPolicy.Proposal proposal = FormationPolicy.missing(left, engine, standing);
+      FormationPolicy.Proposal proposal =
+          FormationPolicy.proposalForUnserved(left, engine, groupCounts);
       if (proposal != null) {
-        beginIfLoadsAllow(proposal, engine, standing, now);
+        beginIfLoadsAllow(proposal, engine, groupCounts, now);
       }
     }
   }
@@ -459,19 +468,19 @@
   private void beginIfLoadsAllow(
       FormationPolicy.Proposal proposal,
       EngineSpec engine,
-      Map<String, Integer> standing,
+      Map<String, Integer> groupCounts,
       long now) {
     if (mayLoad(proposal.loads(), engine, now)) {
       begin(proposal, now);
-      standing.merge(proposal.model().name(), 1, Integer::sum);
+      groupCounts.merge(proposal.model().name(), 1, Integer::sum);
     }
   }
 
   /** Domains in which a node is about to prove that it lives: a group formed now may be worse. */
-  private Set<String> domainsAwaitingProof(Map<String, Node> nodes) {
+  private Set<String> domainsAwaitingLivenessChecks(Map<String, Node> nodes) {
     Set<String> domains = new HashSet<>();
     for (Node node : nodes.values()) {
-      if (log.awaitsProof(node.id())) {
+      if (tracker.awaitsLivenessCheck(node.id())) {
         domains.add(node.domain());
       }
     }
@@ -479,9 +488,9 @@
   }
 
   private boolean mayLoad(int loads, EngineSpec engine, long now) {
-    int underWay = assembler.loadsUnderWay() + staging.underWay();
+    int inProgress = assembler.loadsInProgress() + staging.inProgress();
     boolean crowded =
-        limiter.isEnforced() && underWay > 0 && underWay + loads > engine.loadsAtOnce();
+        limiter.isEnforced() && inProgress > 0 && inProgress + loads > engine.loadsAtOnce();
     return loads == 0 || !crowded && limiter.tryAcquire(loads, engine.loadsPerSecond(), now);
   }
 
@@ -491,7 +500,7 @@
     GroupKey key = GroupKey.of(namePrefix + nextName, members.get(0), highestEpoch);
     nextName++;
     assembler.begin(key, proposal, members, now);
-    remarks.add(
+    logLines.add(
         "group="
             + key.name()
             + " epoch="
@@ -507,7 +516,7 @@
   }
 
   private Map<String, List<Node>> free(Map<String, Node> nodes, long now) {
-    Set<String> taken = new HashSet<>(assembler.taken());
+    Set<String> taken = new HashSet<>(assembler.assignedNodes());
     taken.addAll(dissolver.taken(now));
     for (ObservedGroup group : groups.values()) {
       if (!dissolver.isFree(group.key(), now)) {
@@ -517,34 +526,37 @@
     Map<String, List<Node>> free = new LinkedHashMap<>();
     nodes.values().stream()
         .filter(node -> !node.draining() && !taken.contains(node.id()))
-        .filter(node -> inSight.test(node.dataCentre()) && !log.rests(node.id()))
-        .filter(node -> !log.unproven(node.id()) && !log.inConflict(node.id(), now))
+        .filter(node -> reachable.test(node.dataCentre()) && !tracker.isPaused(node.id()))
+        .filter(
+            node -> !tracker.needsLivenessCheck(node.id()) && !tracker.inConflict(node.id(), now))
         .sorted((a, b) -> a.id().compareTo(b.id()))
         .forEach(
             node -> free.computeIfAbsent(node.domain(), domain -> new ArrayList<>()).add(node));
     return free;
   }
 
-  private Map<String, Integer> standing(EngineSpec engine) {
-    Map<String, Integer> standing = new HashMap<>();
+  private Map<String, Integer> groupCounts(EngineSpec engine) {
+    Map<String, Integer> groupCounts = new HashMap<>();
     for (ObservedGroup group : groups.values()) {
       ModelSpec model = modelOf(group, engine);
       boolean counted =
           model != null
-              && inSight.test(group.members().get(0).dataCentre())
+              && reachable.test(group.members().get(0).dataCentre())
               && !dissolver.handles(group.key())
               && !assembler.handles(group.key());
       if (counted) {
-        standing.merge(model.name(), 1, Integer::sum);
+        groupCounts.merge(model.name(), 1, Integer::sum);
       }
     }
-    assembler.attempts().forEach(attempt -> standing.merge(attempt.model.name(), 1, Integer::sum));
-    exchanges.addTo(standing, engine.models());
-    return standing;
+    assembler
+        .attempts()
+        .forEach(attempt -> groupCounts.merge(attempt.model.name(), 1, Integer::sum));
+    exchanges.addTo(groupCounts, engine.models());
+    return groupCounts;
   }
 
   /** The models of groups on their way, by domain. */
-  private Map<String, List<ModelSpec>> modelsBeingFormed(Map<String, Node> nodes) {
+  private Map<String, List<ModelSpec>> modelsInFormation(Map<String, Node> nodes) {
     Map<String, List<ModelSpec>> models = new HashMap<>();
     for (FormationAttempt attempt : assembler.attempts()) {
       Node head = nodes.get(attempt.head());
@@ -556,22 +568,23 @@
   }
 
   private void stage(Input input, Map<String, Node> nodes, OrderSink sink, long now) {
-    staging.forget(nodes, now);
+    staging.removeFinished(nodes, now);
     if (!isSettled(now)) {
       return;
     }
     EngineSpec engine = input.engine();
     MixPlanner mix = new MixPlanner(engine, input.demand());
-    Set<String> forming = assembler.taken();
-    for (StagingPlanner.Wish wish :
-        staging.wishes(nodes.values(), engine, mix, standing(engine), modelsBeingFormed(nodes))) {
-      Node node = wish.node();
-      boolean idle = !log.busy(node.id()) && !log.unproven(node.id());
+    Set<String> forming = assembler.assignedNodes();
+    for (StagingPlanner.Candidate candidate :
+        staging.candidates(
+            nodes.values(), engine, mix, groupCounts(engine), modelsInFormation(nodes))) {
+      Node node = candidate.node();
+      boolean idle = !tracker.isBusy(node.id()) && !tracker.needsLivenessCheck(node.id());
       boolean due = idle && !forming.contains(node.id());
       if (due && mayLoad(1, engine, now)) {
-        staging.begun(wish, now);
-        sink.stage(node, wish.model().name());
-        remarks.add("node=" + node.id() + " stages model=" + wish.model().name());
+        staging.started(candidate, now);
+        sink.stage(node, candidate.model().name());
+        logLines.add("node=" + node.id() + " stages model=" + candidate.model().name());
       }
     }
   }
@@ -586,15 +599,15 @@
    */
   public void outcome(GroupOrder order, GroupOrder.Outcome outcome, long now) {
     String id = order.node().id();
-    if (!lives.isCurrent(order.node())) {
+    if (!incarnations.isCurrent(order.node())) {
       return;
     }
     switch (outcome) {
-      case BEGUN -> log.answered(order, true);
-      case DONE -> log.answered(order, false);
-      case UNKNOWN -> log.silent(id, now);
-      case GONE, OTHER_NODE -> log.gone(id, now);
-      default -> log.doubt(id);
+      case BEGUN -> tracker.recordAnswer(order, true);
+      case DONE -> tracker.recordAnswer(order, false);
+      case UNKNOWN -> tracker.recordNoAnswer(id, now);
+      case GONE, OTHER_NODE -> tracker.recordUnreachable(id, now);
+      default -> tracker.invalidateOrders(id);
     }
     assembler.outcome(order, outcome, now);
     dissolver.outcome(order, outcome, now);
@@ -609,18 +622,18 @@
    * @param now the steady time, in nanoseconds
    */
   public void report(Node node, @Nullable NodeReport report, long now) {
-    if (!lives.isCurrent(node)) {
+    if (!incarnations.isCurrent(node)) {
       return;
     }
-    if (report == null || !report.isOf(node)) {
-      log.gone(node.id(), now);
+    if (report == null || !report.isFromIncarnationOf(node)) {
+      tracker.recordUnreachable(node.id(), now);
       return;
     }
-    Membership place = report.membership();
-    GroupKey key = place == null ? null : new GroupKey(place.group(), place.epoch());
-    log.reported(node.id(), report.orders(), key, now);
-    assembler.report(node.id(), place);
-    dissolver.report(node.id(), place, now);
+    Membership group = report.membership();
+    GroupKey key = group == null ? null : new GroupKey(group.group(), group.epoch());
+    tracker.recordReport(node.id(), report.orders(), key, now);
+    assembler.report(node.id(), group);
+    dissolver.report(node.id(), group, now);
   }
 
   private static @Nullable ModelSpec modelOf(ObservedGroup group, EngineSpec engine) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/IdleTimes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/IdleTimes.java
@@ -15,19 +15,19 @@
    * How long a node is kept idle for a model that is missed more: entries that lapsed come back,
    * and members of a group that was taken apart prove that they live, within two seconds.
    */
-  private static final long LONGEST_NANOS = 2_000_000_000L;
+  private static final long MAX_RESERVED_NANOS = 2_000_000_000L;
 
   private final Map<String, Long> since = new HashMap<>();
 
-  void learn(Collection<List<Node>> free, long now) {
+  void update(Collection<List<Node>> free, long now) {
     Set<String> idle = new HashSet<>();
     free.forEach(nodes -> nodes.forEach(node -> idle.add(node.id())));
     since.keySet().retainAll(idle);
     idle.forEach(id -> since.putIfAbsent(id, now));
   }
 
-  boolean hasWaited(Node node, long now) {
+  boolean isReservedTooLong(Node node, long now) {
     Long idleSince = since.get(node.id());
-    return idleSince != null && now - idleSince >= LONGEST_NANOS;
+    return idleSince != null && now - idleSince >= MAX_RESERVED_NANOS;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LastModels.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LastModels.java
@@ -36,8 +36,8 @@
         models.put(node.id(), model);
       }
       String last = models.get(node.id());
-      boolean forgotten = model == null && last != null;
-      completed.add(forgotten ? node.withGroup(last, node.staged(), node.membership()) : node);
+      boolean restorable = model == null && last != null;
+      completed.add(restorable ? node.withGroup(last, node.staged(), node.membership()) : node);
     }
     models.keySet().retainAll(listed);
     lives.retain(listed);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ListSettling.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ListSettling.java
@@ -15,20 +15,20 @@
   private static final long SETTLED_NANOS = 600 * MILLI;
 
   /** A list that keeps growing is taken as it is after a while. */
-  private static final long LONGEST_NANOS = 4_000 * MILLI;
+  private static final long MAX_WAIT_NANOS = 4_000 * MILLI;
 
-  private final Set<String> everListed = new HashSet<>();
-  private long firstNanos;
-  private long lastNanos;
+  private final Set<String> seen = new HashSet<>();
+  private long firstListedNanos;
+  private long lastGrowthNanos;
 
-  void learn(Set<String> listed, long now) {
-    firstNanos = everListed.isEmpty() ? now : firstNanos;
-    if (everListed.addAll(listed)) {
-      lastNanos = now;
+  void update(Set<String> listed, long now) {
+    firstListedNanos = seen.isEmpty() ? now : firstListedNanos;
+    if (seen.addAll(listed)) {
+      lastGrowthNanos = now;
     }
   }
 
   boolean isSettled(long now) {
-    return now - lastNanos >= SETTLED_NANOS || now - firstNanos >= LONGEST_NANOS;
+    return now - lastGrowthNanos >= SETTLED_NANOS || now - firstListedNanos >= MAX_WAIT_NANOS;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LoadLimiter.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LoadLimiter.java
@@ -6,11 +6,11 @@
 /** Holds the loads that begin at the weight store below its rate. */
 public final class LoadLimiter {
 
-  private static final double SHARE = 0.6;
+  private static final double RATE_SHARE = 0.6;
 
   private final long windowNanos;
-  private final Deque<Long> begun = new ArrayDeque<>();
-  private boolean bounded;
+  private final Deque<Long> startedNanos = new ArrayDeque<>();
+  private boolean enforced;
 
   /**
    * Creates a limiter.
@@ -23,7 +23,7 @@
 
   /** Bounds the loads from now on: before the first request of callers they are free. */
   public void enforce() {
-    bounded = true;
+    enforced = true;
   }
 
   /**
@@ -32,7 +32,7 @@
    * @return true after {@link #enforce}
    */
   public boolean isEnforced() {
-    return bounded;
+    return enforced;
   }
 
   /**
@@ -44,18 +44,18 @@
    * @return true when they may begin
    */
   public boolean tryAcquire(int loads, double perSecond, long nowNanos) {
-    if (!bounded) {
+    if (!enforced) {
       return true;
     }
-    while (!begun.isEmpty() && nowNanos - begun.peekFirst() > windowNanos) {
-      begun.removeFirst();
+    while (!startedNanos.isEmpty() && nowNanos - startedNanos.peekFirst() > windowNanos) {
+      startedNanos.removeFirst();
     }
-    double allowed = SHARE * perSecond * windowNanos / 1e9;
-    if (loads > 0 && begun.size() + loads > allowed) {
+    double allowed = RATE_SHARE * perSecond * windowNanos / 1e9;
+    if (loads > 0 && startedNanos.size() + loads > allowed) {
       return false;
     }
     for (int load = 0; load < loads; load++) {
-      begun.addLast(nowNanos);
+      startedNanos.addLast(nowNanos);
     }
     return true;
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/MissingMembers.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/MissingMembers.java
@@ -24,29 +24,29 @@
   private static final long MEMBER_NANOS = 5_000 * MILLI;
 
   private final Map<GroupKey, Long> since = new HashMap<>();
-  private final Set<GroupKey> surely = new HashSet<>();
+  private final Set<GroupKey> lost = new HashSet<>();
 
   void retain(Map<GroupKey, ObservedGroup> groups) {
     since.keySet().retainAll(groups.keySet());
-    surely.retainAll(groups.keySet());
+    lost.retainAll(groups.keySet());
   }
 
   /** Notes that a group is whole. */
-  void whole(GroupKey key) {
+  void markComplete(GroupKey key) {
     since.remove(key);
   }
 
   /**
    * Notes that a member has begun a new life: it does not come back, however soon its entry does.
    */
-  void surely(GroupKey key) {
-    surely.add(key);
+  void markLost(GroupKey key) {
+    lost.add(key);
   }
 
   /** Tells whether entries of a group have been missing for too long. */
-  boolean isOver(ObservedGroup group, long now) {
+  boolean hasTimedOut(ObservedGroup group, long now) {
     long missing = now - since.computeIfAbsent(group.key(), key -> now);
-    return surely.contains(group.key())
+    return lost.contains(group.key())
         || missing > (group.head() == null ? HEAD_NANOS : MEMBER_NANOS);
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/MixPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/MixPlanner.java
@@ -26,13 +26,13 @@
    * what a group carries loses next to nothing, three quarters a tenth and nine tenths about half
    * of the answers in time; the eighth power comes near to that.
    */
-  private static final int STEEPNESS = 8;
+  private static final int LOSS_EXPONENT = 8;
 
   /** A model without a group counts as if it had this share of one, so that its loss is finite. */
-  private static final double NO_GROUP = 0.5;
+  private static final double MIN_GROUPS = 0.5;
 
   /** Mixes that are followed up at once; bounds the work in fleets of hundreds of domains. */
-  private static final int MIXES_KEPT = 2_000;
+  private static final int MAX_MIXES = 2_000;
 
   private final EngineSpec engine;
   private final ModelDemand demand;
@@ -43,7 +43,7 @@
   }
 
   /** A mix of groups over all domains so far, and the choice of the last domain that led to it. */
-  private record Mix(List<Integer> groups, @Nullable Mix before, List<Integer> lastChoice) {}
+  private record Mix(List<Integer> groups, @Nullable Mix previous, List<Integer> lastChoice) {}
 
   /**
    * Chooses for each domain.
@@ -54,9 +54,9 @@
    * @return by domain, the groups to form in the order of the engine's models
    */
   Map<String, List<Integer>> choose(
-      Map<String, List<Node>> free, Map<String, Integer> standing, JoinRule rule) {
+      Map<String, List<Node>> free, Map<String, Integer> groupCounts, JoinRule rule) {
     List<Integer> start = new ArrayList<>();
-    engine.models().forEach(model -> start.add(standing.getOrDefault(model.name(), 0)));
+    engine.models().forEach(model -> start.add(groupCounts.getOrDefault(model.name(), 0)));
     Map<String, List<Node>> domains = new TreeMap<>(free);
     List<Mix> mixes = List.of(new Mix(List.copyOf(start), null, List.of()));
     for (List<Node> nodes : domains.values()) {
@@ -68,7 +68,7 @@
     Map<String, List<Integer>> choices = new LinkedHashMap<>();
     for (String name : names) {
       choices.put(name, best.lastChoice());
-      best = best.before() == null ? best : best.before();
+      best = best.previous() == null ? best : best.previous();
     }
     return choices;
   }
@@ -83,7 +83,7 @@
     }
     List<Mix> all = new ArrayList<>(extended.values());
     all.sort(Comparator.comparingDouble(this::loss));
-    return all.size() <= MIXES_KEPT ? all : all.subList(0, MIXES_KEPT);
+    return all.size() <= MAX_MIXES ? all : all.subList(0, MAX_MIXES);
   }
 
   private static List<Integer> add(List<Integer> left, List<Integer> right) {
@@ -116,11 +116,11 @@
    */
   double loss(ModelSpec model, int groups) {
     double work = demand.of(model);
-    return work * Math.pow(work / Math.max(groups, NO_GROUP), STEEPNESS);
+    return work * Math.pow(work / Math.max(groups, MIN_GROUPS), LOSS_EXPONENT);
   }
 
   /** Tells whether the work that callers ask for is known, beside its shares. */
-  boolean knowsWork() {
+  boolean hasObservedWork() {
     return demand.busyNodes() > 0;
   }
 
@@ -133,7 +133,7 @@
    */
   double lostWork(ModelSpec model, int groups) {
     double work = demand.of(model) * demand.busyNodes();
-    double share = Math.pow(work / Math.max(groups, NO_GROUP), STEEPNESS);
+    double share = Math.pow(work / Math.max(groups, MIN_GROUPS), LOSS_EXPONENT);
     return work * Math.min(1, share);
   }
 
@@ -144,7 +144,7 @@
    * @param groups its groups now
    * @return the loss that it takes away
    */
-  double worthOfNext(ModelSpec model, int groups) {
+  double gainOfNextGroup(ModelSpec model, int groups) {
     return loss(model, groups) - loss(model, groups + 1);
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/NodeReport.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/NodeReport.java
@@ -28,9 +28,9 @@
    * @param node the node
    * @return false for another life of the same id
    */
-  boolean isOf(Node node) {
+  boolean isFromIncarnationOf(Node node) {
     long known = node.life().startedMillis();
-    boolean untold = startedMillis == NodeLife.UNTOLD || known == NodeLife.UNTOLD;
-    return untold || startedMillis == known;
+    boolean startUnknown = startedMillis == NodeLife.UNTOLD || known == NodeLife.UNTOLD;
+    return startUnknown || startedMillis == known;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ObservedGroup.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ObservedGroup.java
@@ -27,9 +27,9 @@
   public static Map<GroupKey, ObservedGroup> gather(Collection<Node> nodes) {
     Map<GroupKey, ObservedGroup> groups = new LinkedHashMap<>();
     for (Node node : nodes) {
-      Membership place = node.membership();
-      if (place != null) {
-        GroupKey key = new GroupKey(place.group(), place.epoch());
+      Membership membership = node.membership();
+      if (membership != null) {
+        GroupKey key = new GroupKey(membership.group(), membership.epoch());
         groups
             .computeIfAbsent(key, name -> new ObservedGroup(name, new ArrayList<>()))
             .members()
@@ -46,7 +46,7 @@
    */
   public @Nullable Node head() {
     for (Node node : members) {
-      if (place(node).rank() == 0) {
+      if (membership(node).rank() == 0) {
         return node;
       }
     }
@@ -59,8 +59,8 @@
    * @param size the size of the group's model
    * @return true when the group may serve
    */
-  public boolean complete(int size) {
-    return members.size() >= size && head() != null && soundAsListed();
+  public boolean isComplete(int size) {
+    return members.size() >= size && head() != null && hasOnlyHealthyMembers();
   }
 
   /**
@@ -68,9 +68,9 @@
    *
    * @return true when nothing but missing entries speaks against the group
    */
-  public boolean soundAsListed() {
+  public boolean hasOnlyHealthyMembers() {
     for (Node node : members) {
-      if (node.draining() || place(node).state() == MemberState.BROKEN) {
+      if (node.draining() || membership(node).state() == MemberState.BROKEN) {
         return false;
       }
     }
@@ -93,7 +93,7 @@
    *
    * @return true when there is such a member
    */
-  public boolean isLeaving() {
+  public boolean hasDrainingMember() {
     return members.stream().anyMatch(Node::draining);
   }
 
@@ -105,18 +105,18 @@
    */
   public boolean any(MemberState state) {
     for (Node node : members) {
-      if (place(node).state() == state) {
+      if (membership(node).state() == state) {
         return true;
       }
     }
     return false;
   }
 
-  private static Membership place(Node node) {
-    Membership place = node.membership();
-    if (place == null) {
+  private static Membership membership(Node node) {
+    Membership membership = node.membership();
+    if (membership == null) {
       throw new IllegalStateException("Node " + node.id() + " is in no group; gather it anew.");
     }
-    return place;
+    return membership;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/OrderSink.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/OrderSink.java
@@ -7,12 +7,12 @@
 /** Collects the orders of one plan and marks their nodes as busy. */
 final class OrderSink {
 
-  private final OrderTracker log;
+  private final OrderTracker tracker;
   private final long fence;
   private final List<GroupOrder> orders = new ArrayList<>();
 
-  OrderSink(OrderTracker log, long fence) {
-    this.log = log;
+  OrderSink(OrderTracker tracker, long fence) {
+    this.tracker = tracker;
     this.fence = fence;
   }
 
@@ -26,7 +26,7 @@
 
   /** Names the count where it is known, so that it is known afterwards as well. */
   void leave(Node node, GroupKey key) {
-    push(order(node, GroupOrder.Kind.LEAVE, key, log.ordersIn(node.id(), key)));
+    push(order(node, GroupOrder.Kind.LEAVE, key, tracker.ordersInGroup(node.id(), key)));
   }
 
   private GroupOrder order(Node node, GroupOrder.Kind kind, GroupKey key, long expectedOrders) {
@@ -56,7 +56,7 @@
   }
 
   private void push(GroupOrder order) {
-    log.sending(order.node().id());
+    tracker.recordSent(order.node().id());
     orders.add(order);
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/OrderTracker.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/OrderTracker.java
@@ -11,24 +11,24 @@
   /** The count of orders of a node that has not told it. */
   static final long UNKNOWN = -1;
 
-  private static final long LONG_AGO = Long.MIN_VALUE / 2;
-  private static final long SILENT_NANOS = 1_500_000_000L;
+  private static final long NEVER = Long.MIN_VALUE / 2;
+  private static final long NO_ANSWER_NANOS = 1_500_000_000L;
   private static final long CONFLICT_NANOS = 600_000_000L;
 
   private final Map<String, Entry> entries = new HashMap<>();
-  private Set<String> resting = Set.of();
+  private Set<String> pausedNodes = Set.of();
 
   private static final class Entry {
     long orders = UNKNOWN;
-    @Nullable GroupKey place;
-    long conflictUntil = LONG_AGO;
-    boolean busy;
-    boolean met;
-    boolean unproven;
-    boolean failedProof;
-    long silentAt = LONG_AGO;
-    long lastReport = LONG_AGO;
-    long lastAsked = LONG_AGO;
+    @Nullable GroupKey group;
+    long conflictUntilNanos = NEVER;
+    boolean awaitingReply;
+    boolean contacted;
+    boolean needsLivenessCheck;
+    boolean failedLivenessCheck;
+    long unansweredNanos = NEVER;
+    long lastReportNanos = NEVER;
+    long lastCheckNanos = NEVER;
   }
 
   private Entry entry(String node) {
@@ -37,7 +37,7 @@
   }
 
   /** Forgets a node that has begun a new life: it has taken no orders and is in no group. */
-  void begunAnew(String node) {
+  void reset(String node) {
     entries.remove(node);
   }
 
@@ -46,58 +46,58 @@
   }
 
   /** Replaces the nodes that want nothing from this daemon for a while. */
-  void rest(Set<String> nodes) {
-    resting = nodes;
+  void setPausedNodes(Set<String> nodes) {
+    pausedNodes = nodes;
   }
 
-  boolean rests(String node) {
-    return resting.contains(node);
+  boolean isPaused(String node) {
+    return pausedNodes.contains(node);
   }
 
   /**
    * Tells whether nothing may be sent to a node now. One that rests is not silent: what is due
    * there waits, and nothing is concluded from it.
    */
-  boolean busy(String node) {
-    return entry(node).busy || rests(node);
+  boolean isBusy(String node) {
+    return entry(node).awaitingReply || isPaused(node);
   }
 
-  void sending(String node) {
+  void recordSent(String node) {
     Entry entry = entry(node);
-    entry.busy = true;
-    entry.met = true;
+    entry.awaitingReply = true;
+    entry.contacted = true;
   }
 
   /** Tells whether the node was sent an order or a question before. */
-  boolean hasMet(String node) {
-    return entry(node).met;
+  boolean wasContacted(String node) {
+    return entry(node).contacted;
   }
 
-  void reported(String node, long orders, @Nullable GroupKey place, long nowNanos) {
+  void recordReport(String node, long orders, @Nullable GroupKey group, long nowNanos) {
     Entry entry = entry(node);
-    entry.place = place;
-    entry.busy = false;
+    entry.group = group;
+    entry.awaitingReply = false;
     entry.orders = orders;
-    entry.unproven = false;
-    entry.failedProof = false;
-    entry.silentAt = LONG_AGO;
-    entry.lastReport = nowNanos;
+    entry.needsLivenessCheck = false;
+    entry.failedLivenessCheck = false;
+    entry.unansweredNanos = NEVER;
+    entry.lastReportNanos = nowNanos;
   }
 
-  long lastReport(String node) {
-    return entry(node).lastReport;
+  long lastReportNanos(String node) {
+    return entry(node).lastReportNanos;
   }
 
   /** An order has begun or holds already. */
-  void answered(GroupOrder order, boolean begun) {
+  void recordAnswer(GroupOrder order, boolean begun) {
     Entry entry = entry(order.node().id());
-    entry.busy = false;
-    entry.unproven = false;
-    entry.failedProof = false;
-    entry.silentAt = LONG_AGO;
+    entry.awaitingReply = false;
+    entry.needsLivenessCheck = false;
+    entry.failedLivenessCheck = false;
+    entry.unansweredNanos = NEVER;
     GroupKey key = new GroupKey(order.group(), order.epoch());
     if (order.kind() == GroupOrder.Kind.LEAVE) {
-      left(entry, order);
+      recordLeave(entry, order);
       return;
     }
     if (begun && order.expectedOrders() != UNKNOWN) {
@@ -106,7 +106,7 @@
       entry.orders++;
     }
     if (order.kind() == GroupOrder.Kind.JOIN) {
-      entry.place = key;
+      entry.group = key;
     }
   }
 
@@ -115,81 +115,81 @@
    * known afterwards only if the leave named the one before: one that was counted without let a
    * join pass at a node that had been moved meanwhile (1 of 5,192 random runs of two leaders).
    */
-  private static void left(Entry entry, GroupOrder order) {
+  private static void recordLeave(Entry entry, GroupOrder order) {
     boolean known = order.expectedOrders() != UNKNOWN;
     entry.orders = known ? order.expectedOrders() + 1 : UNKNOWN;
-    entry.place = known ? null : entry.place;
+    entry.group = known ? null : entry.group;
   }
 
   /** The count of orders of a node that is known to be in a group; unknown when it may not be. */
-  long ordersIn(String node, GroupKey key) {
+  long ordersInGroup(String node, GroupKey key) {
     Entry entry = entry(node);
-    return key.equals(entry.place) ? entry.orders : UNKNOWN;
+    return key.equals(entry.group) ? entry.orders : UNKNOWN;
   }
 
   /** The group that the node is in, at the count of orders that is known. */
-  @Nullable GroupKey place(String node) {
-    return entry(node).place;
+  @Nullable GroupKey group(String node) {
+    return entry(node).group;
   }
 
   /** The node is in a group that may serve, whatever the list says. */
-  void conflict(String node, long nowNanos) {
-    doubt(node);
-    entry(node).conflictUntil = nowNanos + CONFLICT_NANOS;
+  void recordConflict(String node, long nowNanos) {
+    invalidateOrders(node);
+    entry(node).conflictUntilNanos = nowNanos + CONFLICT_NANOS;
   }
 
   boolean inConflict(String node, long nowNanos) {
-    return nowNanos < entry(node).conflictUntil;
+    return nowNanos < entry(node).conflictUntilNanos;
   }
 
   /** The count of orders is in doubt: it is asked for before the next one. */
-  void doubt(String node) {
+  void invalidateOrders(String node) {
     Entry entry = entry(node);
-    entry.busy = false;
+    entry.awaitingReply = false;
     entry.orders = UNKNOWN;
   }
 
   /** An order had no answer: a report is asked for before the node is used again. */
-  void silent(String node, long nowNanos) {
-    doubt(node);
+  void recordNoAnswer(String node, long nowNanos) {
+    invalidateOrders(node);
     Entry entry = entry(node);
-    entry.silentAt = nowNanos;
-    entry.unproven = true;
+    entry.unansweredNanos = nowNanos;
+    entry.needsLivenessCheck = true;
   }
 
   /** Not even a report came, or another process answered. */
-  void gone(String node, long nowNanos) {
-    silent(node, nowNanos);
+  void recordUnreachable(String node, long nowNanos) {
+    recordNoAnswer(node, nowNanos);
     Entry entry = entry(node);
-    entry.failedProof = true;
-    entry.lastAsked = nowNanos;
+    entry.failedLivenessCheck = true;
+    entry.lastCheckNanos = nowNanos;
   }
 
-  boolean failedProof(String node) {
-    return entry(node).failedProof;
+  boolean failedLivenessCheck(String node) {
+    return entry(node).failedLivenessCheck;
   }
 
-  boolean isSilent(String node, long nowNanos) {
-    return nowNanos - entry(node).silentAt < SILENT_NANOS;
+  boolean isUnresponsive(String node, long nowNanos) {
+    return nowNanos - entry(node).unansweredNanos < NO_ANSWER_NANOS;
   }
 
   /** Asks for proof that the node lives before it joins a group again. */
-  void mistrust(String node) {
-    entry(node).unproven = true;
+  void requireLivenessCheck(String node) {
+    entry(node).needsLivenessCheck = true;
   }
 
-  boolean unproven(String node) {
-    return entry(node).unproven;
+  boolean needsLivenessCheck(String node) {
+    return entry(node).needsLivenessCheck;
   }
 
   /** Tells whether the answer that proves or disproves the node is still to come. */
-  boolean awaitsProof(String node) {
+  boolean awaitsLivenessCheck(String node) {
     Entry entry = entry(node);
-    return entry.unproven && !entry.failedProof;
+    return entry.needsLivenessCheck && !entry.failedLivenessCheck;
   }
 
   /** Tells whether a node may be asked again for proof. */
-  boolean mayAsk(String node, long nowNanos, long pauseNanos) {
-    return nowNanos - entry(node).lastAsked >= pauseNanos;
+  boolean mayCheckAgain(String node, long nowNanos, long pauseNanos) {
+    return nowNanos - entry(node).lastCheckNanos >= pauseNanos;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/PlanPacing.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/PlanPacing.java
@@ -9,15 +9,15 @@
 public final class PlanPacing {
 
   /** The waits that a plan decides by time are of half a second and more. */
-  private static final long LONGEST_REST_NANOS = 200_000_000L;
+  private static final long MAX_INTERVAL_NANOS = 200_000_000L;
 
-  private boolean answersCame;
-  private StorePlace planned = StorePlace.NONE;
+  private boolean answerReceived;
+  private StorePlace plannedPosition = StorePlace.NONE;
   private long plannedNanos = Long.MIN_VALUE / 2;
 
   /** Notes that a node has answered an order or a question. */
   public void answered() {
-    answersCame = true;
+    answerReceived = true;
   }
 
   /**
@@ -29,11 +29,11 @@
    * @return true when a plan may differ from the last one
    */
   public boolean isDue(StorePlace nodes, boolean busy, long now) {
-    boolean changed = answersCame || !nodes.equals(planned);
-    boolean due = busy || changed || now - plannedNanos >= LONGEST_REST_NANOS;
+    boolean changed = answerReceived || !nodes.equals(plannedPosition);
+    boolean due = busy || changed || now - plannedNanos >= MAX_INTERVAL_NANOS;
     if (due) {
-      answersCame = false;
-      planned = nodes;
+      answerReceived = false;
+      plannedPosition = nodes;
       plannedNanos = now;
     }
     return due;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RecentGroups.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RecentGroups.java
@@ -8,10 +8,10 @@
 public final class RecentGroups {
 
   /** How long at least: the list lags by less than a second, copies of it by another. */
-  private static final long KEEP_NANOS = 2_500_000_000L;
+  private static final long RETENTION_NANOS = 2_500_000_000L;
 
   /** How long while the list does not show it: outages of the store last ten seconds and more. */
-  private static final long KEEP_UNSHOWN_NANOS = 20_000_000_000L;
+  private static final long UNLISTED_RETENTION_NANOS = 20_000_000_000L;
 
   private final Map<GroupKey, Opened> opened = new LinkedHashMap<>();
   private final Map<GroupKey, Long> closed = new LinkedHashMap<>();
@@ -28,23 +28,24 @@
   }
 
   /** A group whose head has begun a new life does not serve, whatever was told before. */
-  void headBegunAnew(String id) {
+  void headRestarted(String id) {
     opened.keySet().removeIf(key -> id.equals(key.head()));
   }
 
   /** Forgets what the list has come to show; while the store is away that may take long. */
-  void forget(Set<GroupKey> listed, long nowNanos) {
+  void removeExpired(Set<GroupKey> listed, long nowNanos) {
     opened
         .entrySet()
         .removeIf(
-            group -> isOld(group.getValue().atNanos(), listed.contains(group.getKey()), nowNanos));
+            group ->
+                isExpired(group.getValue().atNanos(), listed.contains(group.getKey()), nowNanos));
     closed
         .entrySet()
-        .removeIf(group -> isOld(group.getValue(), !listed.contains(group.getKey()), nowNanos));
+        .removeIf(group -> isExpired(group.getValue(), !listed.contains(group.getKey()), nowNanos));
   }
 
-  private static boolean isOld(long atNanos, boolean shown, long nowNanos) {
-    return nowNanos - atNanos > (shown ? KEEP_NANOS : KEEP_UNSHOWN_NANOS);
+  private static boolean isExpired(long atNanos, boolean listed, long nowNanos) {
+    return nowNanos - atNanos > (listed ? RETENTION_NANOS : UNLISTED_RETENTION_NANOS);
   }
 
   /**
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
@@ -22,9 +22,9 @@
 public final class RestoredNodes {
 
   /** Entries of nodes that don't write lapse after three heartbeats of 1.2 s. */
-  private static final long LAPSED_NANOS = 5_000_000_000L;
+  private static final long LAPSE_NANOS = 5_000_000_000L;
 
-  private final Map<String, Held> held = new HashMap<>();
+  private final Map<String, Retained> retained = new HashMap<>();
 
   /**
    * What was known of a node.
@@ -33,7 +33,7 @@
    * @param listedAt the place of its entry in the copy that the store came back from
    * @param sinceNanos when this daemon saw that the store had gone back
    */
-  private record Held(@Nullable Node known, StorePlace listedAt, long sinceNanos) {}
+  private record Retained(@Nullable Node known, StorePlace listedAt, long sinceNanos) {}
 
   /**
    * Takes note that the store has gone back.
@@ -50,31 +50,33 @@
       Map<String, Node> listed,
       Map<String, StorePlace> places,
       long nowNanos) {
-    Map<String, Held> before = new HashMap<>(held);
-    held.clear();
+    Map<String, Retained> before = new HashMap<>(retained);
+    retained.clear();
     for (Node node : listed.values()) {
-      Held earlier = before.get(node.id());
+      Retained earlier = before.get(node.id());
       Node last = lastKnown(earlier, known.get(node.id()));
-      boolean hadGone = last == null && (earlier != null || gone.contains(node.id()));
-      if (hadGone || last != null && isLater(last, node)) {
-        held.put(node.id(), new Held(last, places.get(node.id()), nowNanos));
+      boolean wasGone = last == null && (earlier != null || gone.contains(node.id()));
+      if (wasGone || last != null && isLater(last, node)) {
+        retained.put(node.id(), new Retained(last, places.get(node.id()), nowNanos));
       }
     }
   }
 
   /** What was held on to goes before what was listed, unless a later life was listed since. */
-  private static @Nullable Node lastKnown(@Nullable Held earlier, @Nullable Node listedBefore) {
+  private static @Nullable Node lastKnown(@Nullable Retained earlier, @Nullable Node listedBefore) {
     Node last = earlier == null ? listedBefore : earlier.known();
-    boolean isNewer = last != null && listedBefore != null && hasBegunAnew(listedBefore, last);
+    boolean isNewer =
+        last != null && listedBefore != null && isLaterIncarnation(listedBefore, last);
     return isNewer ? listedBefore : last;
   }
 
   private static boolean isLater(Node known, Node listed) {
-    boolean leaves = known.draining() && !listed.draining() && known.life().equals(listed.life());
-    return leaves || hasBegunAnew(known, listed);
+    boolean startedDraining =
+        known.draining() && !listed.draining() && known.life().equals(listed.life());
+    return startedDraining || isLaterIncarnation(known, listed);
   }
 
-  private static boolean hasBegunAnew(Node known, Node listed) {
+  private static boolean isLaterIncarnation(Node known, Node listed) {
     return known.life().startedMillis() > listed.life().startedMillis();
   }
 
@@ -88,14 +90,16 @@
    */
   public Collection<Node> complete(
       Map<String, Node> listed, Map<String, StorePlace> places, long answeredNanos) {
-    if (held.isEmpty()) {
+    if (retained.isEmpty()) {
       return listed.values();
     }
-    held.entrySet().removeIf(entry -> isWritten(entry.getValue(), places.get(entry.getKey())));
-    held.values().removeIf(entry -> isAlive(entry, answeredNanos));
+    retained
+        .entrySet()
+        .removeIf(entry -> isRewritten(entry.getValue(), places.get(entry.getKey())));
+    retained.values().removeIf(entry -> hasOutlivedLapse(entry, answeredNanos));
     Collection<Node> completed = new ArrayList<>();
     for (Node node : listed.values()) {
-      Held entry = held.get(node.id());
+      Retained entry = retained.get(node.id());
       Node shown = entry == null ? node : shown(entry, node);
       if (shown != null) {
         completed.add(shown);
@@ -104,21 +108,21 @@
     return completed;
   }
 
-  private static boolean isWritten(Held entry, @Nullable StorePlace place) {
+  private static boolean isRewritten(Retained entry, @Nullable StorePlace place) {
     return place == null || !place.equals(entry.listedAt());
   }
 
   /** An entry that had gone is there still, though those of the dead have lapsed by now. */
-  private static boolean isAlive(Held entry, long answeredNanos) {
-    return entry.known() == null && answeredNanos - entry.sinceNanos() >= LAPSED_NANOS;
+  private static boolean hasOutlivedLapse(Retained entry, long answeredNanos) {
+    return entry.known() == null && answeredNanos - entry.sinceNanos() >= LAPSE_NANOS;
   }
 
-  private static @Nullable Node shown(Held entry, Node listed) {
+  private static @Nullable Node shown(Retained entry, Node listed) {
     Node known = entry.known();
     if (known == null) {
       return null;
     }
-    return hasBegunAnew(known, listed) ? known : listed.asDraining();
+    return isLaterIncarnation(known, listed) ? known : listed.asDraining();
   }
 
   /**
@@ -127,6 +131,6 @@
    * @return false when all that is held on to holds until it is written anew or lapses
    */
   public boolean changesWithTime() {
-    return held.values().stream().anyMatch(entry -> entry.known() == null);
+    return retained.values().stream().anyMatch(entry -> entry.known() == null);
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ScarceModels.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ScarceModels.java
@@ -18,12 +18,12 @@
    * How many times the worth of one more group must be, for nodes to lie idle for its sake: as for
    * an exchange, that noise in the demand makes no difference.
    */
-  private static final double MISSED_MORE = 3.0;
+  private static final double MIN_GAIN_RATIO = 3.0;
 
   private final EngineSpec engine;
-  private final Map<String, Double> worth = new HashMap<>();
+  private final Map<String, Double> gainPerNode = new HashMap<>();
   private final Map<String, Integer> holders = new HashMap<>();
-  private final Predicate<Node> hasWaited;
+  private final Predicate<Node> isReservedTooLong;
 
   /**
    * Weighs the models.
@@ -37,14 +37,14 @@
   ScarceModels(
       EngineSpec engine,
       MixPlanner mix,
-      Map<String, Integer> standing,
+      Map<String, Integer> groupCounts,
       Collection<Node> nodes,
-      Predicate<Node> hasWaited) {
+      Predicate<Node> isReservedTooLong) {
     this.engine = engine;
-    this.hasWaited = hasWaited;
+    this.isReservedTooLong = isReservedTooLong;
     for (ModelSpec model : engine.models()) {
-      int groups = standing.getOrDefault(model.name(), 0);
-      worth.put(model.name(), mix.worthOfNext(model, groups) / model.size());
+      int groups = groupCounts.getOrDefault(model.name(), 0);
+      gainPerNode.put(model.name(), mix.gainOfNextGroup(model, groups) / model.size());
       for (Node node : nodes) {
         if (!node.draining() && FormationPolicy.holds(node, model)) {
           holders.merge(key(node, model), 1, Integer::sum);
@@ -66,12 +66,12 @@
     boolean losesNothing =
         last == null || last.equals(model.name()) || node.staged().contains(last);
     ModelSpec lost = losesNothing || last == null ? null : engine.model(last);
-    return lost == null || hasWaited.test(node) || !isMissedMore(lost, model, node);
+    return lost == null || isReservedTooLong.test(node) || !isMoreValuable(lost, model, node);
   }
 
-  private boolean isMissedMore(ModelSpec lost, ModelSpec gained, Node node) {
+  private boolean isMoreValuable(ModelSpec lost, ModelSpec gained, Node node) {
     boolean canForm = holders.getOrDefault(key(node, lost), 0) >= lost.size();
-    double ofLost = worth.getOrDefault(lost.name(), 0.0);
-    return canForm && ofLost > MISSED_MORE * worth.getOrDefault(gained.name(), 0.0);
+    double gainOfLost = gainPerNode.getOrDefault(lost.name(), 0.0);
+    return canForm && gainOfLost > MIN_GAIN_RATIO * gainPerNode.getOrDefault(gained.name(), 0.0);
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StagingPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StagingPlanner.java
@@ -24,18 +24,18 @@
   private static final long MILLI = 1_000_000L;
 
   /** A load may take this many times its usual time, when others share the weight store. */
-  private static final long PATIENCE = 3;
+  private static final long TIMEOUT_FACTOR = 3;
 
-  private final boolean secondModel;
-  private final Map<String, Staging> underWay = new HashMap<>();
+  private final boolean stageSecondModel;
+  private final Map<String, Staging> inProgress = new HashMap<>();
 
-  StagingPlanner(boolean secondModel) {
-    this.secondModel = secondModel;
+  StagingPlanner(boolean stageSecondModel) {
+    this.stageSecondModel = stageSecondModel;
   }
 
   /** A load onto the host of a node, until the node holds the model, is gone or takes too long. */
   private record Staging(ModelSpec model, long untilNanos) {
-    boolean over(@Nullable Node node, long now) {
+    boolean isFinished(@Nullable Node node, long now) {
       return node == null || now > untilNanos || FormationPolicy.holds(node, model);
     }
   }
@@ -46,21 +46,23 @@
    * @param node the node
    * @param model the model whose weights it loads
    */
-  record Wish(Node node, ModelSpec model) {}
+  record Candidate(Node node, ModelSpec model) {}
 
-  int underWay() {
-    return underWay.size();
+  int inProgress() {
+    return inProgress.size();
   }
 
   /** Forgets loads that are done or over. */
-  void forget(Map<String, Node> nodes, long now) {
-    underWay.entrySet().removeIf(entry -> entry.getValue().over(nodes.get(entry.getKey()), now));
+  void removeFinished(Map<String, Node> nodes, long now) {
+    inProgress
+        .entrySet()
+        .removeIf(entry -> entry.getValue().isFinished(nodes.get(entry.getKey()), now));
   }
 
   /** Notes that a node was told to load. */
-  void begun(Wish wish, long now) {
-    long until = now + PATIENCE * wish.model().loadMillis() * MILLI;
-    underWay.put(wish.node().id(), new Staging(wish.model(), until));
+  void started(Candidate candidate, long now) {
+    long until = now + TIMEOUT_FACTOR * candidate.model().loadMillis() * MILLI;
+    inProgress.put(candidate.node().id(), new Staging(candidate.model(), until));
   }
 
   /**
@@ -73,36 +75,37 @@
    * @param forming the models of groups on their way, by domain
    * @return the loads
    */
-  List<Wish> wishes(
+  List<Candidate> candidates(
       Collection<Node> nodes,
       EngineSpec engine,
       MixPlanner mix,
-      Map<String, Integer> standing,
+      Map<String, Integer> groupCounts,
       Map<String, List<ModelSpec>> forming) {
     List<ModelSpec> useful = new ArrayList<>(engine.models());
     useful.sort(
         Comparator.comparingDouble(
                 (ModelSpec model) ->
-                    mix.worthOfNext(model, standing.getOrDefault(model.name(), 0)) / model.size())
+                    mix.gainOfNextGroup(model, groupCounts.getOrDefault(model.name(), 0))
+                        / model.size())
             .reversed());
     Map<String, ModelSpec> largest = largestByDomain(nodes, engine, forming);
-    List<Wish> empty = new ArrayList<>();
-    List<Wish> seconds = new ArrayList<>();
+    List<Candidate> empty = new ArrayList<>();
+    List<Candidate> seconds = new ArrayList<>();
     for (Node node : nodes) {
-      boolean able = !node.draining() && !isJoining(node) && !underWay.containsKey(node.id());
-      if (!able) {
+      boolean eligible = !node.draining() && !isJoining(node) && !inProgress.containsKey(node.id());
+      if (!eligible) {
         continue;
       }
       if (node.model() == null && node.staged().isEmpty()) {
-        empty.add(new Wish(node, largest.getOrDefault(node.domain(), useful.get(0))));
-      } else if (secondModel && node.model() != null) {
+        empty.add(new Candidate(node, largest.getOrDefault(node.domain(), useful.get(0))));
+      } else if (stageSecondModel && node.model() != null) {
         useful.stream()
             .filter(model -> !FormationPolicy.holds(node, model))
             .findFirst()
-            .ifPresent(model -> seconds.add(new Wish(node, model)));
+            .ifPresent(model -> seconds.add(new Candidate(node, model)));
       }
     }
-    seconds.sort(Comparator.comparingInt(wish -> useful.indexOf(wish.model())));
+    seconds.sort(Comparator.comparingInt(candidate -> useful.indexOf(candidate.model())));
     empty.addAll(seconds);
     return empty;
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StallEvidence.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StallEvidence.java
@@ -17,16 +17,16 @@
   private static final long MILLI = 1_000_000L;
 
   /** Daemons that agree at once; one alone may have a broken connection. */
-  private static final int ENOUGH = 2;
+  private static final int CONFIRMING_DAEMONS = 2;
 
   /** How long one daemon must hold on to its suspicion; two notes of the others fit in. */
-  private static final long ALONE_NANOS = 300 * MILLI;
+  private static final long SINGLE_OBSERVER_NANOS = 300 * MILLI;
 
   /**
    * How long daemons of other data centres must hold on to theirs. After a cut ends, notes of the
    * head's own data centre arrive within this time and show whether it moves.
    */
-  private static final long FROM_AFAR_NANOS = 600 * MILLI;
+  private static final long REMOTE_OBSERVERS_NANOS = 600 * MILLI;
 
   private final boolean cutsAreNoDeaths;
   private final Map<String, Long> since = new HashMap<>();
@@ -59,45 +59,53 @@
    * @return the heads as {@code ID@EPOCH}
    */
   public Set<String> confirmed(
-      List<Observation> witnesses, Map<String, String> dataCentres, Set<String> inSight, long now) {
+      List<Observation> observations,
+      Map<String, String> dataCentres,
+      Set<String> reachableDataCentres,
+      long now) {
     Map<String, List<Observation>> suspicions = new HashMap<>();
-    for (Observation witness : witnesses) {
-      for (String mark : witness.suspects()) {
-        suspicions.computeIfAbsent(mark, head -> new ArrayList<>()).add(witness);
+    for (Observation observation : observations) {
+      for (String headAtEpoch : observation.suspects()) {
+        suspicions.computeIfAbsent(headAtEpoch, head -> new ArrayList<>()).add(observation);
       }
     }
     since.keySet().retainAll(suspicions.keySet());
     Set<String> confirmed = new HashSet<>();
     suspicions.forEach(
-        (mark, by) -> {
-          long age = now - since.computeIfAbsent(mark, head -> now);
-          String dataCentre = dataCentres.get(idOf(mark));
-          if (dataCentre != null && isConfirmed(mark, by, witnesses, dataCentre, inSight, age)) {
-            confirmed.add(mark);
+        (headAtEpoch, observers) -> {
+          long age = now - since.computeIfAbsent(headAtEpoch, head -> now);
+          String dataCentre = dataCentres.get(idOf(headAtEpoch));
+          if (dataCentre != null
+              && isConfirmed(
+                  headAtEpoch, observers, observations, dataCentre, reachableDataCentres, age)) {
+            confirmed.add(headAtEpoch);
           }
         });
     return confirmed;
   }
 
   private boolean isConfirmed(
-      String mark,
-      List<Observation> by,
+      String headAtEpoch,
+      List<Observation> observers,
       List<Observation> all,
       String dataCentre,
-      Set<String> inSight,
+      Set<String> reachableDataCentres,
       long age) {
-    boolean isNear = by.stream().anyMatch(witness -> witness.dataCentre().equals(dataCentre));
-    if (isNear || !cutsAreNoDeaths) {
-      return by.size() >= ENOUGH || age >= ALONE_NANOS;
+    boolean reportedLocally =
+        observers.stream().anyMatch(observation -> observation.dataCentre().equals(dataCentre));
+    if (reportedLocally || !cutsAreNoDeaths) {
+      return observers.size() >= CONFIRMING_DAEMONS || age >= SINGLE_OBSERVER_NANOS;
     }
-    boolean movesForOthers =
+    boolean servesOthers =
         all.stream()
-            .filter(witness -> witness.dataCentre().equals(dataCentre))
-            .anyMatch(witness -> witness.busy().contains(idOf(mark)));
-    return inSight.contains(dataCentre) && !movesForOthers && age >= FROM_AFAR_NANOS;
+            .filter(observation -> observation.dataCentre().equals(dataCentre))
+            .anyMatch(observation -> observation.busy().contains(idOf(headAtEpoch)));
+    return reachableDataCentres.contains(dataCentre)
+        && !servesOthers
+        && age >= REMOTE_OBSERVERS_NANOS;
   }
 
-  private static String idOf(String mark) {
-    return mark.substring(0, mark.lastIndexOf('@'));
+  private static String idOf(String headAtEpoch) {
+    return headAtEpoch.substring(0, headAtEpoch.lastIndexOf('@'));
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/VanishedNodes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/VanishedNodes.java
@@ -17,12 +17,12 @@
    * How long an entry is held on to. A node that is really gone may be sent nothing after two
    * seconds.
    */
-  private static final long GRACE_NANOS = 1_500_000_000L;
+  private static final long RETENTION_NANOS = 1_500_000_000L;
 
   private final Map<String, Node> listedBefore = new HashMap<>();
-  private final Map<String, Vanished> vanished = new HashMap<>();
+  private final Map<String, Retained> retained = new HashMap<>();
 
-  private record Vanished(Node node, long atNanos) {}
+  private record Retained(Node node, long atNanos) {}
 
   /**
    * Adds entries that vanished a short while ago.
@@ -39,20 +39,20 @@
     listedBefore.forEach(
         (id, node) -> {
           if (mayComeBack && !present.containsKey(id) && !node.draining()) {
-            vanished.putIfAbsent(id, new Vanished(node, now));
+            retained.putIfAbsent(id, new Retained(node, now));
           }
         });
     listedBefore.clear();
     listedBefore.putAll(present);
-    vanished
+    retained
         .entrySet()
         .removeIf(
             entry ->
                 !mayComeBack
                     || present.containsKey(entry.getKey())
-                    || now - entry.getValue().atNanos() > GRACE_NANOS);
+                    || now - entry.getValue().atNanos() > RETENTION_NANOS);
     List<Node> completed = new ArrayList<>(listed);
-    vanished.values().forEach(entry -> completed.add(entry.node()));
+    retained.values().forEach(entry -> completed.add(entry.node()));
     return completed;
   }
 
@@ -62,6 +62,6 @@
    * @return true until the last one is back or given up
    */
   public boolean hasRetainedNodes() {
-    return !vanished.isEmpty();
+    return !retained.isEmpty();
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/ConcurrentLeadersTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/ConcurrentLeadersTest.java
@@ -118,7 +118,7 @@
 
   @Test
   void aNodeThatSaysThatItHasLeftMayBeInAnotherGroupByThen() {
-    OrderTracker log = new OrderTracker();
+    OrderTracker tracker = new OrderTracker();
     GroupKey left = GroupKey.of("first-0", "n0", 1);
     GroupOrder leave =
         new GroupOrder(
@@ -130,25 +130,25 @@
             List.of(),
             FENCE,
             -1);
-    log.reported(leave.node().id(), 2, left, 0);
+    tracker.recordReport(leave.node().id(), 2, left, 0);
     // Another leader's join may have been the third order, not the leave.
-    log.answered(leave, false);
-    assertThat(log.orders(leave.node().id())).isEqualTo(OrderTracker.UNKNOWN);
+    tracker.recordAnswer(leave, false);
+    assertThat(tracker.orders(leave.node().id())).isEqualTo(OrderTracker.UNKNOWN);
   }
 
   @Test
   void aLeaveThatNamesTheCountTellsTheCountAfterIt() {
-    OrderTracker log = new OrderTracker();
+    OrderTracker tracker = new OrderTracker();
     GroupKey left = GroupKey.of("first-0", "n0", 1);
     Node node = input().nodes().iterator().next();
-    log.reported(node.id(), 2, left, 0);
-    OrderSink sink = new OrderSink(log, FENCE);
+    tracker.recordReport(node.id(), 2, left, 0);
+    OrderSink sink = new OrderSink(tracker, FENCE);
     sink.leave(node, left);
     GroupOrder leave = sink.orders().get(0);
     assertThat(leave.expectedOrders()).isEqualTo(2);
-    log.answered(leave, false);
-    assertThat(log.orders(node.id())).isEqualTo(3);
-    assertThat(log.place(node.id())).isNull();
+    tracker.recordAnswer(leave, false);
+    assertThat(tracker.orders(node.id())).isEqualTo(3);
+    assertThat(tracker.group(node.id())).isNull();
   }
 
   /** Seeds that failed: the first by the count, the second while both leaders had one fence. */
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/MixPlannerTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/MixPlannerTest.java
@@ -134,8 +134,8 @@
   @Test
   void aNodeThatHasLainIdleForLongIsNotKept() {
     List<Node> nodes = holders("d", 4, "large", "small");
-    Map<String, Integer> standing = Map.of("large", 1, "small", 8);
-    JoinRule rule = new ScarceModels(ENGINE, mix(1, 1), standing, nodes, node -> true);
+    Map<String, Integer> groupCounts = Map.of("large", 1, "small", 8);
+    JoinRule rule = new ScarceModels(ENGINE, mix(1, 1), groupCounts, nodes, node -> true);
     assertThat(rule.mayJoin(nodes.get(0), ENGINE.model("small"))).isTrue();
   }
 
