--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Assembler.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Assembler.java
@@ -15,8 +15,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Brings groups to serve: all members join, all are seen ready under the group's name and epoch,
- * then the head opens.
+ * Forms groups: orders all members to join, waits until all are observed ready under the group's
+ * name and epoch, then orders the head to open.
  */
 final class Assembler {
 
@@ -24,14 +24,17 @@
   private static final long ATTEMPT_MARGIN_NANOS = 2_500 * MILLI;
 
   /**
-   * The list shows a member that has become ready within a rest of the leader, 120 ms while groups
-   * are on their way. Reports, each of which costs as much as a probe, are for when it does not.
+   * How long after the expected time a member is asked for a report. The list normally shows a
+   * ready member within 120 ms; a report, which costs as much as a probe, is the fallback.
    */
   private static final long REPORT_AFTER_NANOS = 300 * MILLI;
 
   private static final long REPORT_INTERVAL_NANOS = 800 * MILLI;
 
-  /** A group that another leader began is asked at once, member by member. */
+  /**
+   * Members of an adopted group are asked at once and more often, since the list doesn't suffice
+   * for them.
+   */
   private static final long ADOPTED_REPORT_INTERVAL_NANOS = 250 * MILLI;
 
   private static final long OPEN_RETRY_NANOS = 200 * MILLI;
@@ -44,7 +47,7 @@
   /**
    * Creates an assembler.
    *
-   * @param log what is known of the nodes' orders
+   * @param tracker the state of the nodes' orders
    * @param released tells whether the members of a group may join another one
    */
   Assembler(OrderTracker tracker, Predicate<GroupKey> released) {
@@ -52,7 +55,7 @@
     this.released = released;
   }
 
-  /** Why an attempt failed. */
+  /** A failed attempt and the reason, as it is logged. */
   record Failed(FormationAttempt attempt, String reason) {}
 
   boolean handles(GroupKey key) {
@@ -86,7 +89,7 @@
         new FormationAttempt(key, proposal.model(), members, proposal.loads(), ready, deadline));
   }
 
-  /** Takes a whole group over that a former leader began. */
+  /** Takes over a complete group that a former leader began to form. */
   void adopt(ObservedGroup group, ModelSpec model, long now) {
     List<String> members = new ArrayList<>();
     group.members().stream()
@@ -102,7 +105,7 @@
     attempts.put(group.key(), attempt);
   }
 
-  /** Ends attempts that serve or that can't succeed. */
+  /** Removes attempts whose head is open, and removes and returns those that can't succeed. */
   List<Failed> endFinished(
       Map<String, Node> nodes, Set<String> stalledHeads, List<String> logLines, long now) {
     List<Failed> failed = new ArrayList<>();
@@ -132,20 +135,20 @@
     for (String member : attempt.members) {
       Node node = nodes.get(member);
       if (node == null || node.draining()) {
-        return "member " + member + " is gone or leaving";
+        return "member " + member + " is not listed or is draining";
       }
       if (tracker.inConflict(member, now)) {
         return "member " + member + " is in a group that may serve";
       }
       if (tracker.failedLivenessCheck(member)) {
-        return "member " + member + " gives no answer";
+        return "member " + member + " is unresponsive";
       }
     }
     if (attempt.departedMember != null) {
-      return "member " + attempt.departedMember + " has left it";
+      return "member " + attempt.departedMember + " has left the group";
     }
     if (attempt.openedNanos < 0 && now > attempt.deadlineNanos) {
-      return "it was not ready in time";
+      return "its members were not ready before the deadline";
     }
     return stalledHeads.contains(attempt.key.headAtEpoch()) ? "its head stands still" : null;
   }
@@ -174,15 +177,15 @@
   private void advanceMember(FormationAttempt attempt, Node node, OrderSink sink, long now) {
     String id = node.id();
     if (!attempt.joined.contains(id)) {
-      GroupKey membership = tracker.group(id);
+      GroupKey currentGroup = tracker.group(id);
       if (hasNoKnownOrders(node)) {
         attempt.headOrdered |= id.equals(attempt.head());
         sink.join(node, attempt, 0);
       } else if (tracker.orders(id) == OrderTracker.UNKNOWN) {
         sink.report(node);
-      } else if (membership == null
-          || membership.equals(attempt.key)
-          || released.test(membership)) {
+      } else if (currentGroup == null
+          || currentGroup.equals(attempt.key)
+          || released.test(currentGroup)) {
         attempt.headOrdered |= id.equals(attempt.head());
         sink.join(node, attempt, tracker.orders(id));
       } else {
@@ -204,16 +207,16 @@
   }
 
   /**
-   * A node that has never been met and whose entry shows no trace of an order has most likely taken
-   * none. It is not asked first: the join names a count of none, and a node that has taken any
-   * refuses it.
+   * Tells whether a node has probably taken no orders: it was never contacted, and its entry shows
+   * no trace of an order. Its first join expects an order count of zero, and a node that has taken
+   * orders refuses it.
    */
   private boolean hasNoKnownOrders(Node node) {
     boolean bare = node.membership() == null && node.model() == null && node.staged().isEmpty();
     return bare && !tracker.wasContacted(node.id());
   }
 
-  /** The word of the list is not enough for a group that another leader began. */
+  /** Members of adopted groups have to report themselves ready; for others the list is enough. */
   private boolean reportIsDue(FormationAttempt attempt, String id, long now) {
     boolean reportExpected =
         attempt.adopted || now > attempt.expectedReadyNanos + REPORT_AFTER_NANOS;
@@ -223,8 +226,8 @@
 
   void outcome(GroupOrder order, GroupOrder.Outcome outcome, long now) {
     FormationAttempt attempt = attempts.get(new GroupKey(order.group(), order.epoch()));
-    boolean matches = outcome == GroupOrder.Outcome.BEGUN || outcome == GroupOrder.Outcome.DONE;
-    if (attempt == null || !matches) {
+    boolean accepted = outcome == GroupOrder.Outcome.BEGUN || outcome == GroupOrder.Outcome.DONE;
+    if (attempt == null || !accepted) {
       return;
     }
     if (order.kind() == GroupOrder.Kind.JOIN) {
@@ -235,7 +238,7 @@
     }
   }
 
-  /** A member that was ready in its former life is in no group in its new one. */
+  /** Marks the node as departed from the groups that its former incarnation had joined. */
   void nodeRestarted(String id) {
     for (FormationAttempt attempt : attempts.values()) {
       if (attempt.joined.contains(id)) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Dissolution.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Dissolution.java
@@ -5,14 +5,14 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 
-/** A group that is being taken apart; its members are free once its head surely cannot serve. */
+/** A group that is being dissolved. Its members are free once its head certainly can't serve. */
 final class Dissolution {
 
-  /** How a group is taken apart. */
+  /** How a group is dissolved. */
   enum Manner {
-    /** The head ends its work first. */
+    /** The head finishes its requests before it leaves. */
     GRACEFUL,
-    /** At once. */
+    /** The head leaves immediately; its requests break off. */
     IMMEDIATE
   }
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Dissolver.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Dissolver.java
@@ -13,8 +13,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Takes groups apart. The members of a group are free once its head has left it, once the head's
- * process is gone, or once other members left so long ago that the head is surely broken.
+ * Dissolves groups. The members of a group are free once its head has left it, once the head's
+ * process has ended, or once other members left so long ago that the head is certainly broken.
  */
 final class Dissolver {
 
@@ -22,10 +22,10 @@
   private static final long BREAK_MARGIN_NANOS = 400 * MILLI;
   private static final long DRAIN_TIMEOUT_NANOS = 3_000 * MILLI;
 
-  /** How often a head that closes is asked whether its work has ended. */
+  /** How often a closing head is asked whether it has finished its requests. */
   private static final long DRAIN_POLL_NANOS = 200 * MILLI;
 
-  /** Reports are of some hundred milliseconds earlier; the engines' configuration tells 200. */
+  /** How old a report may be when it arrives. The engines update their reports every 200 ms. */
   private static final long REPORT_LAG_NANOS = 300 * MILLI;
 
   private static final long STABLE_LISTING_NANOS = 2_000 * MILLI;
@@ -67,9 +67,9 @@
   }
 
   /**
-   * Tells whether the head surely serves no more. After its members left it is broken only once it
-   * has work, so that time alone is no proof while the list still shows it as serving; and entries
-   * that have just come back may come back before the head's own.
+   * Tells whether the head certainly serves no longer. An idle head doesn't notice that members
+   * left, so elapsed time is no proof while the list still shows the head as serving. When entries
+   * of members have just reappeared, the head's entry may still be about to reappear.
    */
   private boolean isReleased(Dissolution dissolution, long now) {
     if (dissolution.headLeft || dissolution.brokenAtNanos > now) {
@@ -88,7 +88,7 @@
     return true;
   }
 
-  /** Any other state may be an old one: the head may have opened since the list was made. */
+  /** Only BROKEN is conclusive: in any other listed state, the head may have opened since. */
   private static boolean isBroken(Node head, GroupKey key) {
     Membership membership = head.membership();
     return membership != null
@@ -102,9 +102,12 @@
     dissolutions.put(key, dissolution);
   }
 
-  /** Forgets dissolutions whose group no entry shows any more, but not that it is released. */
-  void forget(Map<GroupKey, ObservedGroup> groups, long now) {
-    // Joins that were carried out late, or another leader, may have brought a group back.
+  /**
+   * Removes dissolutions whose group is no longer listed, and remembers that these groups are
+   * released.
+   */
+  void removeCompleted(Map<GroupKey, ObservedGroup> groups, long now) {
+    // A delayed join or another leader may have formed the group again.
     released.removeIf(groups::containsKey);
     for (Dissolution dissolution : List.copyOf(dissolutions.values())) {
       boolean over = isReleased(dissolution, now) && !groups.containsKey(dissolution.key);
@@ -118,7 +121,7 @@
     }
   }
 
-  /** The groups of a head that has begun a new life ended with its former one. */
+  /** Marks the head as having left in all groups whose head restarted. */
   void nodeRestarted(String id, long now) {
     for (Dissolution dissolution : dissolutions.values()) {
       if (id.equals(dissolution.head)) {
@@ -127,18 +130,18 @@
     }
   }
 
-  /** The members that may still belong to a head that serves. */
-  Set<String> taken(long now) {
-    Set<String> taken = new HashSet<>();
+  /** The members that may still belong to a serving head. */
+  Set<String> occupiedNodes(long now) {
+    Set<String> occupiedNodes = new HashSet<>();
     for (Dissolution dissolution : dissolutions.values()) {
       if (!isReleased(dissolution, now)) {
-        taken.addAll(dissolution.members);
+        occupiedNodes.addAll(dissolution.members);
       }
     }
-    return taken;
+    return occupiedNodes;
   }
 
-  /** The groups whose members are not free yet. */
+  /** The number of groups whose members are not free yet. */
   int pendingCount(long now) {
     int pendingCount = 0;
     for (Dissolution dissolution : dissolutions.values()) {
@@ -152,7 +155,9 @@
     return released.contains(key) || dissolution != null && isReleased(dissolution, now);
   }
 
-  /** Tells whether the head gives no answer, so that its group is apart only after a long wait. */
+  /**
+   * Tells whether the head doesn't answer, so that the dissolution has to wait until it is broken.
+   */
   boolean isHeadUnresponsive(GroupKey key) {
     Dissolution dissolution = dissolutions.get(key);
     return dissolution != null && dissolution.headUnresponsive && !dissolution.headLeft;
@@ -202,9 +207,10 @@
   }
 
   /**
-   * The head's own word is newer than the list's, and than what it said before: a head that was not
-   * in the group yet answered that it had left, and may have joined since by another leader's
-   * order. A report of a moment after the leave may still be of the time before.
+   * Processes the report of a node. The report is newer than the list and than earlier answers: a
+   * head that answered a leave before it had joined may have joined since by another leader's
+   * order. Reports received within {@link #REPORT_LAG_NANOS} after a leave may predate it and are
+   * not taken as a return.
    */
   void report(String id, @Nullable Membership membership, long now) {
     released.removeIf(key -> id.equals(key.head()) && key.matches(membership));
@@ -227,7 +233,7 @@
         && (membership.state() == MemberState.OPEN || membership.state() == MemberState.CLOSING);
   }
 
-  /** A head that gives no answer is broken by the leaving of its members. */
+  /** Orders the other members to leave, so that a head that doesn't answer becomes broken. */
   private void removeOtherMembers(Dissolution dissolution, OrderSink sink, long now) {
     for (String member : dissolution.members) {
       Node node = lastSeen.get(member);
@@ -250,17 +256,18 @@
     switch (outcome) {
       case BEGUN, DONE -> memberLeft(dissolution, id, now);
       case CONFLICT -> {
-        // A leave that named a count may have been refused for the count alone.
+        // The node may have refused a leave only because the expected count of orders was wrong.
         if (order.expectedOrders() == OrderTracker.UNKNOWN) {
           memberLeft(dissolution, id, now);
         }
       }
-      // Another life answers at the address, so the one that was meant has ended.
+      // Another incarnation or node answers at the address, so the addressed one has ended.
       case OTHER_NODE -> recordLeft(dissolution, id, now);
-      // A refused connection proves nothing: a cut may reset connections as well.
+      // A refused connection proves nothing: a network partition may reset connections as well.
       case GONE, UNKNOWN -> dissolution.headUnresponsive |= id.equals(dissolution.head);
       default -> {
-        // Fenced: the caller steps back, and this planner is dropped. Held: it is due again later.
+        // FENCED: the caller steps down and drops this planner. HELD: the order is due again
+        // later.
       }
     }
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/DomainPackings.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/DomainPackings.java
@@ -6,20 +6,23 @@
 import org.fawnvale.serving.core.model.ModelSpec;
 import org.fawnvale.serving.core.model.Node;
 
-/** The sets of groups that the free nodes of one domain can form, without a node in two of them. */
+/**
+ * The combinations of groups that the free nodes of one domain can form at the same time, with no
+ * node in two groups.
+ */
 final class DomainPackings {
 
   private final List<ModelSpec> models;
 
-  /** Nodes by the set of models that they can join; bit {@code i} stands for model {@code i}. */
+  /** Number of nodes by the set of models that they can join; bit {@code i} is model {@code i}. */
   private final int[] nodesBySet;
 
   private final List<List<Integer>> maximal = new ArrayList<>();
 
   /**
-   * Counts what the nodes hold.
+   * Counts the nodes by the models that they can join.
    *
-   * @param engine the arithmetic of the engines
+   * @param engine the engines' configuration and capacity model
    * @param nodes the domain's free nodes
    * @param rule which nodes may join groups of which model
    */
@@ -40,9 +43,10 @@
   }
 
   /**
-   * The packings to which no group can be added.
+   * Returns the packings to which no group can be added.
    *
-   * @return each as numbers of groups in the order of the engine's models; at least one
+   * @return each as the number of groups per model, in the order of the engine's models; at least
+   *     one
    */
   List<List<Integer>> maximal() {
     enumerate(new int[models.size()], 0);
@@ -80,7 +84,7 @@
     return true;
   }
 
-  /** Hall's condition: each set of models finds enough nodes that hold one of them. */
+  /** Hall's condition: for each set of models, enough nodes can join at least one of them. */
   private boolean fits(int[] groups) {
     for (int wanted = 1; wanted < nodesBySet.length; wanted++) {
       if (members(groups, wanted) > holders(wanted)) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/DrainingMembers.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/DrainingMembers.java
@@ -3,12 +3,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Since when groups have a member that leaves. */
+/** Tracks since when groups have had a draining member. */
 final class DrainingMembers {
 
   /**
-   * How long a group may serve with a member that leaves. A member serves on for two seconds and
-   * more after it has said that it leaves, and the list lags by up to one.
+   * How long a group may serve with a draining member. A member serves on for at least two seconds
+   * after it has started to drain, and the list lags by up to one.
    */
   private static final long TIMEOUT_NANOS = 1_500_000_000L;
 
@@ -18,7 +18,7 @@
     sinceNanos.keySet().retainAll(groups.keySet());
   }
 
-  /** Tells whether a group has had a member that leaves for as long as it may. */
+  /** Tells whether the time that the group may serve with a draining member is over. */
   boolean hasTimedOut(GroupKey key, long now) {
     return now - sinceNanos.computeIfAbsent(key, group -> now) >= TIMEOUT_NANOS;
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ExchangePolicy.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ExchangePolicy.java
@@ -13,31 +13,33 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Finds groups of one model whose nodes, with the free ones of their domain, serve callers better
- * as groups of another.
+ * Finds groups of one model whose nodes, together with the free ones of their domain, would serve
+ * callers better as groups of another model.
  */
 final class ExchangePolicy {
 
   /**
-   * How many times what is lost the gain must be. Loss grows with the ninth power of the demand, so
-   * that a tenth of noise in it doubles the ratio; with less, groups would be taken apart to and
-   * fro.
+   * Minimal ratio of gain to loss. The loss grows with the ninth power of the demand, so noise of a
+   * tenth in the demand doubles the ratio; a lower limit would exchange groups back and forth.
    */
   private static final double MIN_GAIN_RATIO = 3.0;
 
-  /** Groups that one exchange takes apart at most; more would be felt by callers at once. */
+  /** Limits how many groups one exchange dissolves, since callers lose their capacity at once. */
   private static final int MAX_VICTIMS = 4;
 
-  /** How long an exchange serves, in seconds: about as long as demand stays within its noise. */
+  /** How long an exchange pays off, in seconds: about as long as demand stays within its noise. */
   private static final double BENEFIT_SECONDS = 10;
 
-  /** How long the nodes of an exchange serve nobody, in seconds: its head closes, members join. */
+  /**
+   * How long the nodes of an exchange serve nobody, in seconds: the heads close and the nodes join
+   * new groups.
+   */
   private static final double EXCHANGE_SECONDS = 2.5;
 
   /**
-   * What taking a group apart costs besides, in seconds of a group: its last streams keep its nodes
-   * and its connections are lost. Without it a fleet at a third of its load exchanged groups five
-   * times in three seconds, to and fro with a tenth of noise in the demand.
+   * Additional cost of dissolving a group, in seconds of one group's work: its last streams occupy
+   * its nodes, and its connections are lost. Without this cost, noise in the demand causes repeated
+   * exchanges even in a lightly loaded fleet.
    */
   private static final double DISSOLUTION_COST_SECONDS = 0.5;
 
@@ -55,12 +57,12 @@
   }
 
   /**
-   * Looks for groups to take apart in one domain.
+   * Looks for groups to dissolve in one domain.
    *
    * @param free the domain's free nodes
    * @param groups the domain's groups
-   * @return the groups to take apart, of one model and as few as gain, with what is formed instead;
-   *     null when nothing gains
+   * @return the smallest set of groups of one model whose exchange gains, with the groups to form
+   *     instead; null when there is none
    */
   @Nullable Plan plan(List<Node> free, List<ObservedGroup> groups) {
     for (ModelSpec model : engine.models()) {
@@ -79,19 +81,23 @@
   }
 
   /**
-   * Groups to take apart and what is formed instead.
+   * Groups to dissolve and the groups that are formed instead.
    *
-   * @param victims the groups
-   * @param packing the groups that their nodes and the free ones form, in the order of the models
+   * @param victims the groups to dissolve
+   * @param packing the number of groups per model that their nodes and the free ones form, in the
+   *     order of the models
    */
   record Plan(List<ObservedGroup> victims, List<Integer> packing) {}
 
-  /** What the decision was made from, for the log. */
+  /** Describes the plan and its inputs for the log. */
   String describe(Plan plan) {
     return "groups=" + plan.victims().size() + " for=" + plan.packing() + describeMix();
   }
 
-  /** The groups of each model and the groups that it keeps busy, relative to one node. */
+  /**
+   * Describes for each model its groups and the number of groups that it keeps busy, as a share of
+   * all nodes.
+   */
   String describeMix() {
     StringBuilder text = new StringBuilder();
     for (ModelSpec model : engine.models()) {
@@ -102,7 +108,7 @@
     return text.toString();
   }
 
-  /** Groups whose members hold several models are of most use for another. */
+  /** The members that hold one model only. Groups with few of them are exchanged first. */
   private long singleModelNodes(ObservedGroup group) {
     return group.members().stream()
         .filter(
@@ -135,7 +141,9 @@
     return gains ? packing : null;
   }
 
-  /** What callers get in time afterwards against what they lose meanwhile. */
+  /**
+   * Compares the work that is done in time after the exchange with the work that is lost during it.
+   */
   private boolean isWorthwhile(List<Integer> packing, Map<String, Integer> remaining, int victims) {
     if (!mix.hasObservedWork()) {
       return true;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Exchanges.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Exchanges.java
@@ -9,17 +9,19 @@
 import org.fawnvale.serving.core.model.ModelSpec;
 
 /**
- * The exchanges under way. A domain forms nothing until all groups that it exchanges are apart, or
- * else their first nodes would form what has just been taken apart.
+ * The exchanges in progress. A domain forms no groups until all groups that it exchanges are
+ * dissolved; otherwise the nodes that are free first would form the same groups again.
  */
 final class Exchanges {
 
   private static final long MILLI = 1_000_000L;
 
-  /** Work ends within three seconds of the order to close; then members leave. */
+  /** A closing head finishes its requests within three seconds; then the members leave. */
   private static final long TIMEOUT_NANOS = 4_000 * MILLI;
 
-  /** A group that was formed anew is seen to serve, and demand is seen to follow, in about this. */
+  /**
+   * A new group is listed as serving, and the observed demand reflects it, within about this time.
+   */
   private static final long COOLDOWN_NANOS = 1_500 * MILLI;
 
   private final Map<String, Exchange> inProgress = new HashMap<>();
@@ -32,7 +34,7 @@
     inProgress.put(domain, new Exchange(victims, plan.packing(), now + TIMEOUT_NANOS));
   }
 
-  /** Ends exchanges whose groups are apart, or can't be taken apart soon. */
+  /** Removes exchanges whose groups are dissolved or can't be dissolved soon. */
   void removeFinished(
       Predicate<GroupKey> isFree, Predicate<GroupKey> isHeadUnresponsive, long now) {
     for (String domain : List.copyOf(inProgress.keySet())) {
@@ -52,12 +54,12 @@
     return inProgress.keySet();
   }
 
-  /** Tells whether groups may be exchanged that nothing was lost of. */
+  /** Tells whether an exchange is in progress or ended recently. */
   boolean isCoolingDown(long now) {
     return !inProgress.isEmpty() || now - lastEndNanos < COOLDOWN_NANOS;
   }
 
-  /** Counts the groups to come as if they stood. */
+  /** Adds the groups that the exchanges will form to the counts. */
   void addTo(Map<String, Integer> groupCounts, List<ModelSpec> models) {
     for (Exchange exchange : new ArrayList<>(inProgress.values())) {
       for (int index = 0; index < models.size(); index++) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ExpectedGroups.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ExpectedGroups.java
@@ -9,11 +9,9 @@
 import org.fawnvale.serving.core.model.Node;
 
 /**
- * The groups that survivors of losses and spares are about to form. A group that lost a member is
- * whole again within about two seconds; whoever counted it as missing meanwhile took other groups
- * apart for it. On a day with a loss each three seconds and members that leave, eleven groups of
- * the model that was short were taken apart within nine seconds, for one that was at a third of its
- * load.
+ * The groups that survivors of failures and spare nodes are about to form. A group that lost a
+ * member is usually complete again within two seconds. Without these groups in the counts, that
+ * short gap would cause exchanges of other groups.
  */
 final class ExpectedGroups {
 
@@ -23,11 +21,11 @@
   private ExpectedGroups() {}
 
   /**
-   * Works out what nodes form.
+   * Computes the groups that will be formed.
    *
-   * @param engine the arithmetic of the engines
-   * @param mix chooses what free nodes form
-   * @param standing the groups of each model that stand or are being formed
+   * @param engine the engines' configuration and capacity model
+   * @param mix chooses which groups free nodes form
+   * @param groupCounts the groups of each model that exist or are being formed
    * @param rule which nodes may join groups of which model
    * @param soonFree the nodes that are free or about to be, by domain
    * @return the groups
@@ -53,12 +51,12 @@
     }
   }
 
-  /** Tells whether a domain is about to form any. */
+  /** Tells whether a domain is about to form any group. */
   boolean anyIn(String domain) {
     return domains.contains(domain);
   }
 
-  /** Counts the groups as if they stood. */
+  /** Adds the expected groups to the counts. */
   void addTo(Map<String, Integer> groupCounts) {
     byModel.forEach((model, groups) -> groupCounts.merge(model, groups, Integer::sum));
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/FormationAttempt.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/FormationAttempt.java
@@ -6,7 +6,7 @@
 import org.fawnvale.serving.core.model.ModelSpec;
 import org.jspecify.annotations.Nullable;
 
-/** A group on its way to serve. */
+/** A group that is being formed, until its head is open or the attempt fails. */
 final class FormationAttempt {
 
   final GroupKey key;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/FormationPolicy.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/FormationPolicy.java
@@ -12,9 +12,10 @@
 /**
  * Decides which free nodes of one domain become members of which group.
  *
- * <p>Only nodes that hold a model's weights join its groups: a node that has to load them first
- * would hold the others idle for as long, while they might form a group with the survivors of the
- * next loss. Two cases differ: loads that are free, and a model that no group serves at all.
+ * <p>By default only nodes that hold a model's weights join its groups: a node that has to load
+ * them first would keep the other members idle, which could form a group with the survivors of the
+ * next failure instead. There are two exceptions: while loads are not limited, and for a model that
+ * no group serves.
  */
 final class FormationPolicy {
 
@@ -27,7 +28,7 @@
    *
    * @param model its model
    * @param members its members, the head first
-   * @param loads the loads from the weight store that it costs
+   * @param loads the number of loads from the weight store that it needs
    * @param readyMillis the time until all members are ready, in milliseconds
    */
   record Proposal(ModelSpec model, List<Node> members, int loads, int readyMillis) {}
@@ -37,7 +38,7 @@
    *
    * @param node the node
    * @param model the model
-   * @return true when it joins a group of the model without a load from the weight store
+   * @return true when it can join a group of the model without loading from the weight store
    */
   static boolean holds(Node node, ModelSpec model) {
     return model.name().equals(node.model()) || node.staged().contains(model.name());
@@ -48,7 +49,7 @@
    *
    * @param free the domain's free nodes
    * @param packing the groups to form, in the order of the engine's models
-   * @param engine the arithmetic of the engines
+   * @param engine the engines' configuration and capacity model
    * @param rule which nodes may join groups of which model
    * @return the groups, larger ones first
    */
@@ -75,12 +76,12 @@
   }
 
   /**
-   * Proposes a group of a model that no group serves, though its members have to load.
+   * Proposes a group of a model that no group serves, even if its members have to load the weights.
    *
    * @param free a domain's free nodes
-   * @param engine the arithmetic of the engines
-   * @param standing the groups of each model that stand or are being formed
-   * @return the proposal; null when no model is missing or no group fits
+   * @param engine the engines' configuration and capacity model
+   * @param groupCounts the groups of each model that exist or are being formed
+   * @return the proposal; null when every model is served or no group fits
    */
   static @Nullable Proposal proposalForUnserved(
       List<Node> free, EngineSpec engine, Map<String, Integer> groupCounts) {
@@ -100,7 +101,7 @@
     return node.staged().contains(model.name()) ? model.warmMillis() : model.loadMillis();
   }
 
-  /** Nodes that can join no other group that is wanted go first, then those that are ready soon. */
+  /** Prefers nodes that can join no other planned group, then those that are ready soonest. */
   private static Proposal quickest(List<Node> fit, ModelSpec model, List<ModelSpec> planned) {
     List<Node> sorted = new ArrayList<>(fit);
     sorted.sort(
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupKey.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupKey.java
@@ -4,8 +4,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Identity of a group: a name is never used for two lists of members, and epochs rise. The name
- * ends with the id of the head, so that any leader can tell which node may serve for the group.
+ * Identity of a group. A name is never used for two lists of members, and epochs increase. The name
+ * ends with the id of the head, so that any leader can derive which node may serve for the group.
  *
  * @param name its name
  * @param epoch its epoch
@@ -15,9 +15,9 @@
   private static final char HEAD_MARK = '~';
 
   /**
-   * Names a group.
+   * Creates the key of a new group.
    *
-   * @param prefix begins the name; used once only
+   * @param prefix prefix of the name; must not be used twice
    * @param head the id of the head
    * @param epoch its epoch
    * @return its identity
@@ -27,9 +27,9 @@
   }
 
   /**
-   * The id of the head.
+   * Returns the id of the head.
    *
-   * @return the id; null when the name has another form
+   * @return the id; null when the name doesn't contain one
    */
   public @Nullable String head() {
     int mark = name.lastIndexOf(HEAD_MARK);
@@ -37,7 +37,7 @@
   }
 
   /**
-   * Names the head within this group.
+   * Identifies the head within this group.
    *
    * @return {@code ID@EPOCH}
    */
@@ -46,9 +46,9 @@
   }
 
   /**
-   * Tells whether a place is in this group.
+   * Tells whether a membership is of this group.
    *
-   * @param place a node's place; null when it has none
+   * @param membership a node's membership; null when it has none
    * @return true when name and epoch are equal
    */
   boolean matches(@Nullable Membership membership) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupOrder.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupOrder.java
@@ -5,16 +5,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * An order to a node, or a question for its report.
+ * An order to a node, or a request for its report.
  *
  * @param node the node
- * @param kind what it is to do
- * @param group the group concerned; empty for a report and for staging
+ * @param kind the kind of order
+ * @param group the name of the group; empty for a report and for staging
  * @param epoch the group's epoch
  * @param model the model; null where the kind names none
  * @param members the ids of the members, head first; empty where the kind names none
  * @param fence the fencing token
- * @param expectedOrders the count of orders that the node must have taken; negative for any
+ * @param expectedOrders the number of orders that the node must have taken to accept this one;
+ *     negative for any
  */
 public record GroupOrder(
     Node node,
@@ -26,39 +27,39 @@
     long fence,
     long expectedOrders) {
 
-  /** What a node is to do. */
+  /** What the node is ordered to do. */
   public enum Kind {
-    /** Become a member. */
+    /** Join a group. */
     JOIN,
-    /** Begin to serve, as head. */
+    /** Start to serve, as head. */
     OPEN,
-    /** Take nothing new, as head. */
+    /** Accept no further requests, as head. */
     CLOSE,
     /** Leave the group. */
     LEAVE,
     /** Load a model onto the host. */
     STAGE,
-    /** Tell its state. */
+    /** Report its state. */
     REPORT
   }
 
-  /** What came of an order. */
+  /** The result of an order. */
   public enum Outcome {
-    /** It has begun. */
+    /** The node accepted the order and carries it out. */
     BEGUN,
-    /** It holds already. */
+    /** The node was in the ordered state already. */
     DONE,
-    /** It does not fit the node's state. */
+    /** The order doesn't fit the node's state or order count. */
     CONFLICT,
-    /** A higher fencing token or epoch was seen there. */
+    /** The node has seen a higher fencing token or epoch. */
     FENCED,
-    /** Another node answers there. */
+    /** Another node answered at the address. */
     OTHER_NODE,
-    /** Nothing listens there: the node's process is gone. */
+    /** The connection was refused. */
     GONE,
-    /** It was not sent, since the node rests. */
+    /** The order was not sent because the node is in a Retry-After pause. */
     HELD,
-    /** No answer came; it may be carried out later. */
+    /** No answer was received; the node may still carry the order out. */
     UNKNOWN
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -21,22 +21,28 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The leader's decisions on groups, as a state machine: the caller feeds it the nodes' entries, the
- * outcomes of orders and the time, and sends the orders that {@link #plan} returns.
+ * Decides, as the leader, which groups are formed, opened and dissolved. The planner is a state
+ * machine without I/O: the caller passes in the listed nodes, the outcomes of orders and the time,
+ * and sends the orders that {@link #plan} returns.
  *
- * <p>Two promises hold by construction. A head is opened only after every member was seen ready
- * under the group's name, epoch and list. A node joins a group only after the head of its former
- * group has left it, or its process is gone, or members left so long ago that the head is broken.
+ * <p>The planner guarantees two invariants. It opens a head only after every member was observed
+ * ready under the group's name, epoch and member list. It assigns a node to another group only
+ * after the head of the node's former group has left that group, the head's process has ended, or
+ * other members left so long ago that the head is broken.
+ *
+ * <p>Instances are not thread-safe.
  */
 public final class GroupPlanner {
 
   private static final long MILLI = 1_000_000L;
   private static final long LIVENESS_CHECK_INTERVAL_NANOS = 700 * MILLI;
 
-  /** A line each two seconds, of the leader alone. */
   private static final long MIX_LOG_INTERVAL_NANOS = 2_000 * MILLI;
 
-  /** Of how many groups one may be taken apart at a time because a member leaves. */
+  /**
+   * While one plus one in this many groups is being dissolved, further groups with a draining
+   * member have to wait.
+   */
   private static final int GROUPS_PER_DISSOLUTION = 4;
 
   private final String namePrefix;
@@ -64,10 +70,10 @@
   /**
    * Creates a planner for one term of leadership.
    *
-   * @param namePrefix begins the names of groups; never used by another leader or incarnation
-   * @param stallNanos how long a group stands still after a loss until it is broken
-   * @param limiter holds the loads below the weight store's rate
-   * @param policy the mechanisms at work
+   * @param namePrefix prefix of all group names; must be unique to this planner
+   * @param stallNanos how long after the loss of a member the platform marks the head as broken
+   * @param limiter keeps loads below the rate of the weight store
+   * @param policy the mechanisms that are enabled
    */
   public GroupPlanner(String namePrefix, long stallNanos, LoadLimiter limiter, Policy policy) {
     this.namePrefix = namePrefix;
@@ -79,15 +85,15 @@
   }
 
   /**
-   * What a plan is made from.
+   * The input of one plan.
    *
-   * @param nodes nodes of the engine service
-   * @param engine their arithmetic
-   * @param demand how much of the fleet each model needs
-   * @param stalledHeads heads that surely stand still, as {@code ID@EPOCH}
-   * @param inSight data centres that the leader reaches
-   * @param resting ids of nodes that want nothing from this daemon for a while
-   * @param fence the fencing token
+   * @param nodes the listed nodes of the engine service
+   * @param engine the engines' configuration and capacity model
+   * @param demand the demand per model
+   * @param stalledHeads heads that are confirmed as stalled, as {@code ID@EPOCH}
+   * @param reachableDataCentres data centres that the leader can reach
+   * @param pausedNodes ids of nodes that are in a Retry-After pause for this daemon
+   * @param fence the fencing token of the leader's orders
    */
   public record Input(
       Collection<Node> nodes,
@@ -99,11 +105,12 @@
       long fence) {}
 
   /**
-   * Makes the orders that are due.
+   * Computes the orders that are due now.
    *
-   * @param input what the plan is made from
-   * @param now the steady time, in nanoseconds
-   * @return the orders; each is to be answered by {@link #outcome} or {@link #report}
+   * @param input the input of the plan
+   * @param now the monotonic time, in nanoseconds
+   * @return the orders; the caller reports the result of each to {@link #outcome} or, for a report,
+   *     to {@link #report}
    */
   public List<GroupOrder> plan(Input input, long now) {
     lastPlanNanos = now;
@@ -120,7 +127,7 @@
     missingMembers.retain(groups);
     drainingMembers.retain(groups);
     OrderSink sink = new OrderSink(tracker, input.fence());
-    dissolver.forget(groups, now);
+    dissolver.removeCompleted(groups, now);
     checkGroups(input, now);
     checkAttempts(input, nodes, now);
     exchange(input, nodes, now);
@@ -134,7 +141,7 @@
     return sink.orders();
   }
 
-  /** What was known of a node ends with its life, and so does its part in a group. */
+  /** Discards the state of nodes that restarted and marks their groups as having lost a member. */
   private void observeIncarnations(Map<String, Node> nodes, long now) {
     for (String id : incarnations.learn(nodes.values())) {
       logLines.add("node=" + id + " started_ms=" + nodes.get(id).life().startedMillis() + " anew");
@@ -149,7 +156,7 @@
   }
 
   /**
-   * Tells whether groups are on their way or being taken apart: their next step may be due at any
+   * Tells whether any group is being formed or dissolved, so that its next step may be due at any
    * moment.
    *
    * @return true while there is such a group
@@ -159,7 +166,7 @@
   }
 
   /**
-   * Lines on what was decided since the last call.
+   * Returns and clears the log lines on the decisions since the last call.
    *
    * @return the lines, oldest first
    */
@@ -170,8 +177,8 @@
   }
 
   /**
-   * Groups that were opened or dissolved a short while ago, so that others need not wait for the
-   * list to show it.
+   * Returns the groups that were opened or dissolved recently. Other daemons use them before the
+   * list shows the change.
    *
    * @return the groups
    */
@@ -190,7 +197,7 @@
     }
   }
 
-  /** Tells from which group each node is taken, and by what evidence. */
+  /** Logs for each join from which group the node is taken and why that group is released. */
   private void logMoves(OrderSink sink, long now) {
     for (GroupOrder order : sink.orders()) {
       GroupKey group = tracker.group(order.node().id());
@@ -225,13 +232,13 @@
   }
 
   /**
-   * A member that leaves stays for a while. When many leave at once, their groups end one after the
-   * other, so that most serve while some are formed anew.
+   * Dissolves a group with a draining member, unless many groups are being dissolved already. A
+   * draining member serves on for a while, so the group can wait until others are formed again.
    */
   private void dissolveUnlessTooMany(ObservedGroup group, long now) {
-    boolean crowded = dissolver.pendingCount(now) >= 1 + groups.size() / GROUPS_PER_DISSOLUTION;
-    if (!group.headMayServe() || !crowded || drainingMembers.hasTimedOut(group.key(), now)) {
-      dissolve(group, Dissolution.Manner.GRACEFUL, "a member leaves", now);
+    boolean tooMany = dissolver.pendingCount(now) >= 1 + groups.size() / GROUPS_PER_DISSOLUTION;
+    if (!group.headMayServe() || !tooMany || drainingMembers.hasTimedOut(group.key(), now)) {
+      dissolve(group, Dissolution.Manner.GRACEFUL, "a member is draining", now);
     }
   }
 
@@ -246,7 +253,10 @@
     dissolve(group.key(), ids(group.members()), manner, reason, now);
   }
 
-  /** Entries that vanished may be back soon; members that leave or are broken may not. */
+  /**
+   * A group may recover if entries are missing from the list, but not if a member drains or is
+   * broken.
+   */
   private boolean mayRecover(ObservedGroup group, long now) {
     boolean wasServing = group.head() == null || group.any(MemberState.OPEN);
     boolean lacksOnlyEntries = wasServing && group.hasOnlyHealthyMembers();
@@ -276,7 +286,10 @@
     logLines.add("group=" + key.name() + " epoch=" + key.epoch() + " dissolved reason=" + reason);
   }
 
-  /** Nodes that did not answer, or whose group stood still, prove by a report that they live. */
+  /**
+   * Requests reports from nodes that did not answer or whose group was dissolved at once. Such
+   * nodes join a group again only after they have answered.
+   */
   private void requestLivenessChecks(Map<String, Node> nodes, OrderSink sink, long now) {
     for (Node node : nodes.values()) {
       String id = node.id();
@@ -288,24 +301,28 @@
     }
   }
 
-  /** Before the first request there is time to wait for a whole list. */
-  private boolean isSettled(long now) {
+  /** Before the first request of a caller, the planner waits until the list stops growing. */
+  private boolean isListSettled(long now) {
     return limiter.isEnforced() || listSettling.isSettled(now);
   }
 
   /**
-   * Before any request the declared demand is all there is, and taking groups apart costs nobody
-   * anything. A leader that starts among groups that serve waits for what callers ask: after a loss
-   * of power the first leader took five groups apart in 0.1 s for a demand that was declared only.
+   * Tells whether the demand is known well enough to exchange groups. Before the first request,
+   * only the declared demand exists and exchanges cost nothing. A leader that starts among serving
+   * groups waits until it has observed demand, so that it doesn't dissolve them for the declared
+   * shares.
    */
   private boolean isDemandKnown(Input input) {
     return !limiter.isEnforced() || input.demand().isObserved();
   }
 
-  /** Takes groups apart whose nodes, with the free ones, serve callers better otherwise. */
+  /**
+   * Dissolves groups whose nodes, together with the free ones, serve callers better as another
+   * model.
+   */
   private void exchange(Input input, Map<String, Node> nodes, long now) {
     exchanges.removeFinished(key -> dissolver.isFree(key, now), dissolver::isHeadUnresponsive, now);
-    if (!policy.exchange() || !isSettled(now) || !isDemandKnown(input)) {
+    if (!policy.exchange() || !isListSettled(now) || !isDemandKnown(input)) {
       return;
     }
     Map<String, List<Node>> free = free(nodes, now);
@@ -330,7 +347,9 @@
     }
   }
 
-  /** What each model has and is asked for, now and then: the inputs of what is not exchanged. */
+  /**
+   * Logs the groups and the demand of each model, so that the log shows why no exchange was made.
+   */
   private void logMix(ExchangePolicy choice, long now) {
     if (now - lastMixLogNanos >= MIX_LOG_INTERVAL_NANOS) {
       lastMixLogNanos = now;
@@ -356,14 +375,14 @@
   }
 
   /**
-   * Nodes in sight that serve no group and will soon be free, by domain. Of a group that stands
-   * still one node is gone, but nothing tells which one until its entry lapses.
+   * Reachable nodes that belong to no stable group, by domain. The nodes of a stalled group are
+   * included although one of them is gone: the leader can't tell which one until its entry lapses.
    */
   private Map<String, List<Node>> soonFree(Map<String, Node> nodes) {
     Set<String> taken = new HashSet<>(assembler.assignedNodes());
     stableGroups()
         .values()
-        .forEach(here -> here.forEach(group -> taken.addAll(ids(group.members()))));
+        .forEach(domainGroups -> domainGroups.forEach(group -> taken.addAll(ids(group.members()))));
     Map<String, List<Node>> soonFree = new LinkedHashMap<>();
     for (Node node : nodes.values()) {
       boolean counted =
@@ -383,13 +402,12 @@
     logLines.add("domain=" + domain + " exchanges " + choice.describe(plan));
     exchanges.begin(domain, plan, now);
     for (ObservedGroup group : plan.victims()) {
-      dissolve(group, Dissolution.Manner.GRACEFUL, "its nodes serve more as another model", now);
+      dissolve(
+          group, Dissolution.Manner.GRACEFUL, "its nodes are exchanged for another model", now);
     }
   }
 
-  /**
-   * Domains in which groups are being formed or exchanged, or nodes have to prove that they live.
-   */
+  /** Domains in which groups are being formed or exchanged, or nodes await a liveness check. */
   private Set<String> busyDomains(Map<String, Node> nodes) {
     Set<String> busy = domainsAwaitingLivenessChecks(nodes);
     busy.addAll(exchanges.domains());
@@ -402,7 +420,7 @@
     return busy;
   }
 
-  /** Groups in sight that nothing is being done to, by domain. */
+  /** Reachable groups that are neither being formed nor dissolved, by domain. */
   private Map<String, List<ObservedGroup>> stableGroups() {
     Map<String, List<ObservedGroup>> byDomain = new LinkedHashMap<>();
     for (ObservedGroup group : groups.values()) {
@@ -416,7 +434,7 @@
   }
 
   private void form(Input input, Map<String, Node> nodes, long now) {
-    if (!isSettled(now)) {
+    if (!isListSettled(now)) {
       return;
     }
     EngineSpec engine = input.engine();
@@ -444,11 +462,7 @@
     }
     return policy.scarceModels()
         ? new ScarceModels(
-            engine,
-            mix,
-            groupCounts,
-            nodes,
-            node -> idleTimes.isReservedTooLong(node, lastPlanNanos))
+            engine, mix, groupCounts, nodes, node -> idleTimes.isIdleTooLong(node, lastPlanNanos))
         : JoinRule.HOLDERS;
   }
 
@@ -476,7 +490,9 @@
     }
   }
 
-  /** Domains in which a node is about to prove that it lives: a group formed now may be worse. */
+  /**
+   * Domains in which a node awaits a liveness check. Groups formed before its result may be worse.
+   */
   private Set<String> domainsAwaitingLivenessChecks(Map<String, Node> nodes) {
     Set<String> domains = new HashSet<>();
     for (Node node : nodes.values()) {
@@ -489,9 +505,9 @@
 
   private boolean mayLoad(int loads, EngineSpec engine, long now) {
     int inProgress = assembler.loadsInProgress() + staging.inProgress();
-    boolean crowded =
+    boolean tooMany =
         limiter.isEnforced() && inProgress > 0 && inProgress + loads > engine.loadsAtOnce();
-    return loads == 0 || !crowded && limiter.tryAcquire(loads, engine.loadsPerSecond(), now);
+    return loads == 0 || !tooMany && limiter.tryAcquire(loads, engine.loadsPerSecond(), now);
   }
 
   private void begin(FormationPolicy.Proposal proposal, long now) {
@@ -517,7 +533,7 @@
 
   private Map<String, List<Node>> free(Map<String, Node> nodes, long now) {
     Set<String> taken = new HashSet<>(assembler.assignedNodes());
-    taken.addAll(dissolver.taken(now));
+    taken.addAll(dissolver.occupiedNodes(now));
     for (ObservedGroup group : groups.values()) {
       if (!dissolver.isFree(group.key(), now)) {
         taken.addAll(ids(group.members()));
@@ -555,7 +571,7 @@
     return groupCounts;
   }
 
-  /** The models of groups on their way, by domain. */
+  /** Models of the groups that are being formed, by domain. */
   private Map<String, List<ModelSpec>> modelsInFormation(Map<String, Node> nodes) {
     Map<String, List<ModelSpec>> models = new HashMap<>();
     for (FormationAttempt attempt : assembler.attempts()) {
@@ -569,7 +585,7 @@
 
   private void stage(Input input, Map<String, Node> nodes, OrderSink sink, long now) {
     staging.removeFinished(nodes, now);
-    if (!isSettled(now)) {
+    if (!isListSettled(now)) {
       return;
     }
     EngineSpec engine = input.engine();
@@ -590,12 +606,12 @@
   }
 
   /**
-   * Takes the outcome of an order in. One to a former life of a node tells nothing of its present
-   * one.
+   * Processes the outcome of an order. Outcomes of orders to an earlier incarnation of a node are
+   * ignored.
    *
    * @param order the order
    * @param outcome its outcome
-   * @param now the steady time, in nanoseconds
+   * @param now the monotonic time, in nanoseconds
    */
   public void outcome(GroupOrder order, GroupOrder.Outcome outcome, long now) {
     String id = order.node().id();
@@ -614,12 +630,13 @@
   }
 
   /**
-   * Takes a node's report in.
+   * Processes the report of a node. Reports that were requested from an earlier incarnation of a
+   * node are ignored.
    *
-   * @param node the node
-   * @param report its report; null when none came. That of a later life of its id shows that this
-   *     one has ended; the list will tell of the later one
-   * @param now the steady time, in nanoseconds
+   * @param node the node that was asked
+   * @param report its report; null when none was received. A report of another incarnation shows
+   *     that the one that was asked has ended
+   * @param now the monotonic time, in nanoseconds
    */
   public void report(Node node, @Nullable NodeReport report, long now) {
     if (!incarnations.isCurrent(node)) {
@@ -629,11 +646,11 @@
       tracker.recordUnreachable(node.id(), now);
       return;
     }
-    Membership group = report.membership();
-    GroupKey key = group == null ? null : new GroupKey(group.group(), group.epoch());
+    Membership membership = report.membership();
+    GroupKey key = membership == null ? null : new GroupKey(membership.group(), membership.epoch());
     tracker.recordReport(node.id(), report.orders(), key, now);
-    assembler.report(node.id(), group);
-    dissolver.report(node.id(), group, now);
+    assembler.report(node.id(), membership);
+    dissolver.report(node.id(), membership, now);
   }
 
   private static @Nullable ModelSpec modelOf(ObservedGroup group, EngineSpec engine) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/IdleTimes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/IdleTimes.java
@@ -8,14 +8,14 @@
 import java.util.Set;
 import org.fawnvale.serving.core.model.Node;
 
-/** How long nodes have lain idle. */
+/** Tracks how long nodes have been free. */
 final class IdleTimes {
 
   /**
-   * How long a node is kept idle for a model that is missed more: entries that lapsed come back,
-   * and members of a group that was taken apart prove that they live, within two seconds.
+   * How long a node is kept idle for a model that needs it more. Within two seconds, lapsed entries
+   * reappear and members of dissolved groups pass their liveness check.
    */
-  private static final long MAX_RESERVED_NANOS = 2_000_000_000L;
+  private static final long MAX_IDLE_NANOS = 2_000_000_000L;
 
   private final Map<String, Long> since = new HashMap<>();
 
@@ -26,8 +26,8 @@
     idle.forEach(id -> since.putIfAbsent(id, now));
   }
 
-  boolean isReservedTooLong(Node node, long now) {
+  boolean isIdleTooLong(Node node, long now) {
     Long idleSince = since.get(node.id());
-    return idleSince != null && now - idleSince >= MAX_RESERVED_NANOS;
+    return idleSince != null && now - idleSince >= MAX_IDLE_NANOS;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/JoinRule.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/JoinRule.java
@@ -3,18 +3,18 @@
 import org.fawnvale.serving.core.model.ModelSpec;
 import org.fawnvale.serving.core.model.Node;
 
-/** Which nodes may join groups of which model. */
+/** Decides which nodes may join groups of which model. */
 @FunctionalInterface
 interface JoinRule {
 
-  /** Any node joins any group, by a load where it lacks the weights. */
+  /** Any node may join any group; it loads the weights if it lacks them. */
   JoinRule ANY = (node, model) -> true;
 
-  /** Only nodes that hold a model's weights join its groups. */
+  /** Only nodes that hold a model's weights may join its groups. */
   JoinRule HOLDERS = FormationPolicy::holds;
 
   /**
-   * Judges one node.
+   * Decides for one node.
    *
    * @param node the node
    * @param model the model of the group
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LastModels.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LastModels.java
@@ -11,8 +11,8 @@
 import org.fawnvale.serving.core.model.Node;
 
 /**
- * Remembers the model of each node's last group. A node that has left its group still has the
- * model's weights in memory and joins again in a fifth of a second, but its entry doesn't show it.
+ * Remembers the model of each node's last group. A node that has left its group keeps the model's
+ * weights in memory and can rejoin within 200 ms, but its entry no longer shows the model.
  */
 public final class LastModels {
 
@@ -20,7 +20,7 @@
   private final Lives lives = new Lives();
 
   /**
-   * Takes the nodes in, and tells again what their entries have ceased to show.
+   * Records the models that the entries show and fills in those that they no longer show.
    *
    * @param nodes the nodes as they are listed
    * @return the nodes; those without a model have that of their last group
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ListSettling.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ListSettling.java
@@ -4,17 +4,20 @@
 import java.util.Set;
 
 /**
- * Tells when the list of nodes is whole. After a start of the platform nodes are listed one by one,
- * and groups fit better when all are known.
+ * Detects when the list of nodes is complete. When the platform starts, nodes are listed one by
+ * one, and better groups can be formed once all are known.
  */
 final class ListSettling {
 
   private static final long MILLI = 1_000_000L;
 
-  /** The list is whole after a pause; nodes were seen to be listed every tenth of a second. */
+  /**
+   * The list counts as complete after this time without a new node. At a start, nodes are listed
+   * about every 100 ms.
+   */
   private static final long SETTLED_NANOS = 600 * MILLI;
 
-  /** A list that keeps growing is taken as it is after a while. */
+  /** A list that keeps growing is used after this time. */
   private static final long MAX_WAIT_NANOS = 4_000 * MILLI;
 
   private final Set<String> seen = new HashSet<>();
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LoadLimiter.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LoadLimiter.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Holds the loads that begin at the weight store below its rate. */
+/** Keeps the rate of loads from the weight store below the rate that it supports. */
 public final class LoadLimiter {
 
   private static final double RATE_SHARE = 0.6;
@@ -13,21 +13,21 @@
   private boolean enforced;
 
   /**
-   * Creates a limiter.
+   * Creates a limiter. It limits nothing before {@link #enforce}.
    *
-   * @param windowNanos the window that loads are counted in, in nanoseconds
+   * @param windowNanos the sliding window in which loads are counted, in nanoseconds
    */
   public LoadLimiter(long windowNanos) {
     this.windowNanos = windowNanos;
   }
 
-  /** Bounds the loads from now on: before the first request of callers they are free. */
+  /** Limits loads from now on. Before the first request of a caller they are not limited. */
   public void enforce() {
     enforced = true;
   }
 
   /**
-   * Tells whether loads are bounded.
+   * Tells whether loads are limited.
    *
    * @return true after {@link #enforce}
    */
@@ -36,12 +36,12 @@
   }
 
   /**
-   * Takes loads if the rate allows them.
+   * Takes permits for loads, if the rate allows all of them.
    *
-   * @param loads how many
-   * @param perSecond loads that may begin in a second
-   * @param nowNanos the steady time
-   * @return true when they may begin
+   * @param loads the number of loads
+   * @param perSecond loads that the weight store can begin per second
+   * @param nowNanos the monotonic time
+   * @return true when the loads may begin
    */
   public boolean tryAcquire(int loads, double perSecond, long nowNanos) {
     if (!enforced) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/MissingMembers.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/MissingMembers.java
@@ -6,21 +6,21 @@
 import java.util.Set;
 
 /**
- * Bears with groups of which an entry has vanished. An entry vanishes when its node dies, which
- * streams show sooner; but also when the node only lost the store, or the store was away, and then
- * the group serves on.
+ * Tolerates for a while that members of a group are not listed. An entry is missing when its node
+ * has died, which stalled streams show sooner. It is also missing when only the node's connection
+ * to the store or the store itself failed; then the group serves on.
  */
 final class MissingMembers {
 
   private static final long MILLI = 1_000_000L;
 
   /**
-   * How long a head may be missing: entries are back within about two seconds after the store was
-   * away.
+   * How long a head may be missing. Entries reappear within about two seconds of a store outage's
+   * end.
    */
   private static final long HEAD_NANOS = 2_500 * MILLI;
 
-  /** How long another member may be missing while the group is not seen to stand still. */
+  /** How long another member may be missing while the group is not known to be stalled. */
   private static final long MEMBER_NANOS = 5_000 * MILLI;
 
   private final Map<GroupKey, Long> since = new HashMap<>();
@@ -31,19 +31,20 @@
     lost.retainAll(groups.keySet());
   }
 
-  /** Notes that a group is whole. */
+  /** Records that all members of a group are listed. */
   void markComplete(GroupKey key) {
     since.remove(key);
   }
 
   /**
-   * Notes that a member has begun a new life: it does not come back, however soon its entry does.
+   * Records that a member has restarted. Its former incarnation can't come back, whatever the list
+   * shows.
    */
   void markLost(GroupKey key) {
     lost.add(key);
   }
 
-  /** Tells whether entries of a group have been missing for too long. */
+  /** Tells whether members of a group have been missing for too long. */
   boolean hasTimedOut(ObservedGroup group, long now) {
     long missing = now - since.computeIfAbsent(group.key(), key -> now);
     return lost.contains(group.key())
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/MixPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/MixPlanner.java
@@ -15,23 +15,25 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Chooses how many groups of each model the free nodes of the domains form, so that callers lose
- * least over all models. A domain forms whole groups only, so the choices of all domains are made
- * together: two domains may each waste no node where each for itself would waste some.
+ * Chooses how many groups of each model the free nodes of all domains form, such that the total
+ * loss over all models is minimal. The choice is made for all domains together, because a domain
+ * forms whole groups only: separate choices may leave more nodes unused.
  */
 final class MixPlanner {
 
   /**
-   * How steeply loss grows with the load of a model's groups. By the engines' arithmetic half of
-   * what a group carries loses next to nothing, three quarters a tenth and nine tenths about half
-   * of the answers in time; the eighth power comes near to that.
+   * Exponent of the loss in the load of a model's groups. In the engines' capacity model, groups at
+   * half of their capacity lose almost nothing, at three quarters a tenth, and at nine tenths about
+   * half of the answers in time; the eighth power approximates that.
    */
   private static final int LOSS_EXPONENT = 8;
 
-  /** A model without a group counts as if it had this share of one, so that its loss is finite. */
+  /** The number of groups that a model without any counts as having, so that its loss is finite. */
   private static final double MIN_GROUPS = 0.5;
 
-  /** Mixes that are followed up at once; bounds the work in fleets of hundreds of domains. */
+  /**
+   * Limit on the mixes that are kept per domain; bounds the work in fleets of hundreds of domains.
+   */
   private static final int MAX_MIXES = 2_000;
 
   private final EngineSpec engine;
@@ -42,16 +44,18 @@
     this.demand = demand;
   }
 
-  /** A mix of groups over all domains so far, and the choice of the last domain that led to it. */
+  /**
+   * The groups per model over all domains so far, and the last domain's choice that led to them.
+   */
   private record Mix(List<Integer> groups, @Nullable Mix previous, List<Integer> lastChoice) {}
 
   /**
-   * Chooses for each domain.
+   * Chooses the groups that each domain forms.
    *
    * @param free the free nodes by domain
-   * @param standing the groups of each model that stand or are being formed
+   * @param groupCounts the groups of each model that exist or are being formed
    * @param rule which nodes may join groups of which model
-   * @return by domain, the groups to form in the order of the engine's models
+   * @return by domain, the number of groups per model, in the order of the engine's models
    */
   Map<String, List<Integer>> choose(
       Map<String, List<Node>> free, Map<String, Integer> groupCounts, JoinRule rule) {
@@ -102,24 +106,24 @@
     return loss;
   }
 
-  /** The groups that a model keeps busy, relative to one node. */
+  /** The number of groups that a model keeps busy, as a share of all nodes. */
   double demand(ModelSpec model) {
     return demand.of(model);
   }
 
   /**
-   * What callers of a model lose, relative to other models and other numbers of groups.
+   * The relative loss of a model's callers. It can be compared between models and group counts.
    *
    * @param model the model
-   * @param groups its groups
-   * @return the loss; falls with each group
+   * @param groups its number of groups
+   * @return the loss; decreases with each group
    */
   double loss(ModelSpec model, int groups) {
     double work = demand.of(model);
     return work * Math.pow(work / Math.max(groups, MIN_GROUPS), LOSS_EXPONENT);
   }
 
-  /** Tells whether the work that callers ask for is known, beside its shares. */
+  /** Tells whether the absolute amount of work is known, and not only the share of each model. */
   boolean hasObservedWork() {
     return demand.busyNodes() > 0;
   }
@@ -128,8 +132,8 @@
    * The work of a model that is not done in time.
    *
    * @param model the model
-   * @param groups its groups
-   * @return the groups that this work would keep busy
+   * @param groups its number of groups
+   * @return the number of groups that this work would keep busy
    */
   double lostWork(ModelSpec model, int groups) {
     double work = demand.of(model) * demand.busyNodes();
@@ -138,11 +142,11 @@
   }
 
   /**
-   * What one more group of a model is worth.
+   * The gain of one more group of a model.
    *
    * @param model the model
-   * @param groups its groups now
-   * @return the loss that it takes away
+   * @param groups its current number of groups
+   * @return the reduction of the loss
    */
   double gainOfNextGroup(ModelSpec model, int groups) {
     return loss(model, groups) - loss(model, groups + 1);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/NodeReport.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/NodeReport.java
@@ -7,13 +7,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A node's report of itself.
+ * A node's report on itself.
  *
  * @param model the model of its group; null when it has none
  * @param staged the models on its host
- * @param membership its place in a group; null when it has none
- * @param orders the orders that it has taken in this life
- * @param startedMillis when this life began; {@link NodeLife#UNTOLD} when it does not tell
+ * @param membership its membership of a group; null when it has none
+ * @param orders the number of orders that it has taken in this incarnation
+ * @param startedMillis when this incarnation began; {@link NodeLife#UNTOLD} when it is not known
  */
 public record NodeReport(
     @Nullable String model,
@@ -23,10 +23,10 @@
     long startedMillis) {
 
   /**
-   * Tells whether it is the word of a node as it is known.
+   * Tells whether the report is of the known incarnation of a node.
    *
    * @param node the node
-   * @return false for another life of the same id
+   * @return false when it is of another incarnation; true also when either start is not known
    */
   boolean isFromIncarnationOf(Node node) {
     long known = node.life().startedMillis();
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ObservedGroup.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ObservedGroup.java
@@ -11,15 +11,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A group as its members' entries show it.
+ * A group as the listed entries of its members show it.
  *
- * @param key its identity
- * @param members the members that are listed
+ * @param key identity of the group
+ * @param members the listed members
  */
 public record ObservedGroup(GroupKey key, List<Node> members) {
 
   /**
-   * Gathers nodes into groups.
+   * Groups nodes by their membership.
    *
    * @param nodes all nodes
    * @return the groups by identity
@@ -40,7 +40,7 @@
   }
 
   /**
-   * The head.
+   * Returns the head.
    *
    * @return the member of rank 0; null when it is not listed
    */
@@ -54,9 +54,9 @@
   }
 
   /**
-   * Tells whether all members are listed and none leaves.
+   * Tells whether all members are listed and healthy.
    *
-   * @param size the size of the group's model
+   * @param size the number of members that the group's model needs
    * @return true when the group may serve
    */
   public boolean isComplete(int size) {
@@ -64,9 +64,9 @@
   }
 
   /**
-   * Tells whether no listed member leaves or is broken.
+   * Tells whether no listed member is draining or broken.
    *
-   * @return true when nothing but missing entries speaks against the group
+   * @return true when the group is healthy apart from members that are not listed
    */
   public boolean hasOnlyHealthyMembers() {
     for (Node node : members) {
@@ -78,10 +78,10 @@
   }
 
   /**
-   * Tells whether the head may be sent requests, though another member leaves: a member that leaves
-   * stays for a while.
+   * Tells whether the head may receive requests. Another member may be draining, since draining
+   * members serve on for a while.
    *
-   * @return true when the head is listed and does not leave, and no member is broken
+   * @return true when the head is listed and not draining, and no member is broken
    */
   public boolean headMayServe() {
     Node head = head();
@@ -89,7 +89,7 @@
   }
 
   /**
-   * Tells whether any member leaves.
+   * Tells whether any member is draining.
    *
    * @return true when there is such a member
    */
@@ -115,7 +115,7 @@
   private static Membership membership(Node node) {
     Membership membership = node.membership();
     if (membership == null) {
-      throw new IllegalStateException("Node " + node.id() + " is in no group; gather it anew.");
+      throw new IllegalStateException("Node " + node.id() + " is not a member of a group.");
     }
     return membership;
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/OrderSink.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/OrderSink.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.fawnvale.serving.core.model.Node;
 
-/** Collects the orders of one plan and marks their nodes as busy. */
+/** Collects the orders of one plan and marks their nodes as awaiting a reply. */
 final class OrderSink {
 
   private final OrderTracker tracker;
@@ -24,7 +24,7 @@
     push(order(node, kind, key, OrderTracker.UNKNOWN));
   }
 
-  /** Names the count where it is known, so that it is known afterwards as well. */
+  /** Adds a leave with the expected order count if it is known, so that the count stays known. */
   void leave(Node node, GroupKey key) {
     push(order(node, GroupOrder.Kind.LEAVE, key, tracker.ordersInGroup(node.id(), key)));
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/OrderTracker.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/OrderTracker.java
@@ -5,10 +5,10 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 
-/** What the leader knows of each node's orders and whether it answers. */
+/** Tracks for each node the orders that it has taken, its group and whether it answers. */
 final class OrderTracker {
 
-  /** The count of orders of a node that has not told it. */
+  /** Order count of a node whose count is not known. */
   static final long UNKNOWN = -1;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
@@ -36,7 +36,7 @@
     return known == null ? entries.computeIfAbsent(node, id -> new Entry()) : known;
   }
 
-  /** Forgets a node that has begun a new life: it has taken no orders and is in no group. */
+  /** Discards the state of a node that restarted: its new incarnation has taken no orders. */
   void reset(String node) {
     entries.remove(node);
   }
@@ -45,7 +45,7 @@
     return entry(node).orders;
   }
 
-  /** Replaces the nodes that want nothing from this daemon for a while. */
+  /** Replaces the set of nodes that are in a Retry-After pause for this daemon. */
   void setPausedNodes(Set<String> nodes) {
     pausedNodes = nodes;
   }
@@ -55,8 +55,8 @@
   }
 
   /**
-   * Tells whether nothing may be sent to a node now. One that rests is not silent: what is due
-   * there waits, and nothing is concluded from it.
+   * Tells whether nothing may be sent to a node now. A paused node doesn't count as unresponsive:
+   * its orders are deferred.
    */
   boolean isBusy(String node) {
     return entry(node).awaitingReply || isPaused(node);
@@ -68,7 +68,7 @@
     entry.contacted = true;
   }
 
-  /** Tells whether the node was sent an order or a question before. */
+  /** Tells whether the node was sent an order or a report request before. */
   boolean wasContacted(String node) {
     return entry(node).contacted;
   }
@@ -88,7 +88,7 @@
     return entry(node).lastReportNanos;
   }
 
-  /** An order has begun or holds already. */
+  /** Records that an order was accepted, either begun or done already. */
   void recordAnswer(GroupOrder order, boolean begun) {
     Entry entry = entry(order.node().id());
     entry.awaitingReply = false;
@@ -111,9 +111,9 @@
   }
 
   /**
-   * A leave is answered alike whether it or another leader's join ended the place. So the count is
-   * known afterwards only if the leave named the one before: one that was counted without let a
-   * join pass at a node that had been moved meanwhile (1 of 5,192 random runs of two leaders).
+   * Records an accepted leave. A node accepts a leave also if another leader's join has moved it
+   * before. The order count is therefore known afterwards only if the leave named the expected
+   * count; otherwise a later join could pass at a node that was moved in the meantime.
    */
   private static void recordLeave(Entry entry, GroupOrder order) {
     boolean known = order.expectedOrders() != UNKNOWN;
@@ -121,18 +121,18 @@
     entry.group = known ? null : entry.group;
   }
 
-  /** The count of orders of a node that is known to be in a group; unknown when it may not be. */
+  /** The order count of a node that is known to be in the group; {@link #UNKNOWN} otherwise. */
   long ordersInGroup(String node, GroupKey key) {
     Entry entry = entry(node);
     return key.equals(entry.group) ? entry.orders : UNKNOWN;
   }
 
-  /** The group that the node is in, at the count of orders that is known. */
+  /** The node's group as of the known order count. */
   @Nullable GroupKey group(String node) {
     return entry(node).group;
   }
 
-  /** The node is in a group that may serve, whatever the list says. */
+  /** Records that the node is in a group that may serve, whatever the list shows. */
   void recordConflict(String node, long nowNanos) {
     invalidateOrders(node);
     entry(node).conflictUntilNanos = nowNanos + CONFLICT_NANOS;
@@ -142,14 +142,14 @@
     return nowNanos < entry(node).conflictUntilNanos;
   }
 
-  /** The count of orders is in doubt: it is asked for before the next one. */
+  /** Marks the order count as unknown, so that a report is requested before the next join. */
   void invalidateOrders(String node) {
     Entry entry = entry(node);
     entry.awaitingReply = false;
     entry.orders = UNKNOWN;
   }
 
-  /** An order had no answer: a report is asked for before the node is used again. */
+  /** Records that an order was not answered. The node has to report before it is used again. */
   void recordNoAnswer(String node, long nowNanos) {
     invalidateOrders(node);
     Entry entry = entry(node);
@@ -157,7 +157,7 @@
     entry.needsLivenessCheck = true;
   }
 
-  /** Not even a report came, or another process answered. */
+  /** Records that a report request failed or that another process answered. */
   void recordUnreachable(String node, long nowNanos) {
     recordNoAnswer(node, nowNanos);
     Entry entry = entry(node);
@@ -173,7 +173,7 @@
     return nowNanos - entry(node).unansweredNanos < NO_ANSWER_NANOS;
   }
 
-  /** Asks for proof that the node lives before it joins a group again. */
+  /** Requires a report from the node before it joins a group again. */
   void requireLivenessCheck(String node) {
     entry(node).needsLivenessCheck = true;
   }
@@ -182,13 +182,13 @@
     return entry(node).needsLivenessCheck;
   }
 
-  /** Tells whether the answer that proves or disproves the node is still to come. */
+  /** Tells whether the node still has to pass or fail a required liveness check. */
   boolean awaitsLivenessCheck(String node) {
     Entry entry = entry(node);
     return entry.needsLivenessCheck && !entry.failedLivenessCheck;
   }
 
-  /** Tells whether a node may be asked again for proof. */
+  /** Tells whether the pause since the last failed liveness check is over. */
   boolean mayCheckAgain(String node, long nowNanos, long pauseNanos) {
     return nowNanos - entry(node).lastCheckNanos >= pauseNanos;
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RecentGroups.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RecentGroups.java
@@ -4,13 +4,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Groups that were opened or dissolved a short while ago. */
+/** Groups that were opened or dissolved recently. */
 public final class RecentGroups {
 
-  /** How long at least: the list lags by less than a second, copies of it by another. */
+  /**
+   * Retention once the list shows the change. The list and copies of it lag by up to a second each.
+   */
   private static final long RETENTION_NANOS = 2_500_000_000L;
 
-  /** How long while the list does not show it: outages of the store last ten seconds and more. */
+  /** Retention while the list doesn't show the change, as during an outage of the store. */
   private static final long UNLISTED_RETENTION_NANOS = 20_000_000_000L;
 
   private final Map<GroupKey, Opened> opened = new LinkedHashMap<>();
@@ -27,12 +29,12 @@
     closed.put(key, nowNanos);
   }
 
-  /** A group whose head has begun a new life does not serve, whatever was told before. */
+  /** Removes the opened groups of a head that restarted. */
   void headRestarted(String id) {
     opened.keySet().removeIf(key -> id.equals(key.head()));
   }
 
-  /** Forgets what the list has come to show; while the store is away that may take long. */
+  /** Removes expired groups. Groups whose change the list doesn't show yet are kept for longer. */
   void removeExpired(Set<GroupKey> listed, long nowNanos) {
     opened
         .entrySet()
@@ -49,7 +51,7 @@
   }
 
   /**
-   * Groups that began to serve.
+   * Returns the groups that began to serve.
    *
    * @return model by group
    */
@@ -60,7 +62,7 @@
   }
 
   /**
-   * Groups that are being taken apart.
+   * Returns the groups that were dissolved.
    *
    * @return their identities
    */
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ReleaseEvidence.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ReleaseEvidence.java
@@ -1,13 +1,13 @@
 package org.fawnvale.serving.core.formation;
 
-/** What speaks for it that the head of a group serves no more. */
+/** Why the head of a group is known to serve no longer. The leader logs the names in lower case. */
 enum ReleaseEvidence {
-  /** Nothing does. */
+  /** The head may still serve. */
   NONE,
-  /** The head, or another life at its address, answered that it has left. */
+  /** The head answered that it has left, or another incarnation answered at its address. */
   HEAD_LEFT,
   /** Members left so long ago that the head is broken. */
   HEAD_BROKEN,
-  /** The group was taken apart before, and no entry shows it since. */
+  /** The group was dissolved earlier, and no entry has shown it since. */
   RELEASED_BEFORE
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
@@ -10,18 +10,24 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What was known of nodes before the store came back from a copy, for as long as they have not
- * written again. The copy shows a node as it was some seconds ago: one that has said since that it
- * leaves shows as ready, one whose entry has gone is there, one that has started again shows its
- * former life. What is known is later, so it goes before: that a life leaves, or that a later one
- * has begun, until the entry is written anew or lapses; that an entry had gone until entries of the
- * dead have lapsed. That time is counted by the store's answers: while it is away again nobody can
- * write, and nothing lapses. Groups are taken as the copy shows them; leaders ask nodes for reports
- * before they act, and an older place in a group is found out sooner than one that is held on to.
+ * Corrects the list of nodes after the store was rolled back to a copy, until the nodes have
+ * written their entries again. The copy shows each node as it was some seconds ago: a node that has
+ * started to drain since shows as ready, a deleted entry is present again, and a restarted node
+ * shows its former incarnation.
+ *
+ * <p>What this daemon knew before the rollback is newer and takes precedence. A node that was
+ * draining or had restarted is shown so until its entry is rewritten or lapses. An entry that was
+ * gone stays hidden until the entries of dead nodes have lapsed. That time is measured up to the
+ * last answer of the store, since nodes can't write and nothing lapses during a store outage.
+ *
+ * <p>Group memberships are taken from the copy: leaders request reports before they act, which
+ * corrects an outdated membership sooner than a retained one.
  */
 public final class RestoredNodes {
 
-  /** Entries of nodes that don't write lapse after three heartbeats of 1.2 s. */
+  /**
+   * Entries of nodes that don't write lapse after three heartbeats of 1.2 s; this adds a margin.
+   */
   private static final long LAPSE_NANOS = 5_000_000_000L;
 
   private final Map<String, Retained> retained = new HashMap<>();
@@ -29,20 +35,20 @@
   /**
    * What was known of a node.
    *
-   * @param known the node as it was known; null when its entry had gone
-   * @param listedAt the place of its entry in the copy that the store came back from
-   * @param sinceNanos when this daemon saw that the store had gone back
+   * @param known the node as it was known; null when its entry was gone
+   * @param listedAt the store position of its entry in the copy
+   * @param sinceNanos when this daemon noticed the rollback
    */
   private record Retained(@Nullable Node known, StorePlace listedAt, long sinceNanos) {}
 
   /**
-   * Takes note that the store has gone back.
+   * Records that the store was rolled back to a copy.
    *
    * @param known the nodes that were listed before, by id
-   * @param gone ids of nodes whose entries had gone before
+   * @param gone ids of nodes whose entries were gone before
    * @param listed the nodes that are listed now, by id
-   * @param places the place of each listed entry, by id
-   * @param nowNanos the steady time
+   * @param places the store position of each listed entry, by id
+   * @param nowNanos the monotonic time
    */
   public void storeRolledBack(
       Map<String, Node> known,
@@ -62,7 +68,10 @@
     }
   }
 
-  /** What was held on to goes before what was listed, unless a later life was listed since. */
+  /**
+   * What an earlier rollback retained takes precedence over what was listed, unless a later
+   * incarnation was listed since.
+   */
   private static @Nullable Node lastKnown(@Nullable Retained earlier, @Nullable Node listedBefore) {
     Node last = earlier == null ? listedBefore : earlier.known();
     boolean isNewer =
@@ -81,12 +90,12 @@
   }
 
   /**
-   * Puts what was known in the place of what the store has gone back to.
+   * Replaces listed nodes by what was known of them.
    *
    * @param listed the nodes that are listed, by id
-   * @param places the place of each listed entry, by id
-   * @param answeredNanos when the store answered last, by the steady clock
-   * @return the nodes as they are to be taken
+   * @param places the store position of each listed entry, by id
+   * @param answeredNanos the monotonic time of the store's last answer
+   * @return the nodes to use
    */
   public Collection<Node> complete(
       Map<String, Node> listed, Map<String, StorePlace> places, long answeredNanos) {
@@ -100,9 +109,9 @@
     Collection<Node> completed = new ArrayList<>();
     for (Node node : listed.values()) {
       Retained entry = retained.get(node.id());
-      Node shown = entry == null ? node : shown(entry, node);
-      if (shown != null) {
-        completed.add(shown);
+      Node effectiveNode = entry == null ? node : effectiveNode(entry, node);
+      if (effectiveNode != null) {
+        completed.add(effectiveNode);
       }
     }
     return completed;
@@ -112,12 +121,15 @@
     return place == null || !place.equals(entry.listedAt());
   }
 
-  /** An entry that had gone is there still, though those of the dead have lapsed by now. */
+  /**
+   * Tells whether an entry that was gone is still listed after the entries of dead nodes have
+   * lapsed.
+   */
   private static boolean hasOutlivedLapse(Retained entry, long answeredNanos) {
     return entry.known() == null && answeredNanos - entry.sinceNanos() >= LAPSE_NANOS;
   }
 
-  private static @Nullable Node shown(Retained entry, Node listed) {
+  private static @Nullable Node effectiveNode(Retained entry, Node listed) {
     Node known = entry.known();
     if (known == null) {
       return null;
@@ -126,9 +138,9 @@
   }
 
   /**
-   * Tells whether what is shown may change with time alone.
+   * Tells whether {@link #complete} may return different nodes just because time passes.
    *
-   * @return false when all that is held on to holds until it is written anew or lapses
+   * @return false when every retained state lasts until the entry is rewritten or lapses
    */
   public boolean changesWithTime() {
     return retained.values().stream().anyMatch(entry -> entry.known() == null);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ScarceModels.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ScarceModels.java
@@ -9,39 +9,39 @@
 import org.fawnvale.serving.core.model.Node;
 
 /**
- * Keeps nodes for the model that is missed more. A node that joins a group from its host loses what
- * it last had in memory, and has it again only after a load of many seconds.
+ * Reserves nodes for the model that needs them more. A node that joins a group from its host loses
+ * the weights that it has in memory, and needs a load of many seconds to get them again.
  */
 final class ScarceModels implements JoinRule {
 
   /**
-   * How many times the worth of one more group must be, for nodes to lie idle for its sake: as for
-   * an exchange, that noise in the demand makes no difference.
+   * How many times the gain of a group of the lost model must exceed that of the joined one for the
+   * node to stay idle. Noise in the demand must not decide, as in {@link ExchangePolicy}.
    */
   private static final double MIN_GAIN_RATIO = 3.0;
 
   private final EngineSpec engine;
   private final Map<String, Double> gainPerNode = new HashMap<>();
   private final Map<String, Integer> holders = new HashMap<>();
-  private final Predicate<Node> isReservedTooLong;
+  private final Predicate<Node> isIdleTooLong;
 
   /**
-   * Weighs the models.
+   * Computes the gains of all models.
    *
-   * @param engine the arithmetic of the engines
-   * @param mix tells what one more group of a model is worth
-   * @param standing the groups of each model that stand or are being formed
+   * @param engine the engines' configuration and capacity model
+   * @param mix computes the gain of one more group of a model
+   * @param groupCounts the groups of each model that exist or are being formed
    * @param nodes all nodes
-   * @param hasWaited tells of a node that it has lain idle for long enough
+   * @param isIdleTooLong tells whether a node must not be reserved any longer
    */
   ScarceModels(
       EngineSpec engine,
       MixPlanner mix,
       Map<String, Integer> groupCounts,
       Collection<Node> nodes,
-      Predicate<Node> isReservedTooLong) {
+      Predicate<Node> isIdleTooLong) {
     this.engine = engine;
-    this.isReservedTooLong = isReservedTooLong;
+    this.isIdleTooLong = isIdleTooLong;
     for (ModelSpec model : engine.models()) {
       int groups = groupCounts.getOrDefault(model.name(), 0);
       gainPerNode.put(model.name(), mix.gainOfNextGroup(model, groups) / model.size());
@@ -66,7 +66,7 @@
     boolean losesNothing =
         last == null || last.equals(model.name()) || node.staged().contains(last);
     ModelSpec lost = losesNothing || last == null ? null : engine.model(last);
-    return lost == null || isReservedTooLong.test(node) || !isMoreValuable(lost, model, node);
+    return lost == null || isIdleTooLong.test(node) || !isMoreValuable(lost, model, node);
   }
 
   private boolean isMoreValuable(ModelSpec lost, ModelSpec gained, Node node) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StagingPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StagingPlanner.java
@@ -14,16 +14,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Chooses which nodes load which weights onto their hosts, beside everything else that they do.
- * Nodes that hold nothing come first, since they can join no group. Then each member of a group
- * stages a second model: whatever the survivors of a loss are needed for, they join it from their
- * hosts instead of the weight store.
+ * Chooses which nodes load which weights onto their hosts, in addition to their other work. Nodes
+ * without any weights come first, since they can't join a group. Then each group member stages a
+ * second model, so that the survivors of a failure can join a group of that model from their hosts
+ * instead of the weight store.
  */
 final class StagingPlanner {
 
   private static final long MILLI = 1_000_000L;
 
-  /** A load may take this many times its usual time, when others share the weight store. */
+  /** A load may take this many times its normal duration while others use the weight store. */
   private static final long TIMEOUT_FACTOR = 3;
 
   private final boolean stageSecondModel;
@@ -33,7 +33,10 @@
     this.stageSecondModel = stageSecondModel;
   }
 
-  /** A load onto the host of a node, until the node holds the model, is gone or takes too long. */
+  /**
+   * A load onto a node's host. It ends when the node holds the model, is no longer listed or
+   * exceeds the deadline.
+   */
   private record Staging(ModelSpec model, long untilNanos) {
     boolean isFinished(@Nullable Node node, long now) {
       return node == null || now > untilNanos || FormationPolicy.holds(node, model);
@@ -41,9 +44,9 @@
   }
 
   /**
-   * A load that is worth its while.
+   * A load that may be started.
    *
-   * @param node the node
+   * @param node the node that loads
    * @param model the model whose weights it loads
    */
   record Candidate(Node node, ModelSpec model) {}
@@ -52,27 +55,27 @@
     return inProgress.size();
   }
 
-  /** Forgets loads that are done or over. */
+  /** Removes loads that have finished, failed or timed out. */
   void removeFinished(Map<String, Node> nodes, long now) {
     inProgress
         .entrySet()
         .removeIf(entry -> entry.getValue().isFinished(nodes.get(entry.getKey()), now));
   }
 
-  /** Notes that a node was told to load. */
+  /** Records that a node was ordered to load. */
   void started(Candidate candidate, long now) {
     long until = now + TIMEOUT_FACTOR * candidate.model().loadMillis() * MILLI;
     inProgress.put(candidate.node().id(), new Staging(candidate.model(), until));
   }
 
   /**
-   * The loads that are worth their while, most useful first.
+   * Returns the loads that may be started, most useful first.
    *
    * @param nodes the nodes of all domains
-   * @param engine the arithmetic of the engines
-   * @param mix tells what one more group of a model is worth
-   * @param standing the groups of each model that stand or are being formed
-   * @param forming the models of groups on their way, by domain
+   * @param engine the engines' configuration and capacity model
+   * @param mix computes the gain of one more group of a model
+   * @param groupCounts the groups of each model that exist or are being formed
+   * @param forming the models of groups that are being formed, by domain
    * @return the loads
    */
   List<Candidate> candidates(
@@ -111,8 +114,8 @@
   }
 
   /**
-   * The largest model that groups of each domain serve. The survivors of such a group are most, and
-   * one node more that holds its weights makes them whole again.
+   * The largest model that the groups of each domain serve. A failure leaves the most survivors in
+   * such a group, and one more node that holds its weights completes the group again.
    */
   private static Map<String, ModelSpec> largestByDomain(
       Collection<Node> nodes, EngineSpec engine, Map<String, List<ModelSpec>> forming) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StallEvidence.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StallEvidence.java
@@ -8,23 +8,29 @@
 import java.util.Set;
 
 /**
- * Weighs what the daemons tell of heads that stand still. A cut between data centres looks like the
- * death of every head behind it, so daemons of the head's own data centre are the better witnesses:
- * while one of them has requests there and does not complain, the head moves.
+ * Decides from the observations of all daemons which heads are stalled. A network partition between
+ * data centres looks like the failure of every head behind it, so observations from the head's own
+ * data centre have priority: while a daemon there has requests at the head and doesn't suspect it,
+ * the head is not stalled.
  */
 public final class StallEvidence {
 
   private static final long MILLI = 1_000_000L;
 
-  /** Daemons that agree at once; one alone may have a broken connection. */
+  /**
+   * Number of daemons that confirm a stall at once; a single one may just have a broken connection.
+   */
   private static final int CONFIRMING_DAEMONS = 2;
 
-  /** How long one daemon must hold on to its suspicion; two notes of the others fit in. */
+  /**
+   * How long a single daemon must suspect a head. Two messages of the other daemons arrive within
+   * this time.
+   */
   private static final long SINGLE_OBSERVER_NANOS = 300 * MILLI;
 
   /**
-   * How long daemons of other data centres must hold on to theirs. After a cut ends, notes of the
-   * head's own data centre arrive within this time and show whether it moves.
+   * How long daemons of other data centres must suspect a head. After a network partition ends,
+   * messages from the head's own data centre arrive within this time and show whether it serves.
    */
   private static final long REMOTE_OBSERVERS_NANOS = 600 * MILLI;
 
@@ -34,28 +40,29 @@
   /**
    * Creates the evidence of one leader.
    *
-   * @param cutsAreNoDeaths whether data centres are told apart; otherwise all witnesses count alike
+   * @param cutsAreNoDeaths whether data centres are told apart; otherwise all observations count
+   *     alike
    */
   public StallEvidence(boolean cutsAreNoDeaths) {
     this.cutsAreNoDeaths = cutsAreNoDeaths;
   }
 
   /**
-   * What one daemon tells.
+   * What one daemon reports.
    *
    * @param dataCentre its data centre
-   * @param suspects heads that it holds to be standing still, as {@code ID@EPOCH}
+   * @param suspects heads that it suspects to be stalled, as {@code ID@EPOCH}
    * @param busy ids of the heads at which it has requests
    */
   public record Observation(String dataCentre, List<String> suspects, Set<String> busy) {}
 
   /**
-   * Heads that surely stand still.
+   * Returns the heads that are confirmed as stalled.
    *
-   * @param witnesses what each live daemon tells, the leader included
-   * @param dataCentres the data centre of each head by its id; heads that it lacks are ignored
-   * @param inSight data centres that the leader reaches
-   * @param now the steady time, in nanoseconds
+   * @param observations what each live daemon reports, the leader included
+   * @param dataCentres the data centre of each head, by the head's id; other heads are ignored
+   * @param reachableDataCentres data centres that the leader can reach
+   * @param now the monotonic time, in nanoseconds
    * @return the heads as {@code ID@EPOCH}
    */
   public Set<String> confirmed(
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/VanishedNodes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/VanishedNodes.java
@@ -8,14 +8,15 @@
 import org.fawnvale.serving.core.model.Node;
 
 /**
- * Holds on to entries that vanish without their nodes' doing. Entries lapse when the store can't be
- * written to, and are back within about two seconds after it can; meanwhile their nodes serve.
+ * Retains entries that vanish although their nodes live. Entries lapse while nodes can't write to
+ * the store, and reappear within about two seconds after it has recovered. Meanwhile the nodes
+ * serve on.
  */
 public final class VanishedNodes {
 
   /**
-   * How long an entry is held on to. A node that is really gone may be sent nothing after two
-   * seconds.
+   * How long an entry is retained. Two seconds after a node has really gone, nothing may be sent to
+   * it.
    */
   private static final long RETENTION_NANOS = 1_500_000_000L;
 
@@ -25,13 +26,12 @@
   private record Retained(Node node, long atNanos) {}
 
   /**
-   * Adds entries that vanished a short while ago.
+   * Adds entries that vanished recently to the list.
    *
    * @param listed the nodes that are listed
-   * @param mayComeBack whether entries that are missing may come back; none is held on to any more
-   *     once they may not
-   * @param now the steady time, in nanoseconds
-   * @return the nodes with those that vanished
+   * @param mayComeBack whether missing entries may reappear; if not, none is retained
+   * @param now the monotonic time, in nanoseconds
+   * @return the listed nodes and the retained ones
    */
   public Collection<Node> complete(Collection<Node> listed, boolean mayComeBack, long now) {
     Map<String, Node> present = new HashMap<>();
@@ -57,9 +57,9 @@
   }
 
   /**
-   * Tells whether any entry is held on to.
+   * Tells whether any entry is retained.
    *
-   * @return true until the last one is back or given up
+   * @return true until the last one has reappeared or expired
    */
   public boolean hasRetainedNodes() {
     return !retained.isEmpty();
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/package-info.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/package-info.java
@@ -1,4 +1,4 @@
-/** Formation, opening, repair and dissolution of groups. */
+/** The leader's planning of groups: formation, opening, repair, exchange and dissolution. */
 @NullMarked
 package org.fawnvale.serving.core.formation;
 
