--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ExchangePolicy.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ExchangePolicy.java
@@ -95,8 +95,7 @@
   }
 
   /**
-   * Describes for each model its groups and the number of groups that it keeps busy, as a share of
-   * all nodes.
+   * Describes for each model its groups and the number of groups that it keeps busy, divided by the number of nodes.
    */
   String describeMix() {
     StringBuilder text = new StringBuilder();
@@ -123,7 +122,7 @@
     return head != null
         && model.name().equals(head.model())
         && group.isComplete(model.size())
-        && group.any(MemberState.OPEN);
+        && group.anyMemberIs(MemberState.OPEN);
   }
 
   private @Nullable List<Integer> gainingPacking(
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupOrder.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupOrder.java
@@ -55,7 +55,7 @@
     FENCED,
     /** Another node answered at the address. */
     OTHER_NODE,
-    /** The connection was refused. */
+    /** The connection was refused: the process may have ended. */
     GONE,
     /** The order was not sent because the node is in a Retry-After pause. */
     HELD,
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -243,7 +243,7 @@
   }
 
   private void adoptUnlessOpen(ObservedGroup group, ModelSpec model, long now) {
-    if (!group.any(MemberState.OPEN)) {
+    if (!group.anyMemberIs(MemberState.OPEN)) {
       assembler.adopt(group, model, now);
       logLines.add("group=" + group.key().name() + " adopted");
     }
@@ -258,7 +258,7 @@
    * broken.
    */
   private boolean mayRecover(ObservedGroup group, long now) {
-    boolean wasServing = group.head() == null || group.any(MemberState.OPEN);
+    boolean wasServing = group.head() == null || group.anyMemberIs(MemberState.OPEN);
     boolean lacksOnlyEntries = wasServing && group.hasOnlyHealthyMembers();
     return policy.cutsAreNoDeaths() && lacksOnlyEntries && !missingMembers.hasTimedOut(group, now);
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/MixPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/MixPlanner.java
@@ -106,7 +106,7 @@
     return loss;
   }
 
-  /** The number of groups that a model keeps busy, as a share of all nodes. */
+  /** The number of groups that a model keeps busy, divided by the number of nodes. */
   double demand(ModelSpec model) {
     return demand.of(model);
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ObservedGroup.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ObservedGroup.java
@@ -85,7 +85,7 @@
    */
   public boolean headMayServe() {
     Node head = head();
-    return head != null && !head.draining() && !any(MemberState.BROKEN);
+    return head != null && !head.draining() && !anyMemberIs(MemberState.BROKEN);
   }
 
   /**
@@ -103,7 +103,7 @@
    * @param state the state
    * @return true when there is such a member
    */
-  public boolean any(MemberState state) {
+  public boolean anyMemberIs(MemberState state) {
     for (Node node : members) {
       if (membership(node).state() == state) {
         return true;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RecentGroups.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RecentGroups.java
@@ -62,7 +62,7 @@
   }
 
   /**
-   * Returns the groups that were dissolved.
+   * Returns the groups whose dissolution began.
    *
    * @return their identities
    */
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/BoundedExplorationTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/BoundedExplorationTest.java
@@ -46,45 +46,45 @@
   /** How many orders after the trigger fare in every way. */
   private static final int DEPTH = 4;
 
-  private static final int FATES = Fate.values().length;
+  private static final int DELIVERIES = Delivery.values().length;
   private static final long STEP_NANOS = 50 * MILLI;
-  private static final long FORMED_BY_NANOS = 2_500 * MILLI;
-  private static final long LENGTH_NANOS = 11_000 * MILLI;
-  private static final long LATE_NANOS = 1_700 * MILLI;
-  private static final long SILENT_UNTIL_NANOS = 9_000 * MILLI;
-  private static final long[] SECOND_ACTS_AFTER_MILLIS = {0, 350, 1_500};
+  private static final long TRIGGER_NANOS = 2_500 * MILLI;
+  private static final long END_NANOS = 11_000 * MILLI;
+  private static final long DELAY_NANOS = 1_700 * MILLI;
+  private static final long UNRESPONSIVE_UNTIL_NANOS = 9_000 * MILLI;
+  private static final long[] SECOND_LEADER_DELAYS_MILLIS = {0, 350, 1_500};
 
   /** What makes leaders act. */
   private enum Trigger {
     /** A member says that it leaves. */
-    MEMBER_LEAVES,
+    MEMBER_DRAINS,
     /** The member that is not the head starts again under its id. */
-    MEMBER_STARTS_AGAIN,
+    MEMBER_RESTARTS,
     /** The head is held to be standing still, though it serves. */
     HEAD_SUSPECTED,
     /** The same, its entry has gone, and it hears and answers no leader for seconds. */
-    HEAD_SILENT
+    HEAD_UNRESPONSIVE
   }
 
   /** How an order fares. */
-  private enum Fate {
+  private enum Delivery {
     ANSWERED,
-    LATE,
+    DELAYED,
     LOST
   }
 
   /** A fault that is planted. */
-  private enum Planted {
+  private enum InjectedFault {
     NONE,
     /** Joins name no count of orders. */
     JOINS_WITHOUT_COUNT,
     /** An order that had no answer is held to be done. */
-    SILENCE_TAKEN_FOR_DONE
+    NO_ANSWER_TREATED_AS_DONE
   }
 
   /** What came of a search. */
-  private static final class Found {
-    int courses;
+  private static final class SearchResult {
+    int scenarios;
     final Set<Integer> states = new HashSet<>();
     final List<String> violations = new ArrayList<>();
   }
@@ -103,58 +103,58 @@
   }
 
   /** One course. */
-  private static final class Course {
+  private static final class Scenario {
     final SimulatedNodes nodes = new SimulatedNodes(ENGINE);
     final Trigger trigger;
     final UnaryOperator<GroupOrder> mutation;
-    final GroupOrder.Outcome silence;
+    final GroupOrder.Outcome resultOfNoAnswer;
     final Leader first = new Leader("first-", 1);
     final Leader second = new Leader("second-", 2);
-    final long secondActsNanos;
-    final boolean oldList;
-    int fates;
-    int fated;
+    final long secondStartsNanos;
+    final boolean startsWithStaleList;
+    int deliveryCode;
+    int deliveriesChosen;
     long now;
     Set<String> stalled = Set.of();
-    String silentHead = "";
+    String unresponsiveHead = "";
 
-    Course(Trigger trigger, int number, Planted planted) {
+    Scenario(Trigger trigger, int number, InjectedFault fault) {
       this.trigger = trigger;
-      int rest = number;
-      long after = SECOND_ACTS_AFTER_MILLIS[rest % SECOND_ACTS_AFTER_MILLIS.length];
-      secondActsNanos = FORMED_BY_NANOS + after * MILLI;
-      rest /= SECOND_ACTS_AFTER_MILLIS.length;
-      oldList = rest % 2 == 1;
-      fates = rest / 2;
+      int code = number;
+      long after = SECOND_LEADER_DELAYS_MILLIS[code % SECOND_LEADER_DELAYS_MILLIS.length];
+      secondStartsNanos = TRIGGER_NANOS + after * MILLI;
+      code /= SECOND_LEADER_DELAYS_MILLIS.length;
+      startsWithStaleList = code % 2 == 1;
+      deliveryCode = code / 2;
       mutation =
-          planted == Planted.JOINS_WITHOUT_COUNT
+          fault == InjectedFault.JOINS_WITHOUT_COUNT
               ? BoundedExplorationTest::withoutCount
               : UnaryOperator.identity();
-      silence =
-          planted == Planted.SILENCE_TAKEN_FOR_DONE
+      resultOfNoAnswer =
+          fault == InjectedFault.NO_ANSWER_TREATED_AS_DONE
               ? GroupOrder.Outcome.DONE
               : GroupOrder.Outcome.UNKNOWN;
       List.of("n0", "n1", "n2", "n3").forEach(id -> nodes.add(id, "domain"));
     }
 
-    void play(Found found) {
-      while (now < LENGTH_NANOS) {
+    void run(SearchResult result) {
+      while (now < END_NANOS) {
         now += STEP_NANOS;
         nodes.advance(now);
-        if (now == FORMED_BY_NANOS) {
-          pull();
+        if (now == TRIGGER_NANOS) {
+          applyTrigger();
         }
         act(first, true);
-        if (now >= secondActsNanos) {
-          act(second, !oldList || now >= secondActsNanos + 2_000 * MILLI);
+        if (now >= secondStartsNanos) {
+          act(second, !startsWithStaleList || now >= secondStartsNanos + 2_000 * MILLI);
         }
-        found.states.add(nodes.list(0).toString().hashCode());
+        result.states.add(nodes.list(0).toString().hashCode());
       }
-      found.courses++;
-      nodes.violations.forEach(text -> found.violations.add(trigger + " " + text));
+      result.scenarios++;
+      nodes.violations.forEach(text -> result.violations.add(trigger + " " + text));
     }
 
-    private void pull() {
+    private void applyTrigger() {
       second.list = nodes.list(0);
       Node head = null;
       Node other = null;
@@ -165,22 +165,22 @@
       }
       assertThat(head).as("a group serves by now").isNotNull();
       switch (trigger) {
-        case MEMBER_LEAVES -> nodes.drain(other.id());
-        case MEMBER_STARTS_AGAIN -> {
+        case MEMBER_DRAINS -> nodes.drain(other.id());
+        case MEMBER_RESTARTS -> {
           nodes.kill(other.id());
-          nodes.startAgain(other.id());
+          nodes.restart(other.id());
         }
         case HEAD_SUSPECTED -> stalled = Set.of(head.id() + "@" + head.membership().epoch());
-        case HEAD_SILENT -> {
+        case HEAD_UNRESPONSIVE -> {
           stalled = Set.of(head.id() + "@" + head.membership().epoch());
-          silentHead = head.id();
-          nodes.hideEntry(silentHead, true);
+          unresponsiveHead = head.id();
+          nodes.hideEntry(unresponsiveHead, true);
         }
       }
     }
 
-    private void act(Leader leader, boolean seesList) {
-      if (seesList) {
+    private void act(Leader leader, boolean refreshesList) {
+      if (refreshesList) {
         leader.list = nodes.list(0);
       }
       GroupPlanner.Input input =
@@ -189,7 +189,7 @@
               ENGINE,
               ModelDemand.declared(ENGINE),
               stalled,
-              GroupPlannerTest.SIGHT,
+              GroupPlannerTest.REACHABLE,
               Set.of(),
               leader.fence);
       for (GroupOrder order : leader.planner.plan(input, now)) {
@@ -198,30 +198,31 @@
     }
 
     private void send(Leader leader, GroupOrder order) {
-      boolean silent = order.node().id().equals(silentHead) && now < SILENT_UNTIL_NANOS;
+      boolean unresponsive =
+          order.node().id().equals(unresponsiveHead) && now < UNRESPONSIVE_UNTIL_NANOS;
       if (order.kind() == GroupOrder.Kind.REPORT) {
-        NodeReport report = silent ? null : nodes.report(order.node().id());
+        NodeReport report = unresponsive ? null : nodes.report(order.node().id());
         leader.planner.report(order.node(), report, now);
         return;
       }
-      Fate fate = silent ? Fate.LOST : nextFate();
-      GroupOrder.Outcome outcome = silence;
-      if (fate == Fate.ANSWERED) {
+      Delivery delivery = unresponsive ? Delivery.LOST : nextDelivery();
+      GroupOrder.Outcome outcome = resultOfNoAnswer;
+      if (delivery == Delivery.ANSWERED) {
         outcome = nodes.order(order);
-      } else if (fate == Fate.LATE) {
-        nodes.orderLate(order, LATE_NANOS);
+      } else if (delivery == Delivery.DELAYED) {
+        nodes.orderWithDelay(order, DELAY_NANOS);
       }
       leader.planner.outcome(order, outcome, now);
     }
 
-    private Fate nextFate() {
-      if (now < FORMED_BY_NANOS || fated == DEPTH) {
-        return Fate.ANSWERED;
+    private Delivery nextDelivery() {
+      if (now < TRIGGER_NANOS || deliveriesChosen == DEPTH) {
+        return Delivery.ANSWERED;
       }
-      fated++;
-      Fate fate = Fate.values()[fates % FATES];
-      fates /= FATES;
-      return fate;
+      deliveriesChosen++;
+      Delivery delivery = Delivery.values()[deliveryCode % DELIVERIES];
+      deliveryCode /= DELIVERIES;
+      return delivery;
     }
   }
 
@@ -239,36 +240,36 @@
             OrderTracker.UNKNOWN);
   }
 
-  private static Found search(Planted planted) {
-    int courses = SECOND_ACTS_AFTER_MILLIS.length * 2;
+  private static SearchResult search(InjectedFault fault) {
+    int scenarios = SECOND_LEADER_DELAYS_MILLIS.length * 2;
     for (int order = 0; order < DEPTH; order++) {
-      courses *= FATES;
+      scenarios *= DELIVERIES;
     }
-    Found found = new Found();
+    SearchResult result = new SearchResult();
     for (Trigger trigger : Trigger.values()) {
-      for (int number = 0; number < courses; number++) {
-        new Course(trigger, number, planted).play(found);
+      for (int number = 0; number < scenarios; number++) {
+        new Scenario(trigger, number, fault).run(result);
       }
     }
-    return found;
+    return result;
   }
 
   /** 1,944 courses, 234 different lists of nodes; 17,496 courses at a depth of 6 by hand. */
   @Test
   void noCourseBreaksAPromise() {
-    Found found = search(Planted.NONE);
-    assertThat(found.courses).isEqualTo(1_944);
-    assertThat(found.states.size()).isGreaterThan(100);
-    assertThat(found.violations).isEmpty();
+    SearchResult result = search(InjectedFault.NONE);
+    assertThat(result.scenarios).isEqualTo(1_944);
+    assertThat(result.states.size()).isGreaterThan(100);
+    assertThat(result.violations).isEmpty();
   }
 
   @Test
   void joinsThatNameNoCountAreFoundOut() {
-    assertThat(search(Planted.JOINS_WITHOUT_COUNT).violations).isNotEmpty();
+    assertThat(search(InjectedFault.JOINS_WITHOUT_COUNT).violations).isNotEmpty();
   }
 
   @Test
   void silenceThatIsTakenForAnAnswerIsFoundOut() {
-    assertThat(search(Planted.SILENCE_TAKEN_FOR_DONE).violations).isNotEmpty();
+    assertThat(search(InjectedFault.NO_ANSWER_TREATED_AS_DONE).violations).isNotEmpty();
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/ConcurrentLeadersTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/ConcurrentLeadersTest.java
@@ -35,7 +35,7 @@
   private final SimulatedNodes nodes = new SimulatedNodes(GroupPlannerTest.ENGINE);
   private final GroupPlanner first = planner("first-");
   private final GroupPlanner second = planner("second-");
-  private final List<GroupOrder> heldUp = new ArrayList<>();
+  private final List<GroupOrder> undelivered = new ArrayList<>();
   private long now;
 
   private static GroupPlanner planner(String prefix) {
@@ -48,15 +48,15 @@
     List.of("n0", "n1", "n2").forEach(id -> nodes.add(id, "domain"));
   }
 
-  private void lead(GroupPlanner leader, long millis, Predicate<GroupOrder> isHeldUp) {
-    answerNothing(leader);
+  private void run(GroupPlanner leader, long millis, Predicate<GroupOrder> isUndelivered) {
+    failUndelivered(leader);
     long end = now + millis * MILLI;
     while (now < end) {
       now += 50 * MILLI;
       nodes.advance(now);
       for (GroupOrder order : leader.plan(input(), now)) {
-        if (isHeldUp.test(order)) {
-          heldUp.add(order);
+        if (isUndelivered.test(order)) {
+          undelivered.add(order);
         } else if (order.kind() == GroupOrder.Kind.REPORT) {
           leader.report(order.node(), nodes.report(order.node().id()), now);
         } else {
@@ -67,9 +67,10 @@
   }
 
   /** A leader that was paused learns that its last orders had no answer. */
-  private void answerNothing(GroupPlanner leader) {
-    List<GroupOrder> unanswered = heldUp.stream().filter(order -> isOf(leader, order)).toList();
-    heldUp.removeAll(unanswered);
+  private void failUndelivered(GroupPlanner leader) {
+    List<GroupOrder> unanswered =
+        undelivered.stream().filter(order -> isOf(leader, order)).toList();
+    undelivered.removeAll(unanswered);
     unanswered.forEach(order -> leader.outcome(order, GroupOrder.Outcome.UNKNOWN, now));
   }
 
@@ -81,7 +82,13 @@
     ModelDemand demand = ModelDemand.declared(GroupPlannerTest.ENGINE);
     List<Node> list = nodes.list(0);
     return new GroupPlanner.Input(
-        list, GroupPlannerTest.ENGINE, demand, Set.of(), GroupPlannerTest.SIGHT, Set.of(), FENCE);
+        list,
+        GroupPlannerTest.ENGINE,
+        demand,
+        Set.of(),
+        GroupPlannerTest.REACHABLE,
+        Set.of(),
+        FENCE);
   }
 
   private String head() {
@@ -103,15 +110,15 @@
 
   @Test
   void aHeadThatHasComeBackIsNotJoinedElsewhereWhileItServes() {
-    lead(first, 800, ConcurrentLeadersTest::joinsItsHead);
+    run(first, 800, ConcurrentLeadersTest::joinsItsHead);
     // The head is not in the group yet, so it tells the second leader that it has left.
-    lead(second, 2_800, ConcurrentLeadersTest::joins);
+    run(second, 2_800, ConcurrentLeadersTest::joins);
     // The first leader had no answer from the head, joins it again and opens the group.
-    lead(first, 30_000, order -> false);
+    run(first, 30_000, order -> false);
     assertThat(nodes.serving("small")).isEqualTo(1);
     String head = head();
 
-    lead(second, 10_000, order -> false);
+    run(second, 10_000, order -> false);
 
     assertThat(nodes.violations).as("orders to %s", head).isEmpty();
   }
@@ -160,7 +167,7 @@
 
   private static List<String> violations(long seed, FormationSimulation.Terms terms) {
     FormationSimulation run = new FormationSimulation(new Random(seed), terms);
-    run.play();
+    run.run();
     return run.nodes.violations;
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationSimulation.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationSimulation.java
@@ -29,21 +29,21 @@
   final Random random;
   final SimulatedNodes nodes = new SimulatedNodes(GroupPlannerTest.ENGINE);
   final List<Leader> leaders = new ArrayList<>();
-  final double lateShare;
+  final double delayedShare;
   final Terms terms;
-  private @Nullable Random restarts;
-  private @Nullable Random suspensions;
-  private @Nullable Random rests;
-  private @Nullable RollbackStore store;
-  private boolean knownGoesBefore;
-  int ordersToResting;
+  private @Nullable Random restartRandom;
+  private @Nullable Random suspensionRandom;
+  private @Nullable Random pauseRandom;
+  private @Nullable RollbackStore rollbackStore;
+  private boolean keepsKnownState;
+  int ordersToPausedNodes;
 
   /** Groups that serve, whole, added up over the steps. */
   long servedSteps;
 
   ModelDemand demand = ModelDemand.declared(GroupPlannerTest.ENGINE);
   long now;
-  final Random claims = new Random(1);
+  final Random claimRandom = new Random(1);
   long term;
   long claim;
   int named;
@@ -52,7 +52,7 @@
   /** Whether a new leader raises the term. */
   enum Terms {
     /** Each leader has a term of its own. */
-    APART,
+    DISTINCT,
     /** Some claim the term that stands, by claims of their own, and are cut off from nodes. */
     SHARED,
     /** As before, but their orders carry the same fence, so that only the nodes' counts hold. */
@@ -64,16 +64,16 @@
     final GroupPlanner planner;
     final long fence;
     List<Node> list = List.of();
-    Set<String> resting = Set.of();
-    final Map<String, Long> restsUntil = new HashMap<>();
-    long frozenUntil;
-    long aloneUntil;
+    Set<String> pausedNodes = Set.of();
+    final Map<String, Long> pausedUntil = new HashMap<>();
+    long listFrozenUntil;
+    long isolatedUntil;
     long suspendedUntil;
 
     /** What its steady clock has not counted. */
-    long behind;
+    long clockLagNanos;
 
-    String ownDomain = "";
+    String reachableDomain = "";
 
     final RestoredNodes restored = new RestoredNodes();
     final Set<String> gone = new HashSet<>();
@@ -89,31 +89,31 @@
   FormationSimulation(Random random, Terms terms) {
     this.random = random;
     this.terms = terms;
-    this.lateShare = random.nextDouble() * 0.4;
+    this.delayedShare = random.nextDouble() * 0.4;
     for (int index = 0; index < 9; index++) {
       add();
     }
-    lead();
+    addLeader();
     if (random.nextBoolean()) {
-      nodes.headsAreIdle();
+      nodes.makeHeadsIdle();
     }
   }
 
   /** Nodes that died start again under their ids; what else happens stays as it was. */
   FormationSimulation withRestarts(long seed) {
-    restarts = new Random(seed);
+    restartRandom = new Random(seed);
     return this;
   }
 
   /** Leaders' machines are suspended for seconds, which their steady clocks don't count. */
   FormationSimulation withSuspensions(long seed) {
-    suspensions = new Random(seed);
+    suspensionRandom = new Random(seed);
     return this;
   }
 
   /** Nodes ask a leader for rest of seconds; while it lasts they must be sent nothing by it. */
-  FormationSimulation withRests(long seed) {
-    rests = new Random(seed);
+  FormationSimulation withPauses(long seed) {
+    pauseRandom = new Random(seed);
     return this;
   }
 
@@ -122,72 +122,72 @@
    *
    * @param goesBefore whether leaders hold on to what they knew, or take what the store lists
    */
-  FormationSimulation withReturns(long seed, boolean goesBefore) {
-    store = new RollbackStore(new Random(seed));
-    knownGoesBefore = goesBefore;
+  FormationSimulation withRollbacks(long seed, boolean keepsKnownState) {
+    rollbackStore = new RollbackStore(new Random(seed));
+    keepsKnownState = keepsKnownState;
     return this;
   }
 
   /** The list as a leader takes it. */
-  private List<Node> look(Leader leader) {
-    RollbackStore listing = store;
-    if (listing == null) {
+  private List<Node> listFor(Leader leader) {
+    RollbackStore store = rollbackStore;
+    if (store == null) {
       return nodes.list(LAPSE_NANOS);
     }
-    Map<String, Node> listed = new LinkedHashMap<>(listing.listed());
-    if (leader.era != listing.era()) {
-      leader.era = listing.era();
-      if (knownGoesBefore) {
+    Map<String, Node> listed = new LinkedHashMap<>(store.listed());
+    if (leader.era != store.era()) {
+      leader.era = store.era();
+      if (keepsKnownState) {
         leader.restored.storeRolledBack(
-            leader.known, leader.gone, listed, listing.places(), clockOf(leader));
+            leader.known, leader.gone, listed, store.places(), clockOf(leader));
       }
       leader.gone.clear();
     }
     leader.gone.addAll(leader.known.keySet());
     leader.gone.removeAll(listed.keySet());
     leader.known = listed;
-    return List.copyOf(leader.restored.complete(listed, listing.places(), clockOf(leader)));
+    return List.copyOf(leader.restored.complete(listed, store.places(), clockOf(leader)));
   }
 
-  private void letSomeRest(Leader leader) {
-    Random draws = rests;
-    if (draws == null) {
+  private void pauseSomeNodes(Leader leader) {
+    Random source = pauseRandom;
+    if (source == null) {
       return;
     }
     for (String id : nodes.ids()) {
-      if (draws.nextInt(120) == 0) {
-        leader.restsUntil.put(id, now + (200 + draws.nextInt(5_000)) * MILLI);
+      if (source.nextInt(120) == 0) {
+        leader.pausedUntil.put(id, now + (200 + source.nextInt(5_000)) * MILLI);
       }
     }
-    leader.restsUntil.values().removeIf(until -> until <= now);
-    leader.resting = Set.copyOf(leader.restsUntil.keySet());
+    leader.pausedUntil.values().removeIf(until -> until <= now);
+    leader.pausedNodes = Set.copyOf(leader.pausedUntil.keySet());
   }
 
   /** Tells whether a leader stands still; an order that it was answered waits until it wakes. */
   private boolean isSuspended(Leader leader) {
-    Random draws = suspensions;
-    if (draws != null && now >= leader.suspendedUntil && draws.nextInt(150) == 0) {
-      long millis = 500 + draws.nextInt(8_000);
+    Random source = suspensionRandom;
+    if (source != null && now >= leader.suspendedUntil && source.nextInt(150) == 0) {
+      long millis = 500 + source.nextInt(8_000);
       leader.suspendedUntil = now + millis * MILLI;
     }
     boolean suspended = now < leader.suspendedUntil;
-    leader.behind += suspended ? 50 * MILLI : 0;
+    leader.clockLagNanos += suspended ? 50 * MILLI : 0;
     return suspended;
   }
 
   private long clockOf(Leader leader) {
-    return now - leader.behind;
+    return now - leader.clockLagNanos;
   }
 
-  private void startSomeAgain() {
-    Random draws = restarts;
-    if (draws == null) {
+  private void restartSomeNodes() {
+    Random source = restartRandom;
+    if (source == null) {
       return;
     }
     for (String id : nodes.ids()) {
-      if (nodes.isDead(id) && draws.nextInt(80) == 0) {
-        nodes.startAgain(id);
-      } else if (!nodes.isDead(id) && draws.nextInt(1_500) == 0) {
+      if (nodes.isDead(id) && source.nextInt(80) == 0) {
+        nodes.restart(id);
+      } else if (!nodes.isDead(id) && source.nextInt(1_500) == 0) {
         nodes.kill(id);
       }
     }
@@ -198,16 +198,16 @@
     added++;
   }
 
-  void lead() {
-    boolean claimsTheTermThatStands = terms != Terms.APART && term > 0 && random.nextBoolean();
-    term += claimsTheTermThatStands ? 0 : 1;
+  void addLeader() {
+    boolean claimsCurrentTerm = terms != Terms.DISTINCT && term > 0 && random.nextBoolean();
+    term += claimsCurrentTerm ? 0 : 1;
     named++;
     LoadLimiter limiter = new LoadLimiter(5_000 * MILLI);
     limiter.enforce();
     String name = "t" + named;
     GroupPlanner planner =
         new GroupPlanner(name + "-", SimulatedNodes.STALL_NANOS, limiter, Policy.DEFAULT);
-    leaders.add(new Leader(planner, fence(name, !claimsTheTermThatStands)));
+    leaders.add(new Leader(planner, fence(name, !claimsCurrentTerm)));
     if (leaders.size() > 2) {
       leaders.remove(0);
     }
@@ -218,21 +218,21 @@
     if (terms != Terms.SHARED) {
       return term;
     }
-    boolean hasHeard = (claims.nextInt() & 1) == 0;
-    claim = isFirst ? 1 : claim + (hasHeard ? 1 : 0);
+    boolean hasReceivedClaim = (claimRandom.nextInt() & 1) == 0;
+    claim = isFirst ? 1 : claim + (hasReceivedClaim ? 1 : 0);
     return Fence.of(term, claim, name);
   }
 
-  void play() {
+  void run() {
     for (int step = 0; step < STEPS; step++) {
       now += 50 * MILLI;
       nodes.advance(now);
-      trouble();
-      startSomeAgain();
+      injectFaults();
+      restartSomeNodes();
       servedSteps += nodes.serving("large") + nodes.serving("small");
-      RollbackStore listing = store;
-      if (listing != null) {
-        listing.advance(nodes.list(LAPSE_NANOS), now);
+      RollbackStore store = rollbackStore;
+      if (store != null) {
+        store.advance(nodes.list(LAPSE_NANOS), now);
       }
       for (Leader leader : List.copyOf(leaders)) {
         act(leader);
@@ -240,7 +240,7 @@
     }
   }
 
-  void trouble() {
+  void injectFaults() {
     if (random.nextInt(100) == 0) {
       double large = random.nextDouble();
       demand = new ModelDemand(Map.of("large", large, "small", 1 - large));
@@ -256,39 +256,39 @@
       add();
     }
     if (random.nextInt(200) == 0) {
-      lead();
+      addLeader();
     }
     if (random.nextInt(250) == 0) {
       long until = now + (3_000 + random.nextInt(5_000)) * MILLI;
-      nodes.cutDomain("domain" + random.nextInt(2), until, random);
+      nodes.partitionDomain("domain" + random.nextInt(2), until, random);
     }
   }
 
   /** Cuts a leader off from the store and from all nodes but those of one domain. */
-  void cutOff(Leader leader) {
-    leader.ownDomain = "domain" + random.nextInt(2);
-    leader.aloneUntil = now + (2_000 + random.nextInt(6_000)) * MILLI;
-    leader.frozenUntil = Math.max(leader.frozenUntil, leader.aloneUntil);
+  void isolate(Leader leader) {
+    leader.reachableDomain = "domain" + random.nextInt(2);
+    leader.isolatedUntil = now + (2_000 + random.nextInt(6_000)) * MILLI;
+    leader.listFrozenUntil = Math.max(leader.listFrozenUntil, leader.isolatedUntil);
   }
 
   boolean reaches(Leader leader, Node node) {
-    return now >= leader.aloneUntil || node.domain().equals(leader.ownDomain);
+    return now >= leader.isolatedUntil || node.domain().equals(leader.reachableDomain);
   }
 
   void act(Leader leader) {
     if (isSuspended(leader)) {
       return;
     }
-    if (terms != Terms.APART && random.nextInt(200) == 0) {
-      cutOff(leader);
+    if (terms != Terms.DISTINCT && random.nextInt(200) == 0) {
+      isolate(leader);
     }
     if (random.nextInt(150) == 0) {
-      leader.frozenUntil = now + random.nextInt(8_000) * MILLI;
+      leader.listFrozenUntil = now + random.nextInt(8_000) * MILLI;
     }
-    if (now >= leader.frozenUntil) {
-      leader.list = look(leader);
+    if (now >= leader.listFrozenUntil) {
+      leader.list = listFor(leader);
     }
-    letSomeRest(leader);
+    pauseSomeNodes(leader);
     Set<String> stalled = new HashSet<>();
     for (String id : nodes.ids()) {
       if (random.nextInt(400) == 0) {
@@ -301,8 +301,8 @@
             GroupPlannerTest.ENGINE,
             demand,
             stalled,
-            GroupPlannerTest.SIGHT,
-            leader.resting,
+            GroupPlannerTest.REACHABLE,
+            leader.pausedNodes,
             leader.fence);
     for (GroupOrder order : leader.planner.plan(input, clockOf(leader))) {
       send(leader, order);
@@ -318,7 +318,7 @@
     return 0;
   }
 
-  void answerNothing(Leader leader, GroupOrder order) {
+  void leaveUnanswered(Leader leader, GroupOrder order) {
     if (order.kind() == GroupOrder.Kind.REPORT) {
       leader.planner.report(order.node(), null, clockOf(leader));
     } else {
@@ -327,16 +327,16 @@
   }
 
   void send(Leader leader, GroupOrder order) {
-    ordersToResting += leader.resting.contains(order.node().id()) ? 1 : 0;
+    ordersToPausedNodes += leader.pausedNodes.contains(order.node().id()) ? 1 : 0;
     if (!reaches(leader, order.node())) {
-      answerNothing(leader, order);
+      leaveUnanswered(leader, order);
     } else if (order.kind() == GroupOrder.Kind.REPORT) {
       leader.planner.report(order.node(), nodes.report(order.node().id()), clockOf(leader));
     } else if (random.nextInt(40) == 0) {
       // A cut that resets connections looks like an address where nothing listens.
       leader.planner.outcome(order, GroupOrder.Outcome.GONE, clockOf(leader));
-    } else if (random.nextDouble() < lateShare) {
-      nodes.orderLate(order, (2_000 + random.nextInt(10_000)) * MILLI);
+    } else if (random.nextDouble() < delayedShare) {
+      nodes.orderWithDelay(order, (2_000 + random.nextInt(10_000)) * MILLI);
       leader.planner.outcome(order, GroupOrder.Outcome.UNKNOWN, clockOf(leader));
     } else {
       leader.planner.outcome(order, nodes.order(order), clockOf(leader));
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/GroupPlannerFuzzTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/GroupPlannerFuzzTest.java
@@ -12,8 +12,8 @@
   @Property(tries = 150, seed = "20261202")
   void noGroupServesShortAndNoNodeIsTakenFromAGroupThatMayServe(@ForAll long seed) {
     FormationSimulation run =
-        new FormationSimulation(new Random(seed), FormationSimulation.Terms.APART);
-    run.play();
+        new FormationSimulation(new Random(seed), FormationSimulation.Terms.DISTINCT);
+    run.run();
     assertThat(run.nodes.violations).as("seed %d", seed).isEmpty();
   }
 
@@ -22,8 +22,8 @@
     FormationSimulation run =
         new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED)
             .withRestarts(seed);
-    run.nodes.reportsLag(200 * SimulatedNodes.MILLI);
-    run.play();
+    run.nodes.delayReports(200 * SimulatedNodes.MILLI);
+    run.run();
     assertThat(run.nodes.violations).as("seed %d", seed).isEmpty();
   }
 
@@ -33,8 +33,8 @@
         new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED)
             .withRestarts(seed)
             .withSuspensions(seed + 1);
-    run.nodes.reportsLag(200 * SimulatedNodes.MILLI);
-    run.play();
+    run.nodes.delayReports(200 * SimulatedNodes.MILLI);
+    run.run();
     assertThat(run.nodes.violations).as("seed %d", seed).isEmpty();
   }
 
@@ -43,11 +43,11 @@
     FormationSimulation run =
         new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED)
             .withRestarts(seed)
-            .withRests(seed + 2);
-    run.nodes.reportsLag(200 * SimulatedNodes.MILLI);
-    run.play();
+            .withPauses(seed + 2);
+    run.nodes.delayReports(200 * SimulatedNodes.MILLI);
+    run.run();
     assertThat(run.nodes.violations).as("seed %d", seed).isEmpty();
-    assertThat(run.ordersToResting).as("seed %d", seed).isZero();
+    assertThat(run.ordersToPausedNodes).as("seed %d", seed).isZero();
   }
 
   @Property(tries = 150, seed = "20261206")
@@ -55,9 +55,9 @@
     FormationSimulation run =
         new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED)
             .withRestarts(seed)
-            .withReturns(seed + 3, true);
-    run.nodes.reportsLag(200 * SimulatedNodes.MILLI);
-    run.play();
+            .withRollbacks(seed + 3, true);
+    run.nodes.delayReports(200 * SimulatedNodes.MILLI);
+    run.run();
     assertThat(run.nodes.violations).as("seed %d", seed).isEmpty();
   }
 
@@ -65,8 +65,8 @@
   void norDoLeadersThatShareATerm(@ForAll long seed) {
     FormationSimulation run =
         new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED);
-    run.nodes.reportsLag(200 * SimulatedNodes.MILLI);
-    run.play();
+    run.nodes.delayReports(200 * SimulatedNodes.MILLI);
+    run.run();
     assertThat(run.nodes.violations).as("seed %d", seed).isEmpty();
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/GroupPlannerTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/GroupPlannerTest.java
@@ -19,7 +19,7 @@
 class GroupPlannerTest {
 
   static final long MILLI = SimulatedNodes.MILLI;
-  static final Set<String> SIGHT = Set.of("a");
+  static final Set<String> REACHABLE = Set.of("a");
   static final EngineSpec ENGINE =
       new EngineSpec(
           18,
@@ -46,9 +46,9 @@
   private ModelDemand demand = ModelDemand.declared(ENGINE);
   private long now;
   private Set<String> stalled = Set.of();
-  private final List<String> leaves = new ArrayList<>();
+  private final List<String> leaveOrders = new ArrayList<>();
   private int reports;
-  private List<Node> frozenList;
+  private List<Node> staleList;
 
   private GroupPlanner planner(String prefix) {
     return new GroupPlanner(prefix, SimulatedNodes.STALL_NANOS, limiter, Policy.DEFAULT);
@@ -69,11 +69,11 @@
       nodes.advance(now);
       GroupPlanner.Input input =
           new GroupPlanner.Input(
-              lastModels.complete(frozenList == null ? nodes.list(3_600 * MILLI) : frozenList),
+              lastModels.complete(staleList == null ? nodes.list(3_600 * MILLI) : staleList),
               ENGINE,
               demand,
               stalled,
-              SIGHT,
+              REACHABLE,
               Set.of(),
               fence);
       send(planner, planner.plan(input, now));
@@ -88,22 +88,22 @@
         leader.report(order.node(), nodes.report(order.node().id()), now);
       } else {
         if (order.kind() == GroupOrder.Kind.LEAVE) {
-          leaves.add(order.node().id());
+          leaveOrders.add(order.node().id());
         }
         leader.outcome(order, nodes.order(order), now);
       }
     }
   }
 
-  private String mark(String head) {
-    return marksIn(nodes.list(60_000 * MILLI), List.of(head)).iterator().next();
+  private String headAtEpoch(String head) {
+    return headsAtEpochIn(nodes.list(60_000 * MILLI), List.of(head)).iterator().next();
   }
 
-  private Set<String> marks(List<String> heads) {
-    return marksIn(nodes.list(60_000 * MILLI), heads);
+  private Set<String> headsAtEpoch(List<String> heads) {
+    return headsAtEpochIn(nodes.list(60_000 * MILLI), heads);
   }
 
-  private static Set<String> marksIn(List<Node> list, List<String> heads) {
+  private static Set<String> headsAtEpochIn(List<Node> list, List<String> heads) {
     return list.stream()
         .filter(node -> heads.contains(node.id()))
         .map(node -> node.id() + "@" + node.membership().epoch())
@@ -144,10 +144,10 @@
     List<Node> beforeAnyOrder = nodes.list(0);
     run(30_000, 1);
     planner = planner("second-");
-    frozenList = beforeAnyOrder;
+    staleList = beforeAnyOrder;
     run(5_000, 2);
     assertThat(reports).isPositive();
-    frozenList = null;
+    staleList = null;
     run(40_000, 2);
     assertThat(nodes.serving("large") + nodes.serving("small")).isEqualTo(5);
   }
@@ -170,7 +170,7 @@
     String head = headOf("large");
     String member = otherMember(head);
     planner.drainLogLines();
-    stalled = Set.of(mark(head));
+    stalled = Set.of(headAtEpoch(head));
     run(6_000, 1);
     assertThat(planner.drainLogLines())
         .anySatisfy(
@@ -182,13 +182,13 @@
 
   @Test
   void aHeadThatHasLeftIsSentOneLeaveThoughItsReportsLag() {
-    nodes.reportsLag(200 * MILLI);
+    nodes.delayReports(200 * MILLI);
     run(40_000, 1);
     String head = headOf("large");
-    stalled = Set.of(mark(head));
-    leaves.clear();
+    stalled = Set.of(headAtEpoch(head));
+    leaveOrders.clear();
     run(3_000, 1);
-    assertThat(leaves).containsOnlyOnce(head);
+    assertThat(leaveOrders).containsOnlyOnce(head);
     assertThat(nodes.serving("large")).isEqualTo(2);
   }
 
@@ -196,11 +196,11 @@
   void survivorsFormAGroupOfTheModelThatIsMissedMost() {
     run(40_000, 1);
     limiter.enforce();
-    loseAMemberOf(headOf("large"));
+    killMemberOf(headOf("large"));
     run(16_000, 1);
     int large = nodes.serving("large");
     demand = new ModelDemand(Map.of("large", 0.02, "small", 0.3));
-    loseAMemberOf(headOf("large"));
+    killMemberOf(headOf("large"));
     run(4_000, 1);
     assertThat(nodes.serving("large")).isLessThan(large);
     assertThat(nodes.serving("small")).isGreaterThanOrEqualTo(4);
@@ -228,7 +228,7 @@
     Set<String> small = Set.copyOf(headsOf("small"));
     String head = headOf("large");
     nodes.kill(otherMember(head));
-    stalled = Set.of(mark(head));
+    stalled = Set.of(headAtEpoch(head));
     run(100, 1);
     stalled = Set.of();
     run(3_000, 1);
@@ -280,7 +280,7 @@
     run(20_000, 1);
     String head = headOf("large");
     nodes.kill(otherMember(head));
-    stalled = Set.of(mark(head));
+    stalled = Set.of(headAtEpoch(head));
     run(100, 1);
     stalled = Set.of();
     run(2_300, 1);
@@ -292,7 +292,7 @@
     run(20_000, 1);
     List<String> heads = headsOf("small").subList(0, 2);
     heads.forEach(head -> nodes.kill(otherMember(head)));
-    stalled = marks(heads);
+    stalled = headsAtEpoch(heads);
     run(100, 1);
     stalled = Set.of();
     run(900, 1);
@@ -304,14 +304,14 @@
     run(20_000, 1);
     String head = headOf("small");
     nodes.kill(head);
-    stalled = Set.of(mark(head));
+    stalled = Set.of(headAtEpoch(head));
     run(3_000, 1);
     stalled = Set.of();
     assertThat(nodes.serving("small")).isEqualTo(2);
     run(2_000, 1);
     String second = headsOf("small").get(0);
     nodes.kill(otherMember(second));
-    stalled = Set.of(mark(second));
+    stalled = Set.of(headAtEpoch(second));
     run(100, 1);
     stalled = Set.of();
     run(2_000, 1);
@@ -323,7 +323,7 @@
     run(20_000, 1);
     String head = headOf("large");
     nodes.kill(otherMember(head));
-    stalled = Set.of(mark(head));
+    stalled = Set.of(headAtEpoch(head));
     run(150, 1);
     stalled = Set.of();
     planner = planner("second-");
@@ -338,7 +338,13 @@
     GroupPlanner old = planner("old-");
     GroupPlanner.Input input =
         new GroupPlanner.Input(
-            nodes.list(0), ENGINE, demand, Set.of(mark(headOf("large"))), SIGHT, Set.of(), 1);
+            nodes.list(0),
+            ENGINE,
+            demand,
+            Set.of(headAtEpoch(headOf("large"))),
+            REACHABLE,
+            Set.of(),
+            1);
     List<GroupOrder> orders = old.plan(input, now);
     assertThat(orders).isNotEmpty();
     for (GroupOrder order : orders) {
@@ -380,20 +386,20 @@
     List<String> heads = headsOf("small").subList(0, 2);
     nodes.kill(heads.get(0));
     nodes.kill(otherMember(heads.get(1)));
-    stalled = marks(heads);
+    stalled = headsAtEpoch(heads);
     run(100, 1);
     stalled = Set.of();
     run(8_000, 1);
     assertThat(nodes.serving("small")).isEqualTo(2);
-    GroupPlanner cutOff = planner("cut-off-");
-    Set<String> oldMarks = marksIn(oldList, heads);
+    GroupPlanner staleLeader = planner("cut-off-");
+    Set<String> oldHeadsAtEpoch = headsAtEpochIn(oldList, heads);
     for (int step = 0; step < 160; step++) {
       now += 50 * MILLI;
       nodes.advance(now);
-      Set<String> believed = step == 0 ? oldMarks : Set.of();
+      Set<String> suspected = step == 0 ? oldHeadsAtEpoch : Set.of();
       GroupPlanner.Input input =
-          new GroupPlanner.Input(oldList, ENGINE, demand, believed, SIGHT, Set.of(), 2);
-      send(cutOff, cutOff.plan(input, now));
+          new GroupPlanner.Input(oldList, ENGINE, demand, suspected, REACHABLE, Set.of(), 2);
+      send(staleLeader, staleLeader.plan(input, now));
     }
     assertThat(nodes.violations).isEmpty();
     assertThat(nodes.serving("small")).isEqualTo(2);
@@ -404,7 +410,7 @@
     run(20_000, 1);
     String head = headOf("small");
     nodes.refuseConnections(head);
-    stalled = Set.of(mark(head));
+    stalled = Set.of(headAtEpoch(head));
     run(8_000, 1);
   }
 
@@ -413,7 +419,7 @@
     run(20_000, 1);
     String head = headOf("large");
     nodes.kill(otherMember(head));
-    stalled = Set.of(mark(head));
+    stalled = Set.of(headAtEpoch(head));
     run(2_500, 1);
     assertThat(nodes.serving("large")).isEqualTo(2);
   }
@@ -423,10 +429,10 @@
     run(20_000, 1);
     limiter.enforce();
     List<String> heads = headsOf("small");
-    loseAMemberOf(heads.get(0));
+    killMemberOf(heads.get(0));
     nodes.add("late", "domain-b");
     run(3_000, 1);
-    loseAMemberOf(heads.get(1));
+    killMemberOf(heads.get(1));
     run(1_500, 1);
     assertThat(nodes.serving("small")).isEqualTo(2);
   }
@@ -435,13 +441,13 @@
   void aGroupThatServesOutlivesEntriesThatVanishForAWhile() {
     run(20_000, 1);
     String head = headOf("large");
-    String group = mark(head);
+    String group = headAtEpoch(head);
     String member = otherMember(head);
     nodes.hideEntry(member, true);
     run(3_000, 1);
     nodes.hideEntry(member, false);
     run(3_000, 1);
-    assertThat(marks(headsOf("large"))).contains(group);
+    assertThat(headsAtEpoch(headsOf("large"))).contains(group);
     assertThat(nodes.serving("large")).isEqualTo(2);
   }
 
@@ -450,13 +456,13 @@
     run(20_000, 1);
     List<Node> oldList = nodes.list(0);
     nodes.kill(otherMember(headOf("large")));
-    Set<String> lost = marksIn(oldList, headsOf("large").subList(0, 1));
+    Set<String> lost = headsAtEpochIn(oldList, headsOf("large").subList(0, 1));
     for (int step = 0; step < 160; step++) {
       now += 50 * MILLI;
       nodes.advance(now);
       GroupPlanner.Input input =
           new GroupPlanner.Input(
-              oldList, ENGINE, demand, step < 3 ? lost : Set.of(), SIGHT, Set.of(), 1);
+              oldList, ENGINE, demand, step < 3 ? lost : Set.of(), REACHABLE, Set.of(), 1);
       send(planner, planner.plan(input, now));
     }
     assertThat(nodes.serving("large")).isEqualTo(2);
@@ -468,15 +474,15 @@
   void aGroupWhoseMemberStaysAwayIsTakenApart() {
     run(20_000, 1);
     String head = headOf("large");
-    String group = mark(head);
+    String group = headAtEpoch(head);
     nodes.hideEntry(otherMember(head), true);
     run(9_000, 1);
-    assertThat(marks(headsOf("large"))).doesNotContain(group);
+    assertThat(headsAtEpoch(headsOf("large"))).doesNotContain(group);
   }
 
-  private void loseAMemberOf(String head) {
+  private void killMemberOf(String head) {
     nodes.kill(otherMember(head));
-    stalled = Set.of(mark(head));
+    stalled = Set.of(headAtEpoch(head));
     run(100, 1);
     stalled = Set.of();
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/LastModelsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/LastModelsTest.java
@@ -12,28 +12,28 @@
 
   private final LastModels models = new LastModels();
 
-  private Node seen(String id, String model) {
+  private Node complete(String id, String model) {
     Collection<Node> completed = models.complete(List.of(MixPlannerTest.node(id, "d", model)));
     return completed.iterator().next();
   }
 
   @Test
   void theModelOfTheLastGroupIsToldAgainAfterTheNodeHasLeftIt() {
-    seen("a", "large");
-    assertThat(seen("a", null).model()).isEqualTo("large");
+    complete("a", "large");
+    assertThat(complete("a", null).model()).isEqualTo("large");
   }
 
   @Test
   void aLaterGroupsModelTakesItsPlace() {
-    seen("a", "large");
-    seen("a", "small");
-    assertThat(seen("a", null).model()).isEqualTo("small");
+    complete("a", "large");
+    complete("a", "small");
+    assertThat(complete("a", null).model()).isEqualTo("small");
   }
 
   @Test
   void anotherLifeOfANodeHoldsNothing() {
-    seen("a", "large");
-    assertThat(seen("b", null).model()).isNull();
-    assertThat(seen("a", null).model()).isNull();
+    complete("a", "large");
+    assertThat(complete("b", null).model()).isNull();
+    assertThat(complete("a", null).model()).isNull();
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/MixFollowsDemandTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/MixFollowsDemandTest.java
@@ -51,7 +51,7 @@
   private static final double NOISE = 0.12;
 
   /** Work is remembered for about this time, so that it is told in part at first. */
-  private static final double MEMORY_SECONDS = 6;
+  private static final double OBSERVATION_SECONDS = 6;
 
   private final SimulatedNodes nodes = new SimulatedNodes(ENGINE);
   private final LastModels lastModels = new LastModels();
@@ -102,24 +102,28 @@
 
   @Test
   void groupsOfTheModelThatIsAskedForMoreAreFormedWithinSeconds() {
-    ask(1, 12, 0);
+    applyDemand(1, 12, 0);
     assertThat(nodes.serving("small")).isGreaterThanOrEqualTo(22);
   }
 
   @Test
   void noiseInWhatIsAskedForTakesHardlyAnyGroupsApart() {
-    ask(1, 12, 0);
+    applyDemand(1, 12, 0);
     exchanges = 0;
-    ask(13, 40, NOISE);
+    applyDemand(13, 40, NOISE);
     assertThat(exchanges).isLessThanOrEqualTo(2);
   }
 
-  private void ask(int fromSecond, int toSecond, double noise) {
+  private void applyDemand(int fromSecond, int toSecond, double noise) {
     for (int second = fromSecond; second <= toSecond; second++) {
-      double told = 1 - Math.exp(-second / MEMORY_SECONDS);
-      double swing = second % 4 < 2 ? 1 - noise : 1 + noise;
+      double observedShare = 1 - Math.exp(-second / OBSERVATION_SECONDS);
+      double noiseFactor = second % 4 < 2 ? 1 - noise : 1 + noise;
       Map<String, Double> busy =
-          Map.of("large", BUSY_LARGE * told * swing, "small", BUSY_SMALL * told);
+          Map.of(
+              "large",
+              BUSY_LARGE * observedShare * noiseFactor,
+              "small",
+              BUSY_SMALL * observedShare);
       demand = ModelDemand.observed(ENGINE, busy, second);
       run(1_000);
     }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodeRestartTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodeRestartTest.java
@@ -50,7 +50,7 @@
               GroupPlannerTest.ENGINE,
               ModelDemand.declared(GroupPlannerTest.ENGINE),
               Set.of(),
-              GroupPlannerTest.SIGHT,
+              GroupPlannerTest.REACHABLE,
               Set.of(),
               1);
       for (GroupOrder order : planner.plan(input, now)) {
@@ -95,7 +95,7 @@
     int before = serving();
     String member = memberOfRank(1);
     nodes.kill(member);
-    nodes.startAgain(member);
+    nodes.restart(member);
     assertThat(millisUntilAllServe(before)).isLessThan(3_000);
   }
 
@@ -105,7 +105,7 @@
     int before = serving();
     String head = memberOfRank(0);
     nodes.kill(head);
-    nodes.startAgain(head);
+    nodes.restart(head);
     assertThat(millisUntilAllServe(before)).isLessThan(3_000);
   }
 
@@ -115,7 +115,7 @@
     limiter.enforce();
     String member = memberOfRank(1);
     nodes.kill(member);
-    nodes.startAgain(member);
+    nodes.restart(member);
     run(5_000);
     assertThat(refused).isZero();
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesBenefitTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesBenefitTest.java
@@ -14,13 +14,13 @@
 
   private static final int RUNS = 400;
 
-  private static long served(boolean knownGoesBefore) {
+  private static long servedSteps(boolean keepsKnownState) {
     long steps = 0;
     for (int seed = 1; seed <= RUNS; seed++) {
       FormationSimulation run =
-          new FormationSimulation(new Random(seed), FormationSimulation.Terms.APART)
-              .withReturns(seed, knownGoesBefore);
-      run.play();
+          new FormationSimulation(new Random(seed), FormationSimulation.Terms.DISTINCT)
+              .withRollbacks(seed, keepsKnownState);
+      run.run();
       assertThat(run.nodes.violations).as("seed %d", seed).isEmpty();
       steps += run.servedSteps;
     }
@@ -29,8 +29,8 @@
 
   @Test
   void whoHoldsOnToWhatWasKnownServesMore() {
-    long listedHolds = served(false);
-    long knownHolds = served(true);
-    assertThat(knownHolds).as("served steps").isGreaterThan(listedHolds);
+    long withoutKnownState = servedSteps(false);
+    long withKnownState = servedSteps(true);
+    assertThat(withKnownState).as("served steps").isGreaterThan(withoutKnownState);
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
@@ -19,7 +19,7 @@
 class RestoredNodesTest {
 
   private static final long SECOND = 1_000_000_000L;
-  private static final long LONG_AFTER = 600 * SECOND;
+  private static final long MUCH_LATER = 600 * SECOND;
 
   private final RestoredNodes restored = new RestoredNodes();
   private final Map<String, Node> known = new LinkedHashMap<>();
@@ -49,11 +49,11 @@
     places.put(node.id(), new StorePlace(new StoreEra(2), revision));
   }
 
-  private void know(Node node) {
+  private void addKnown(Node node) {
     known.put(node.id(), node);
   }
 
-  private void goBack(String... gone) {
+  private void rollBack(String... gone) {
     restored.storeRolledBack(known, Set.of(gone), listed, places, 0);
   }
 
@@ -66,37 +66,37 @@
 
   @Test
   void aNodeThatHadSaidItLeavesLeavesUntilItsEntryIsWrittenAnew() {
-    know(node("n", 7).asDraining());
+    addKnown(node("n", 7).asDraining());
     list(node("n", 7), 20);
-    goBack();
+    rollBack();
     assertThat(shown("n", 0).draining()).isTrue();
-    assertThat(shown("n", LONG_AFTER).draining()).isTrue();
+    assertThat(shown("n", MUCH_LATER).draining()).isTrue();
     list(node("n", 7), 21);
-    assertThat(shown("n", LONG_AFTER).draining()).isFalse();
+    assertThat(shown("n", MUCH_LATER).draining()).isFalse();
   }
 
   @Test
   void itLeavesAlsoWhenTheStoreGoesBackTwiceInARow() {
-    know(node("n", 7).asDraining());
+    addKnown(node("n", 7).asDraining());
     list(node("n", 7), 20);
-    goBack();
-    know(node("n", 7));
-    goBack();
-    assertThat(shown("n", LONG_AFTER).draining()).isTrue();
+    rollBack();
+    addKnown(node("n", 7));
+    rollBack();
+    assertThat(shown("n", MUCH_LATER).draining()).isTrue();
   }
 
   @Test
   void aNodeThatTheCopyShowsAsLeavingLeavesWhateverWasKnown() {
-    know(node("n", 7));
+    addKnown(node("n", 7));
     list(node("n", 7).asDraining(), 20);
-    goBack();
+    rollBack();
     assertThat(shown("n", 0).draining()).isTrue();
   }
 
   @Test
   void aNodeWhoseEntryHadGoneIsNotThereUntilDeadOnesHaveLapsed() {
     list(node("n", 7), 20);
-    goBack("n");
+    rollBack("n");
     assertThat(shown("n", 0)).isNull();
     assertThat(shown("n", 4 * SECOND)).isNull();
     assertThat(shown("n", 6 * SECOND)).isNotNull();
@@ -105,7 +105,7 @@
   @Test
   void aNodeWhoseEntryHadGoneIsThereAsSoonAsItWritesAgain() {
     list(node("n", 7), 20);
-    goBack("n");
+    rollBack("n");
     assertThat(shown("n", 0)).isNull();
     list(node("n", 7), 22);
     assertThat(shown("n", SECOND)).isNotNull();
@@ -113,11 +113,11 @@
 
   @Test
   void aNodeThatHadBegunALaterLifeIsNotTakenForTheFormerOne() {
-    know(node("n", 9));
+    addKnown(node("n", 9));
     list(node("n", 7), 20);
-    goBack();
+    rollBack();
     assertThat(shown("n", SECOND).life().startedMillis()).isEqualTo(9);
-    assertThat(shown("n", LONG_AFTER).life().startedMillis()).isEqualTo(9);
+    assertThat(shown("n", MUCH_LATER).life().startedMillis()).isEqualTo(9);
     list(node("n", 9), 23);
     assertThat(shown("n", SECOND).life().startedMillis()).isEqualTo(9);
   }
@@ -130,10 +130,10 @@
    */
   @Test
   void noTimePassesWhileTheStoreIsAwayAgain() {
-    know(node("n", 9));
+    addKnown(node("n", 9));
     list(node("n", 7), 20);
     list(node("gone", 7), 21);
-    goBack("gone");
+    rollBack("gone");
     long lastAnswer = SECOND;
     assertThat(shown("n", lastAnswer).life().startedMillis()).isEqualTo(9);
     assertThat(shown("gone", lastAnswer)).isNull();
@@ -141,37 +141,37 @@
 
   @Test
   void aLaterLifeThatIsListedHolds() {
-    know(node("n", 7).asDraining());
+    addKnown(node("n", 7).asDraining());
     list(node("n", 9), 20);
-    goBack();
+    rollBack();
     assertThat(shown("n", 0)).isEqualTo(node("n", 9));
   }
 
   @Test
   void aPlaceInAGroupIsTakenAsTheCopyShowsIt() {
-    know(inGroup(node("n", 7), "new", MemberState.OPEN));
+    addKnown(inGroup(node("n", 7), "new", MemberState.OPEN));
     list(node("n", 7), 20);
-    goBack();
+    rollBack();
     assertThat(shown("n", SECOND)).isEqualTo(node("n", 7));
     assertThat(restored.changesWithTime()).isFalse();
   }
 
   @Test
   void nothingIsHeldOfNodesThatAreListedAsTheyWere() {
-    know(node("n", 7));
+    addKnown(node("n", 7));
     list(node("n", 7), 20);
-    goBack();
+    rollBack();
     assertThat(restored.changesWithTime()).isFalse();
   }
 
   @Test
   void whatIsHeldChangesWithTimeOnlyWhereAnEntryHadGone() {
-    know(node("n", 7).asDraining());
+    addKnown(node("n", 7).asDraining());
     list(node("n", 7), 20);
-    goBack();
+    rollBack();
     assertThat(restored.changesWithTime()).isFalse();
     list(node("m", 7), 21);
-    goBack("m");
+    rollBack("m");
     assertThat(restored.changesWithTime()).isTrue();
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RollbackStore.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RollbackStore.java
@@ -23,17 +23,17 @@
 
   private static final long MILLI = SimulatedNodes.MILLI;
   private static final long LAPSE_NANOS = 3_600 * MILLI;
-  private static final int KEPT_STEPS = 160;
-  private static final int STEPS_BETWEEN = 120;
-  private static final int WRITES_AGAIN_MILLIS = 2_000;
+  private static final int MAX_HISTORY_STEPS = 160;
+  private static final int MEAN_STEPS_BETWEEN_ROLLBACKS = 120;
+  private static final int MAX_REWRITE_DELAY_MILLIS = 2_000;
 
   private final Random random;
-  private final Deque<Map<String, Node>> past = new ArrayDeque<>();
+  private final Deque<Map<String, Node>> history = new ArrayDeque<>();
   private final Map<String, StorePlace> places = new HashMap<>();
-  private final Map<String, Long> writesAgainAt = new HashMap<>();
+  private final Map<String, Long> rewrittenAt = new HashMap<>();
   private Map<String, Node> copy = Map.of();
-  private Map<String, Node> shown = Map.of();
-  private long wentBackAt;
+  private Map<String, Node> listed = Map.of();
+  private long rolledBackAt;
   private long era = 1;
   private long revision;
 
@@ -45,26 +45,26 @@
   void advance(List<Node> written, long now) {
     Map<String, Node> present = new LinkedHashMap<>();
     written.forEach(node -> present.put(node.id(), node));
-    past.addLast(present);
-    if (past.size() > KEPT_STEPS) {
-      past.removeFirst();
+    history.addLast(present);
+    if (history.size() > MAX_HISTORY_STEPS) {
+      history.removeFirst();
     }
-    if (random.nextInt(STEPS_BETWEEN) == 0) {
-      goBack(now);
+    if (random.nextInt(MEAN_STEPS_BETWEEN_ROLLBACKS) == 0) {
+      rollBack(now);
     }
-    show(present, now);
+    updateList(present, now);
   }
 
-  private void goBack(long now) {
-    List<Map<String, Node>> states = List.copyOf(past);
+  private void rollBack(long now) {
+    List<Map<String, Node>> states = List.copyOf(history);
     copy = states.get(random.nextInt(states.size()));
-    wentBackAt = now;
+    rolledBackAt = now;
     era++;
     revision = Math.max(0, revision - random.nextInt(40));
-    writesAgainAt.clear();
+    rewrittenAt.clear();
     Set<String> ids = new HashSet<>(copy.keySet());
     ids.addAll(states.get(states.size() - 1).keySet());
-    ids.forEach(id -> writesAgainAt.put(id, now + random.nextInt(WRITES_AGAIN_MILLIS) * MILLI));
+    ids.forEach(id -> rewrittenAt.put(id, now + random.nextInt(MAX_REWRITE_DELAY_MILLIS) * MILLI));
     copy.keySet().forEach(id -> places.put(id, nextPlace()));
   }
 
@@ -73,33 +73,33 @@
     return new StorePlace(new StoreEra(era), revision);
   }
 
-  private void show(Map<String, Node> present, long now) {
+  private void updateList(Map<String, Node> present, long now) {
     Map<String, Node> next = new LinkedHashMap<>();
     Set<String> ids = new HashSet<>(copy.keySet());
     ids.addAll(present.keySet());
     for (String id : ids) {
-      boolean isOld = writesAgainAt.containsKey(id) && now < writesAgainAt.get(id);
-      boolean lapses = !present.containsKey(id) && now - wentBackAt < LAPSE_NANOS;
-      Node node = isOld || lapses ? copy.get(id) : present.get(id);
-      boolean writes = writesAgainAt.containsKey(id) && !isOld && !lapses;
-      if (writes) {
-        writesAgainAt.remove(id);
+      boolean isStale = rewrittenAt.containsKey(id) && now < rewrittenAt.get(id);
+      boolean lapses = !present.containsKey(id) && now - rolledBackAt < LAPSE_NANOS;
+      Node node = isStale || lapses ? copy.get(id) : present.get(id);
+      boolean isRewritten = rewrittenAt.containsKey(id) && !isStale && !lapses;
+      if (isRewritten) {
+        rewrittenAt.remove(id);
       }
       if (node != null) {
         next.put(id, node);
-        if (writes || !Objects.equals(node, shown.get(id)) && !isOld && !lapses) {
+        if (isRewritten || !Objects.equals(node, listed.get(id)) && !isStale && !lapses) {
           places.put(id, nextPlace());
         }
         places.computeIfAbsent(id, name -> nextPlace());
       }
     }
     places.keySet().retainAll(next.keySet());
-    shown = next;
+    listed = next;
   }
 
   /** The nodes that are listed, by id. */
   Map<String, Node> listed() {
-    return shown;
+    return listed;
   }
 
   /** The place of each listed entry, by id. */
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/SimulatedNodes.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/SimulatedNodes.java
@@ -32,31 +32,31 @@
 
   final List<String> violations = new ArrayList<>();
   private final EngineSpec engine;
-  private final Map<String, Life> lives = new LinkedHashMap<>();
-  private final Queue<Late> late =
+  private final Map<String, SimulatedNode> byId = new LinkedHashMap<>();
+  private final Queue<DelayedOrder> delayedOrders =
       new PriorityQueue<>((a, b) -> Long.compare(a.atNanos, b.atNanos));
-  private final Map<String, Deque<Told>> told = new HashMap<>();
+  private final Map<String, Deque<TimedReport>> reportHistory = new HashMap<>();
   private long now;
   private long reportLagNanos;
   private boolean idleHeads;
 
   /** What a node could report at a time. */
-  private record Told(long atNanos, NodeReport report) {}
+  private record TimedReport(long atNanos, NodeReport report) {}
 
-  private record Late(long atNanos, GroupOrder order) {}
+  private record DelayedOrder(long atNanos, GroupOrder order) {}
 
   /** One node. */
-  private static final class Life {
+  private static final class SimulatedNode {
     final String id;
     final String domain;
     long startedMillis;
     boolean dead;
     boolean draining;
-    boolean loads;
-    boolean refuses;
+    boolean loadsFromStore;
+    boolean refusesConnections;
     boolean hidden;
-    long cutUntil = Long.MIN_VALUE / 2;
-    long cutSince = Long.MIN_VALUE / 2;
+    long partitionedUntil = Long.MIN_VALUE / 2;
+    long partitionedSince = Long.MIN_VALUE / 2;
     long relistedAt = Long.MIN_VALUE / 2;
     long deadSince;
     long orders;
@@ -73,10 +73,10 @@
     String stagingModel;
     long stagedAt;
     long brokenAt = Long.MAX_VALUE;
-    final Map<String, List<String>> lists = new HashMap<>();
+    final Map<String, List<String>> memberLists = new HashMap<>();
     final Set<String> everReady = new HashSet<>();
 
-    Life(String id, String domain) {
+    SimulatedNode(String id, String domain) {
       this.id = id;
       this.domain = domain;
     }
@@ -93,106 +93,106 @@
   }
 
   void add(String id, String domain) {
-    lives.put(id, new Life(id, domain));
+    byId.put(id, new SimulatedNode(id, domain));
   }
 
   void kill(String id) {
-    Life life = lives.get(id);
-    if (!life.dead) {
-      life.dead = true;
-      life.deadSince = now;
-      stall(life);
+    SimulatedNode simulated = byId.get(id);
+    if (!simulated.dead) {
+      simulated.dead = true;
+      simulated.deadSince = now;
+      stall(simulated);
     }
   }
 
   /** A node that died starts again under its id; only the weights on its host are left. */
-  void startAgain(String id) {
-    Life life = lives.get(id);
-    if (life.dead) {
-      life.dead = false;
-      life.startedMillis = Math.max(life.startedMillis + 1, now / MILLI);
-      life.orders = 0;
-      life.highestFence = 0;
-      life.highestEpoch = 0;
-      life.group = null;
-      life.model = null;
-      life.stagingModel = null;
-      life.state = MemberState.JOINING;
-      life.brokenAt = Long.MAX_VALUE;
-      life.lists.clear();
-      told.remove(id);
+  void restart(String id) {
+    SimulatedNode simulated = byId.get(id);
+    if (simulated.dead) {
+      simulated.dead = false;
+      simulated.startedMillis = Math.max(simulated.startedMillis + 1, now / MILLI);
+      simulated.orders = 0;
+      simulated.highestFence = 0;
+      simulated.highestEpoch = 0;
+      simulated.group = null;
+      simulated.model = null;
+      simulated.stagingModel = null;
+      simulated.state = MemberState.JOINING;
+      simulated.brokenAt = Long.MAX_VALUE;
+      simulated.memberLists.clear();
+      reportHistory.remove(id);
     }
   }
 
   /** A cut resets all connections to the node, which goes on serving. */
   void refuseConnections(String id) {
-    lives.get(id).refuses = true;
+    byId.get(id).refusesConnections = true;
   }
 
   /**
    * Cuts a domain off from leaders and from the list for a while; its nodes go on. Afterwards their
    * entries come back one by one.
    */
-  void cutDomain(String domain, long untilNanos, java.util.Random random) {
-    for (Life life : lives.values()) {
-      if (life.domain.equals(domain) && life.cutUntil < now) {
-        life.cutSince = now;
-        life.cutUntil = untilNanos;
-        life.relistedAt = untilNanos + random.nextInt(900) * MILLI;
+  void partitionDomain(String domain, long untilNanos, java.util.Random random) {
+    for (SimulatedNode simulated : byId.values()) {
+      if (simulated.domain.equals(domain) && simulated.partitionedUntil < now) {
+        simulated.partitionedSince = now;
+        simulated.partitionedUntil = untilNanos;
+        simulated.relistedAt = untilNanos + random.nextInt(900) * MILLI;
       }
     }
   }
 
   /** The node lost the store and serves on. */
   void hideEntry(String id, boolean hidden) {
-    lives.get(id).hidden = hidden;
+    byId.get(id).hidden = hidden;
   }
 
   /** Heads without work never notice that they are short of a member. */
-  void headsAreIdle() {
+  void makeHeadsIdle() {
     idleHeads = true;
   }
 
   void drain(String id) {
-    lives.get(id).draining = true;
+    byId.get(id).draining = true;
   }
 
   boolean isDead(String id) {
-    return lives.get(id).dead;
+    return byId.get(id).dead;
   }
 
   Collection<String> ids() {
-    return lives.keySet();
+    return byId.keySet();
   }
 
   /** Moves time on: loads end, broken heads stop, late orders are carried out. */
   void advance(long toNanos) {
-    while (!late.isEmpty() && late.peek().atNanos <= toNanos) {
-      Late order = late.poll();
+    while (!delayedOrders.isEmpty() && delayedOrders.peek().atNanos <= toNanos) {
+      DelayedOrder order = delayedOrders.poll();
       step(order.atNanos);
-      carryOut(order.order);
+      execute(order.order);
     }
     step(toNanos);
     if (reportLagNanos > 0) {
-      remember();
+      recordReports();
     }
   }
 
   private void step(long toNanos) {
     now = toNanos;
-    for (Life life : lives.values()) {
-      if (life.stagingModel != null && life.stagedAt <= now) {
-        life.staged = life.stagingModel;
-        life.stagingModel = null;
+    for (SimulatedNode simulated : byId.values()) {
+      if (simulated.stagingModel != null && simulated.stagedAt <= now) {
+        simulated.staged = simulated.stagingModel;
+        simulated.stagingModel = null;
       }
-      boolean loaded = life.group != null && life.state == MemberState.JOINING;
-      if (loaded && life.readyAt <= now) {
-        life.state = MemberState.READY;
-        life.everReady.add(life.group + "/" + life.epoch);
-        life.staged = life.loads ? life.model : life.staged;
+      boolean loaded = simulated.group != null && simulated.state == MemberState.JOINING;
+      if (loaded && simulated.readyAt <= now) {
+        simulated.state = MemberState.READY;
+        simulated.everReady.add(simulated.group + "/" + simulated.epoch);
+        simulated.staged = simulated.loadsFromStore ? simulated.model : simulated.staged;
       }
-      if (life.brokenAt <= now && life.group != null) {
-        life.state = MemberState.BROKEN;
+      if (simulated.brokenAt <= now && simulated.group != null) {
+        simulated.state = MemberState.BROKEN;
       }
     }
   }
@@ -200,207 +200,226 @@
   /** The list as the platform shows it; dead nodes stay listed for a while. */
   List<Node> list(long lagNanos) {
     List<Node> nodes = new ArrayList<>();
-    for (Life life : lives.values()) {
-      boolean cutAway = now - life.cutSince >= lagNanos && now < life.relistedAt;
-      boolean listed = !life.dead && !cutAway || life.dead && now - life.deadSince < lagNanos;
-      if (listed && !life.hidden) {
-        nodes.add(node(life));
+    for (SimulatedNode simulated : byId.values()) {
+      boolean cutOff = now - simulated.partitionedSince >= lagNanos && now < simulated.relistedAt;
+      boolean listed =
+          !simulated.dead && !cutOff || simulated.dead && now - simulated.deadSince < lagNanos;
+      if (listed && !simulated.hidden) {
+        nodes.add(node(simulated));
       }
     }
     return nodes;
   }
 
-  private Node node(Life life) {
-    Membership place =
-        life.group == null ? null : new Membership(life.group, life.epoch, life.rank, life.state);
-    List<String> staged = life.staged == null ? List.of() : List.of(life.staged);
+  private Node node(SimulatedNode simulated) {
+    Membership membership =
+        simulated.group == null
+            ? null
+            : new Membership(simulated.group, simulated.epoch, simulated.rank, simulated.state);
+    List<String> staged = simulated.staged == null ? List.of() : List.of(simulated.staged);
     return new Node(
-        new NodeLife(life.id, life.startedMillis),
+        new NodeLife(simulated.id, simulated.startedMillis),
         "engines",
         new Endpoint("127.0.0.1", 1),
         "a",
         1,
-        life.draining,
-        life.domain,
-        life.group == null ? null : life.model,
+        simulated.draining,
+        simulated.domain,
+        simulated.group == null ? null : simulated.model,
         staged,
-        place);
+        membership);
   }
 
   /** Carries an order out and answers. */
   GroupOrder.Outcome order(GroupOrder order) {
-    Life life = lives.get(order.node().id());
-    if (life.refuses) {
+    SimulatedNode simulated = byId.get(order.node().id());
+    if (simulated.refusesConnections) {
       return GroupOrder.Outcome.GONE;
     }
-    return life.dead || now < life.cutUntil ? GroupOrder.Outcome.UNKNOWN : carryOut(order);
+    return simulated.dead || now < simulated.partitionedUntil
+        ? GroupOrder.Outcome.UNKNOWN
+        : execute(order);
   }
 
   /** Takes an order without an answer and carries it out later. */
-  void orderLate(GroupOrder order, long delayNanos) {
-    late.add(new Late(now + delayNanos, order));
+  void orderWithDelay(GroupOrder order, long delayNanos) {
+    delayedOrders.add(new DelayedOrder(now + delayNanos, order));
   }
 
   NodeReport report(String id) {
-    Life life = lives.get(id);
-    if (life.dead || life.refuses || now < life.cutUntil) {
+    SimulatedNode simulated = byId.get(id);
+    if (simulated.dead || simulated.refusesConnections || now < simulated.partitionedUntil) {
       return null;
     }
-    Deque<Told> past = told.getOrDefault(id, new ArrayDeque<>());
-    return reportLagNanos == 0 || past.isEmpty() ? reportNow(life) : past.peekFirst().report();
+    Deque<TimedReport> history = reportHistory.getOrDefault(id, new ArrayDeque<>());
+    return reportLagNanos == 0 || history.isEmpty()
+        ? reportNow(simulated)
+        : history.peekFirst().report();
   }
 
-  private NodeReport reportNow(Life life) {
-    Node node = node(life);
+  private NodeReport reportNow(SimulatedNode simulated) {
+    Node node = node(simulated);
     return new NodeReport(
-        node.model(), node.staged(), node.membership(), life.orders, life.startedMillis);
+        node.model(), node.staged(), node.membership(), simulated.orders, simulated.startedMillis);
   }
 
   /** Reports are of a while earlier, count and group alike. */
-  void reportsLag(long lagNanos) {
+  void delayReports(long lagNanos) {
     reportLagNanos = lagNanos;
   }
 
-  private void remember() {
-    for (Life life : lives.values()) {
-      Deque<Told> past = told.computeIfAbsent(life.id, id -> new ArrayDeque<>());
-      past.addLast(new Told(now, reportNow(life)));
-      while (past.size() > 1 && past.peekFirst().atNanos() < now - reportLagNanos) {
-        past.removeFirst();
+  private void recordReports() {
+    for (SimulatedNode simulated : byId.values()) {
+      Deque<TimedReport> history =
+          reportHistory.computeIfAbsent(simulated.id, id -> new ArrayDeque<>());
+      history.addLast(new TimedReport(now, reportNow(simulated)));
+      while (history.size() > 1 && history.peekFirst().atNanos() < now - reportLagNanos) {
+        history.removeFirst();
       }
     }
   }
 
-  private GroupOrder.Outcome carryOut(GroupOrder order) {
-    Life life = lives.get(order.node().id());
-    if (life.dead) {
+  private GroupOrder.Outcome execute(GroupOrder order) {
+    SimulatedNode simulated = byId.get(order.node().id());
+    if (simulated.dead) {
       return GroupOrder.Outcome.UNKNOWN;
     }
-    if (order.fence() < life.highestFence) {
+    if (order.fence() < simulated.highestFence) {
       return GroupOrder.Outcome.FENCED;
     }
-    life.highestFence = order.fence();
-    if (order.expectedOrders() >= 0 && order.expectedOrders() != life.orders) {
+    simulated.highestFence = order.fence();
+    if (order.expectedOrders() >= 0 && order.expectedOrders() != simulated.orders) {
       return GroupOrder.Outcome.CONFLICT;
     }
-    return carryOut(life, order);
+    return execute(simulated, order);
   }
 
-  private GroupOrder.Outcome carryOut(Life life, GroupOrder order) {
+  private GroupOrder.Outcome execute(SimulatedNode simulated, GroupOrder order) {
     return switch (order.kind()) {
-      case JOIN -> join(life, order);
-      case OPEN -> open(life, order);
-      case CLOSE -> close(life, order);
-      case LEAVE -> leave(life, order);
-      case STAGE -> stage(life, order);
+      case JOIN -> join(simulated, order);
+      case OPEN -> open(simulated, order);
+      case CLOSE -> close(simulated, order);
+      case LEAVE -> leave(simulated, order);
+      case STAGE -> stage(simulated, order);
       case REPORT -> throw new IllegalArgumentException("A report is no order.");
     };
   }
 
-  private GroupOrder.Outcome join(Life life, GroupOrder order) {
+  private GroupOrder.Outcome join(SimulatedNode simulated, GroupOrder order) {
     String key = order.group() + "/" + order.epoch();
-    boolean otherList = life.lists.containsKey(key) && !life.lists.get(key).equals(order.members());
-    if (order.epoch() < life.highestEpoch || otherList) {
+    boolean otherMembers =
+        simulated.memberLists.containsKey(key)
+            && !simulated.memberLists.get(key).equals(order.members());
+    if (order.epoch() < simulated.highestEpoch || otherMembers) {
       return GroupOrder.Outcome.FENCED;
     }
-    if (order.group().equals(life.group) && order.epoch() == life.epoch) {
+    if (order.group().equals(simulated.group) && order.epoch() == simulated.epoch) {
       return GroupOrder.Outcome.DONE;
     }
-    Life head = life.group == null ? null : lives.get(life.members.get(0));
-    boolean ownHead =
-        head != null && life.group.equals(head.group) && life.epoch == head.epoch && !head.dead;
-    if (ownHead && head.serves() && head.brokenAt > now) {
+    SimulatedNode head = simulated.group == null ? null : byId.get(simulated.members.get(0));
+    boolean headInSameGroup =
+        head != null
+            && simulated.group.equals(head.group)
+            && simulated.epoch == head.epoch
+            && !head.dead;
+    if (headInSameGroup && head.serves() && head.brokenAt > now) {
       violations.add(
           now / MILLI
               + " ms: "
-              + life.id
+              + simulated.id
               + " joins "
               + key
               + " while "
               + head.id
               + " may serve "
-              + life.group);
+              + simulated.group);
     }
     ModelSpec model = engine.model(order.model());
-    stall(life);
-    boolean same = order.model().equals(life.model);
-    boolean warm = order.model().equals(life.staged);
-    life.group = order.group();
-    life.epoch = order.epoch();
-    life.highestEpoch = order.epoch();
-    life.members = order.members();
-    life.lists.put(key, order.members());
-    life.rank = order.members().indexOf(life.id);
-    life.model = order.model();
-    life.state = MemberState.JOINING;
-    life.brokenAt = Long.MAX_VALUE;
-    int millis = same ? 200 : warm ? model.warmMillis() : model.loadMillis();
-    life.readyAt = now + millis * MILLI;
-    life.loads = !same && !warm;
-    life.orders++;
+    stall(simulated);
+    boolean sameModel = order.model().equals(simulated.model);
+    boolean isStaged = order.model().equals(simulated.staged);
+    simulated.group = order.group();
+    simulated.epoch = order.epoch();
+    simulated.highestEpoch = order.epoch();
+    simulated.members = order.members();
+    simulated.memberLists.put(key, order.members());
+    simulated.rank = order.members().indexOf(simulated.id);
+    simulated.model = order.model();
+    simulated.state = MemberState.JOINING;
+    simulated.brokenAt = Long.MAX_VALUE;
+    int millis = sameModel ? 200 : isStaged ? model.warmMillis() : model.loadMillis();
+    simulated.readyAt = now + millis * MILLI;
+    simulated.loadsFromStore = !sameModel && !isStaged;
+    simulated.orders++;
     return GroupOrder.Outcome.BEGUN;
   }
 
-  private boolean inGroup(Life life, GroupOrder order) {
-    return order.group().equals(life.group) && order.epoch() == life.epoch;
+  private boolean inGroup(SimulatedNode simulated, GroupOrder order) {
+    return order.group().equals(simulated.group) && order.epoch() == simulated.epoch;
   }
 
-  private GroupOrder.Outcome open(Life life, GroupOrder order) {
-    if (!inGroup(life, order) || life.state == MemberState.JOINING) {
+  private GroupOrder.Outcome open(SimulatedNode simulated, GroupOrder order) {
+    if (!inGroup(simulated, order) || simulated.state == MemberState.JOINING) {
       return GroupOrder.Outcome.CONFLICT;
     }
-    if (life.state == MemberState.OPEN) {
+    if (simulated.state == MemberState.OPEN) {
       return GroupOrder.Outcome.DONE;
     }
-    for (String id : life.members) {
-      Life member = lives.get(id);
+    for (String id : simulated.members) {
+      SimulatedNode member = byId.get(id);
       // The platform's rule: a member that was ready under this name and epoch and is lost since
       // excuses the head, which stands still then; one that never was ready does not.
       boolean wasReady = member.everReady.contains(order.group() + "/" + order.epoch());
       if (!wasReady) {
         violations.add(
-            now / MILLI + " ms: " + life.id + " opens " + order.group() + " without " + member.id);
+            now / MILLI
+                + " ms: "
+                + simulated.id
+                + " opens "
+                + order.group()
+                + " without "
+                + member.id);
       }
     }
-    life.state = MemberState.OPEN;
-    life.orders++;
+    simulated.state = MemberState.OPEN;
+    simulated.orders++;
     return GroupOrder.Outcome.BEGUN;
   }
 
-  private GroupOrder.Outcome close(Life life, GroupOrder order) {
-    if (!inGroup(life, order) || !life.serves()) {
+  private GroupOrder.Outcome close(SimulatedNode simulated, GroupOrder order) {
+    if (!inGroup(simulated, order) || !simulated.serves()) {
       return GroupOrder.Outcome.CONFLICT;
     }
-    life.state = MemberState.READY;
-    life.orders++;
+    simulated.state = MemberState.READY;
+    simulated.orders++;
     return GroupOrder.Outcome.BEGUN;
   }
 
   /** Leaving takes effect at once; a node that is not in the group says that it holds already. */
-  private GroupOrder.Outcome leave(Life life, GroupOrder order) {
-    if (inGroup(life, order)) {
-      stall(life);
-      life.group = null;
-      life.orders++;
+  private GroupOrder.Outcome leave(SimulatedNode simulated, GroupOrder order) {
+    if (inGroup(simulated, order)) {
+      stall(simulated);
+      simulated.group = null;
+      simulated.orders++;
     }
     return GroupOrder.Outcome.DONE;
   }
 
-  private GroupOrder.Outcome stage(Life life, GroupOrder order) {
-    life.stagingModel = order.model();
-    life.stagedAt = now + engine.model(order.model()).loadMillis() * MILLI;
-    life.orders++;
+  private GroupOrder.Outcome stage(SimulatedNode simulated, GroupOrder order) {
+    simulated.stagingModel = order.model();
+    simulated.stagedAt = now + engine.model(order.model()).loadMillis() * MILLI;
+    simulated.orders++;
     return GroupOrder.Outcome.BEGUN;
   }
 
   /** The group of a member that is lost stands still, and its head is broken after a while. */
-  private void stall(Life member) {
+  private void stall(SimulatedNode member) {
     if (member.group == null) {
       return;
     }
-    Life head = lives.get(member.members.get(0));
-    boolean same = member.group.equals(head.group) && member.epoch == head.epoch;
-    if (same && head != member && !idleHeads) {
+    SimulatedNode head = byId.get(member.members.get(0));
+    boolean sameModel = member.group.equals(head.group) && member.epoch == head.epoch;
+    if (sameModel && head != member && !idleHeads) {
       head.brokenAt = Math.min(head.brokenAt, now + STALL_NANOS);
     }
   }
@@ -408,14 +427,14 @@
   /** Groups whose heads are open and whose members are all alive and in place. */
   int serving(String model) {
     int serving = 0;
-    for (Life head : lives.values()) {
+    for (SimulatedNode head : byId.values()) {
       if (head.serves() && !head.dead && head.brokenAt > now && model.equals(head.model)) {
-        boolean whole = true;
+        boolean complete = true;
         for (String id : head.members) {
-          Life member = lives.get(id);
-          whole &= !member.dead && head.group.equals(member.group) && head.epoch == member.epoch;
+          SimulatedNode member = byId.get(id);
+          complete &= !member.dead && head.group.equals(member.group) && head.epoch == member.epoch;
         }
-        serving += whole ? 1 : 0;
+        serving += complete ? 1 : 0;
       }
     }
     return serving;
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/VanishedNodesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/VanishedNodesTest.java
@@ -15,8 +15,8 @@
 
   private final VanishedNodes nodes = new VanishedNodes();
 
-  private Collection<Node> listed(boolean troubled, long millis, Node... present) {
-    return nodes.complete(List.of(present), troubled, millis * MILLI);
+  private Collection<Node> listed(boolean mayComeBack, long millis, Node... present) {
+    return nodes.complete(List.of(present), mayComeBack, millis * MILLI);
   }
 
   @Test
