--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ExchangePolicy.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ExchangePolicy.java
@@ -95,7 +95,8 @@
   }
 
   /**
-   * Describes for each model its groups and the number of groups that it keeps busy, divided by the number of nodes.
+   * Describes for each model its groups and the number of groups that it keeps busy, divided by the
+   * number of nodes.
    */
   String describeMix() {
     StringBuilder text = new StringBuilder();
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/PlanPacing.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/PlanPacing.java
@@ -9,7 +9,8 @@
 public final class PlanPacing {
 
   /**
-   * Upper bound on the time between plans. While no group is being formed, all timeouts that a plan checks are of at least half a second.
+   * Upper bound on the time between plans. While no group is being formed, all timeouts that a plan
+   * checks are of at least half a second.
    */
   private static final long MAX_INTERVAL_NANOS = 200_000_000L;
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/BoundedExplorationTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/BoundedExplorationTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every course of a small world, up to a depth: four nodes, a group of three that serves, something
- * that makes leaders take it apart, a second leader that begins to act at one of three moments with
- * a new list or an old one, and each way in which the next orders may fare: carried out and
- * answered, carried out late without an answer, or lost. No course may break a promise. The search
- * is shown to see: with a fault planted in the leaders or their orders some course breaks one.
+ * Explores all scenarios of a small system up to a bounded depth: four nodes, one serving group of
+ * three, an event that makes leaders dissolve it, a second leader that starts at one of several
+ * times with a fresh or a stale list, and each combination of deliveries for the next orders. No
+ * scenario may violate an invariant. Two injected faults check that the exploration detects
+ * violations.
  */
 class BoundedExplorationTest {
 
@@ -43,7 +43,7 @@
           50,
           new RequestSize(1_000, 120));
 
-  /** How many orders after the trigger fare in every way. */
+  /** Number of orders after the trigger whose delivery is varied. */
   private static final int DEPTH = 4;
 
   private static final int DELIVERIES = Delivery.values().length;
@@ -54,35 +54,38 @@
   private static final long UNRESPONSIVE_UNTIL_NANOS = 9_000 * MILLI;
   private static final long[] SECOND_LEADER_DELAYS_MILLIS = {0, 350, 1_500};
 
-  /** What makes leaders act. */
+  /** The event that makes leaders act. */
   private enum Trigger {
-    /** A member says that it leaves. */
+    /** A member that is not the head starts to drain. */
     MEMBER_DRAINS,
-    /** The member that is not the head starts again under its id. */
+    /** A member that is not the head restarts under its id. */
     MEMBER_RESTARTS,
-    /** The head is held to be standing still, though it serves. */
+    /** The head is suspected to be stalled, though it serves. */
     HEAD_SUSPECTED,
-    /** The same, its entry has gone, and it hears and answers no leader for seconds. */
+    /**
+     * The head is suspected, its entry is missing, and it receives and answers no order for
+     * seconds.
+     */
     HEAD_UNRESPONSIVE
   }
 
-  /** How an order fares. */
+  /** How an order is delivered: answered, executed late without an answer, or lost. */
   private enum Delivery {
     ANSWERED,
     DELAYED,
     LOST
   }
 
-  /** A fault that is planted. */
+  /** A fault in the leaders or their orders. */
   private enum InjectedFault {
     NONE,
-    /** Joins name no count of orders. */
+    /** Joins expect no order count. */
     JOINS_WITHOUT_COUNT,
-    /** An order that had no answer is held to be done. */
+    /** An order without an answer is treated as done. */
     NO_ANSWER_TREATED_AS_DONE
   }
 
-  /** What came of a search. */
+  /** The result of an exploration. */
   private static final class SearchResult {
     int scenarios;
     final Set<Integer> states = new HashSet<>();
@@ -102,7 +105,7 @@
     }
   }
 
-  /** One course. */
+  /** One scenario; its number encodes the second leader's start, its list and the deliveries. */
   private static final class Scenario {
     final SimulatedNodes nodes = new SimulatedNodes(ENGINE);
     final Trigger trigger;
@@ -254,9 +257,8 @@
     return result;
   }
 
-  /** 1,944 courses, 234 different lists of nodes; 17,496 courses at a depth of 6 by hand. */
   @Test
-  void noCourseBreaksAPromise() {
+  void noScenarioViolatesAnInvariant() {
     SearchResult result = search(InjectedFault.NONE);
     assertThat(result.scenarios).isEqualTo(1_944);
     assertThat(result.states.size()).isGreaterThan(100);
@@ -264,12 +266,12 @@
   }
 
   @Test
-  void joinsThatNameNoCountAreFoundOut() {
+  void joinsWithoutExpectedCountAreDetected() {
     assertThat(search(InjectedFault.JOINS_WITHOUT_COUNT).violations).isNotEmpty();
   }
 
   @Test
-  void silenceThatIsTakenForAnAnswerIsFoundOut() {
+  void missingAnswersTreatedAsDoneAreDetected() {
     assertThat(search(InjectedFault.NO_ANSWER_TREATED_AS_DONE).violations).isNotEmpty();
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/ConcurrentLeadersTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/ConcurrentLeadersTest.java
@@ -14,18 +14,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Two leaders that act at the same time, as after a cut or a pause of one of them.
+ * Two leaders that act at the same time, as after a network partition or a pause of one of them.
  *
- * <p>What users saw: a node that headed an open group was joined to another one, and the answers
- * that it was writing stood still. The order of events: a leader began a group; another one took
- * the group apart while the join of its head was still on its way; the first leader joined the head
- * again and opened the group, and the second one, who remembered that the head had left, joined the
- * head elsewhere. The cause: what a leader had concluded from an answer of a node ("it has left",
- * "it has taken one more order") was kept although the node itself told otherwise since, or was
- * never told by the node at all.
- *
- * <p>The evidence: the names of both groups told that two daemons led the same term; both stories
- * below, and a run of random orders, broke the promise before the mend with no other trouble.
+ * <p>Guards against moving the head of an open group to another group: a leader relied on an
+ * earlier answer ("has left", "took one more order") although another leader's order had changed
+ * the node's state since.
  */
 class ConcurrentLeadersTest {
 
@@ -66,7 +59,7 @@
     }
   }
 
-  /** A leader that was paused learns that its last orders had no answer. */
+  /** Reports to a leader that its undelivered orders had no answer. */
   private void failUndelivered(GroupPlanner leader) {
     List<GroupOrder> unanswered =
         undelivered.stream().filter(order -> isOf(leader, order)).toList();
@@ -109,11 +102,11 @@
   }
 
   @Test
-  void aHeadThatHasComeBackIsNotJoinedElsewhereWhileItServes() {
+  void aHeadThatRejoinedItsGroupIsNotMovedWhileItServes() {
     run(first, 800, ConcurrentLeadersTest::joinsItsHead);
-    // The head is not in the group yet, so it tells the second leader that it has left.
+    // The head hasn't joined yet, so it answers the second leader's leave as done.
     run(second, 2_800, ConcurrentLeadersTest::joins);
-    // The first leader had no answer from the head, joins it again and opens the group.
+    // The first leader had no answer from the head, orders it to join again and opens the group.
     run(first, 30_000, order -> false);
     assertThat(nodes.serving("small")).isEqualTo(1);
     String head = head();
@@ -124,7 +117,7 @@
   }
 
   @Test
-  void aNodeThatSaysThatItHasLeftMayBeInAnotherGroupByThen() {
+  void anAcceptedLeaveWithoutCountLeavesTheOrderCountUnknown() {
     OrderTracker tracker = new OrderTracker();
     GroupKey left = GroupKey.of("first-0", "n0", 1);
     GroupOrder leave =
@@ -138,13 +131,13 @@
             FENCE,
             -1);
     tracker.recordReport(leave.node().id(), 2, left, 0);
-    // Another leader's join may have been the third order, not the leave.
+    // The third order may have been another leader's join instead of the leave.
     tracker.recordAnswer(leave, false);
     assertThat(tracker.orders(leave.node().id())).isEqualTo(OrderTracker.UNKNOWN);
   }
 
   @Test
-  void aLeaveThatNamesTheCountTellsTheCountAfterIt() {
+  void anAcceptedLeaveWithCountIncrementsTheOrderCount() {
     OrderTracker tracker = new OrderTracker();
     GroupKey left = GroupKey.of("first-0", "n0", 1);
     Node node = input().nodes().iterator().next();
@@ -158,9 +151,12 @@
     assertThat(tracker.group(node.id())).isNull();
   }
 
-  /** Seeds that failed: the first by the count, the second while both leaders had one fence. */
+  /**
+   * Seeds of former failures: the first by a wrong order count, the second with equal fencing
+   * tokens.
+   */
   @Test
-  void randomOrdersOfTwoLeadersOfOneTermTakeNoNodeFromAGroupThatMayServe() {
+  void randomOrdersOfTwoLeadersInOneTermTakeNoNodeFromAGroupThatMayServe() {
     assertThat(violations(-10310, FormationSimulation.Terms.SHARED_WITH_ONE_FENCE)).isEmpty();
     assertThat(violations(1166, FormationSimulation.Terms.SHARED)).isEmpty();
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/ExchangePolicyTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/ExchangePolicyTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One domain of four small groups, in a fleet where 24 small ones are at half of their load.
- * Callers keep 3.3 groups of the larger model busy.
+ * One domain with four groups of the small model, in a fleet where its 24 groups are at half of
+ * their capacity. The large model keeps 3.3 groups busy.
  */
 class ExchangePolicyTest {
 
   private static final double BUSY_NODES = 72;
 
-  /** As measured while five large groups served; noise had made it a tenth higher. */
+  /** Observed demand, with noise of a tenth in the large model's. */
   private static final Map<String, Double> DEMAND = Map.of("large", 0.0460, "small", 0.1579);
 
   private final List<ObservedGroup> groups = new ArrayList<>();
@@ -60,13 +60,16 @@
   }
 
   @Test
-  void groupsAreTakenApartForAModelThatIsNearlyFull() {
+  void groupsAreExchangedForAModelThatIsNearlyFull() {
     assertThat(plan(4, BUSY_NODES)).isNotNull();
   }
 
-  /** By shares alone two groups would go; what callers gain is less than the exchange costs. */
+  /**
+   * By shares alone two groups would be exchanged, but the gain is less than the cost of the
+   * exchange.
+   */
   @Test
-  void groupsStayWhereTheOtherModelIsFullerButHasRoom() {
+  void groupsAreKeptWhileTheOtherModelHasCapacityLeft() {
     assertThat(plan(5, 0)).isNotNull();
     assertThat(plan(5, BUSY_NODES)).isNull();
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationSimulation.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationSimulation.java
@@ -15,15 +15,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One run of leaders and nodes in virtual time, with losses, late and unanswered orders, stale
- * lists and changes of leader. Two leaders may share a term, as those on both sides of a cut do.
+ * Simulates leaders and nodes in virtual time, with failures, delayed and unanswered orders, stale
+ * lists and changes of leader. Two leaders may share a term, as on both sides of a network
+ * partition.
  */
 final class FormationSimulation {
 
   private static final long MILLI = SimulatedNodes.MILLI;
   private static final int STEPS = 900;
 
-  /** Entries of nodes that don't write lapse after so long. */
+  /** Entries of nodes that don't write lapse after this time. */
   private static final long LAPSE_NANOS = 3_600 * MILLI;
 
   final Random random;
@@ -38,7 +39,7 @@
   private boolean keepsKnownState;
   int ordersToPausedNodes;
 
-  /** Groups that serve, whole, added up over the steps. */
+  /** The number of complete serving groups, summed over the steps. */
   long servedSteps;
 
   ModelDemand demand = ModelDemand.declared(GroupPlannerTest.ENGINE);
@@ -49,17 +50,23 @@
   int named;
   int added;
 
-  /** Whether a new leader raises the term. */
+  /** Which terms and fencing tokens new leaders have. */
   enum Terms {
     /** Each leader has a term of its own. */
     DISTINCT,
-    /** Some claim the term that stands, by claims of their own, and are cut off from nodes. */
+    /**
+     * Some leaders claim the current term with claims of their own, and leaders are partitioned
+     * from nodes.
+     */
     SHARED,
-    /** As before, but their orders carry the same fence, so that only the nodes' counts hold. */
+    /**
+     * As {@link #SHARED}, but with equal fencing tokens, so that only the order counts protect
+     * nodes.
+     */
     SHARED_WITH_ONE_FENCE
   }
 
-  /** A leader and the list as it saw it last. */
+  /** A leader and the list that it received last. */
   private static final class Leader {
     final GroupPlanner planner;
     final long fence;
@@ -70,7 +77,7 @@
     long isolatedUntil;
     long suspendedUntil;
 
-    /** What its steady clock has not counted. */
+    /** How far its monotonic clock lags, since it doesn't advance while the leader is suspended. */
     long clockLagNanos;
 
     String reachableDomain = "";
@@ -99,28 +106,34 @@
     }
   }
 
-  /** Nodes that died start again under their ids; what else happens stays as it was. */
+  /**
+   * Dead nodes restart under their ids, and more nodes die. All other random events stay the same.
+   */
   FormationSimulation withRestarts(long seed) {
     restartRandom = new Random(seed);
     return this;
   }
 
-  /** Leaders' machines are suspended for seconds, which their steady clocks don't count. */
+  /** Leaders are suspended for seconds, and their monotonic clocks don't advance meanwhile. */
   FormationSimulation withSuspensions(long seed) {
     suspensionRandom = new Random(seed);
     return this;
   }
 
-  /** Nodes ask a leader for rest of seconds; while it lasts they must be sent nothing by it. */
+  /**
+   * Nodes ask leaders for Retry-After pauses of seconds, during which a leader must send them
+   * nothing.
+   */
   FormationSimulation withPauses(long seed) {
     pauseRandom = new Random(seed);
     return this;
   }
 
   /**
-   * The store goes back to copies of some seconds ago.
+   * The store rolls back to copies of some seconds ago.
    *
-   * @param goesBefore whether leaders hold on to what they knew, or take what the store lists
+   * @param keepsKnownState whether leaders use {@link RestoredNodes}; otherwise they take the list
+   *     as it is
    */
   FormationSimulation withRollbacks(long seed, boolean keepsKnownState) {
     rollbackStore = new RollbackStore(new Random(seed));
@@ -128,7 +141,7 @@
     return this;
   }
 
-  /** The list as a leader takes it. */
+  /** The list as the leader sees it. */
   private List<Node> listFor(Leader leader) {
     RollbackStore store = rollbackStore;
     if (store == null) {
@@ -163,7 +176,7 @@
     leader.pausedNodes = Set.copyOf(leader.pausedUntil.keySet());
   }
 
-  /** Tells whether a leader stands still; an order that it was answered waits until it wakes. */
+  /** Tells whether a leader is suspended. */
   private boolean isSuspended(Leader leader) {
     Random source = suspensionRandom;
     if (source != null && now >= leader.suspendedUntil && source.nextInt(150) == 0) {
@@ -213,7 +226,9 @@
     }
   }
 
-  /** A leader may have heard of the last claim in its term, or have made its own at that time. */
+  /**
+   * A leader may have received the last claim in its term, or have made its claim at the same time.
+   */
   private long fence(String name, boolean isFirst) {
     if (terms != Terms.SHARED) {
       return term;
@@ -264,7 +279,7 @@
     }
   }
 
-  /** Cuts a leader off from the store and from all nodes but those of one domain. */
+  /** Isolates a leader from the store and from all nodes but those of one domain. */
   void isolate(Leader leader) {
     leader.reachableDomain = "domain" + random.nextInt(2);
     leader.isolatedUntil = now + (2_000 + random.nextInt(6_000)) * MILLI;
@@ -333,7 +348,7 @@
     } else if (order.kind() == GroupOrder.Kind.REPORT) {
       leader.planner.report(order.node(), nodes.report(order.node().id()), clockOf(leader));
     } else if (random.nextInt(40) == 0) {
-      // A cut that resets connections looks like an address where nothing listens.
+      // A network partition that resets connections looks like a refused connection.
       leader.planner.outcome(order, GroupOrder.Outcome.GONE, clockOf(leader));
     } else if (random.nextDouble() < delayedShare) {
       nodes.orderWithDelay(order, (2_000 + random.nextInt(10_000)) * MILLI);
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/GroupPlannerFuzzTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/GroupPlannerFuzzTest.java
@@ -6,11 +6,14 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Losses, late and unanswered orders, stale lists and changes of leader, against the oracle. */
+/**
+ * Random failures, delayed and unanswered orders, stale lists and changes of leader. The simulated
+ * nodes record violations of the invariants.
+ */
 class GroupPlannerFuzzTest {
 
   @Property(tries = 150, seed = "20261202")
-  void noGroupServesShortAndNoNodeIsTakenFromAGroupThatMayServe(@ForAll long seed) {
+  void noIncompleteGroupServesAndNoNodeIsTakenFromAGroupThatMayServe(@ForAll long seed) {
     FormationSimulation run =
         new FormationSimulation(new Random(seed), FormationSimulation.Terms.DISTINCT);
     run.run();
@@ -18,7 +21,7 @@
   }
 
   @Property(tries = 150, seed = "20261203")
-  void norWhereNodesStartAgainUnderTheirIds(@ForAll long seed) {
+  void invariantsHoldWhenNodesRestartUnderTheirIds(@ForAll long seed) {
     FormationSimulation run =
         new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED)
             .withRestarts(seed);
@@ -28,7 +31,7 @@
   }
 
   @Property(tries = 150, seed = "20261204")
-  void norWhereLeadersAreSuspended(@ForAll long seed) {
+  void invariantsHoldWhenLeadersAreSuspended(@ForAll long seed) {
     FormationSimulation run =
         new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED)
             .withRestarts(seed)
@@ -39,7 +42,7 @@
   }
 
   @Property(tries = 150, seed = "20261205")
-  void norWhereNodesAskForRestWhichIsGiven(@ForAll long seed) {
+  void invariantsHoldAndNothingIsSentDuringRetryAfterPauses(@ForAll long seed) {
     FormationSimulation run =
         new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED)
             .withRestarts(seed)
@@ -51,7 +54,7 @@
   }
 
   @Property(tries = 150, seed = "20261206")
-  void norWhereTheStoreGoesBackToCopies(@ForAll long seed) {
+  void invariantsHoldWhenTheStoreRollsBackToCopies(@ForAll long seed) {
     FormationSimulation run =
         new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED)
             .withRestarts(seed)
@@ -62,7 +65,7 @@
   }
 
   @Property(tries = 150, seed = "4711")
-  void norDoLeadersThatShareATerm(@ForAll long seed) {
+  void invariantsHoldWhenLeadersShareATerm(@ForAll long seed) {
     FormationSimulation run =
         new FormationSimulation(new Random(seed), FormationSimulation.Terms.SHARED);
     run.nodes.delayReports(200 * SimulatedNodes.MILLI);
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/GroupPlannerTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/GroupPlannerTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What the leader does with two domains of nine nodes and two models. */
+/** The leader's decisions for two domains of nine nodes and two models. */
 class GroupPlannerTest {
 
   static final long MILLI = SimulatedNodes.MILLI;
@@ -131,16 +131,16 @@
         .id();
   }
 
-  /** A report costs as much as a probe; with 1,095 nodes each was asked before its first join. */
+  /** A report costs as much as a probe, so new nodes must not be asked before their first join. */
   @Test
-  void nodesThatHaveTakenNoOrdersJoinWithoutBeingAsked() {
+  void nodesWithoutOrdersJoinWithoutAReportRequest() {
     run(40_000, 1);
     assertThat(nodes.serving("large") + nodes.serving("small")).isEqualTo(5);
     assertThat(reports).isZero();
   }
 
   @Test
-  void nodesThatAnotherLeaderHasOrderedAboutAreAskedOnceTheyRefuse() {
+  void nodesWithOrdersOfAnotherLeaderAreAskedOnceTheyRefuse() {
     List<Node> beforeAnyOrder = nodes.list(0);
     run(30_000, 1);
     planner = planner("second-");
@@ -153,7 +153,7 @@
   }
 
   @Test
-  void bothDomainsAreFilledByTheDeclaredSharesAndEveryMemberStagesTheOtherModel() {
+  void bothDomainsFollowTheDeclaredSharesAndEveryMemberStagesTheOtherModel() {
     run(40_000, 1);
     assertThat(nodes.serving("large")).isEqualTo(2);
     assertThat(nodes.serving("small")).isEqualTo(3);
@@ -165,7 +165,7 @@
   }
 
   @Test
-  void aMoveTellsFromWhichGroupTheNodeIsTakenAndByWhatEvidence() {
+  void theLogOfAMoveNamesTheFormerGroupAndTheReleaseEvidence() {
     run(40_000, 1);
     String head = headOf("large");
     String member = otherMember(head);
@@ -181,7 +181,7 @@
   }
 
   @Test
-  void aHeadThatHasLeftIsSentOneLeaveThoughItsReportsLag() {
+  void aHeadThatHasLeftGetsOneLeaveThoughItsReportsLag() {
     nodes.delayReports(200 * MILLI);
     run(40_000, 1);
     String head = headOf("large");
@@ -193,7 +193,7 @@
   }
 
   @Test
-  void survivorsFormAGroupOfTheModelThatIsMissedMost() {
+  void survivorsFormAGroupOfTheModelWithTheHighestDemand() {
     run(40_000, 1);
     limiter.enforce();
     killMemberOf(headOf("large"));
@@ -207,7 +207,7 @@
   }
 
   @Test
-  void groupsAreTakenApartWhereTheirNodesServeMoreAsAnotherModel() {
+  void groupsAreExchangedWhenDemandShiftsToAnotherModel() {
     run(40_000, 1);
     limiter.enforce();
     demand = new ModelDemand(Map.of("large", 0.3, "small", 0.03));
@@ -220,7 +220,7 @@
    * Two large and three small groups serve; a third large one would not be worth two small ones.
    */
   @Test
-  void noGroupsAreTakenApartForOneThatItsSurvivorsAreAboutToForm() {
+  void noGroupsAreExchangedForAGroupThatSurvivorsAreAboutToForm() {
     run(40_000, 1);
     limiter.enforce();
     demand = new ModelDemand(Map.of("large", 0.2, "small", 0.1));
@@ -237,7 +237,7 @@
   }
 
   @Test
-  void sparesStageTheLargestModelOfTheirDomain() {
+  void spareNodesStageTheLargestModelOfTheirDomain() {
     run(40_000, 1);
     for (Node node : nodes.list(0)) {
       if (node.membership() == null) {
@@ -254,9 +254,9 @@
         .collect(java.util.stream.Collectors.toSet());
   }
 
-  /** A leader that has just started, as after a loss of power, knows what is declared only. */
+  /** A leader that has just started knows the declared demand only. */
   @Test
-  void groupsThatServeStayWhileDemandIsOnlyDeclared() {
+  void servingGroupsAreKeptWhileDemandIsOnlyDeclared() {
     run(40_000, 1);
     limiter.enforce();
     Set<String> before = Set.copyOf(headsOf("small"));
@@ -266,7 +266,7 @@
   }
 
   @Test
-  void groupsStayWhereADifferenceInDemandIsSmall() {
+  void groupsAreKeptWhenDemandDiffersLittle() {
     run(40_000, 1);
     limiter.enforce();
     Set<String> before = Set.copyOf(headsOf("large"));
@@ -276,7 +276,7 @@
   }
 
   @Test
-  void aLostMemberIsReplacedByTheSpareWithoutWaitingForTheList() {
+  void aFailedMemberIsReplacedByTheSpareBeforeItsEntryLapses() {
     run(20_000, 1);
     String head = headOf("large");
     nodes.kill(otherMember(head));
@@ -300,7 +300,7 @@
   }
 
   @Test
-  void survivorsOfADeadHeadAreUsedOnlyAfterTheGroupIsBroken() {
+  void survivorsOfADeadHeadAreUsedOnlyAfterTheHeadIsBroken() {
     run(20_000, 1);
     String head = headOf("small");
     nodes.kill(head);
@@ -319,7 +319,7 @@
   }
 
   @Test
-  void aNewLeaderAdoptsWhatStandsAndEndsWhatWasBegun() {
+  void aNewLeaderAdoptsExistingGroupsAndCompletesDissolutions() {
     run(20_000, 1);
     String head = headOf("large");
     nodes.kill(otherMember(head));
@@ -333,7 +333,7 @@
   }
 
   @Test
-  void aRefusedOldLeaderChangesNothing() {
+  void ordersOfAFencedLeaderAreRefused() {
     run(20_000, 2);
     GroupPlanner old = planner("old-");
     GroupPlanner.Input input =
@@ -356,7 +356,7 @@
   }
 
   @Test
-  void aDrainingMemberEndsItsGroupAndTheSpareTakesItsPlace() {
+  void aDrainingMemberIsReplacedByTheSpare() {
     run(20_000, 1);
     nodes.drain(otherMember(headOf("large")));
     run(6_000, 1);
@@ -364,7 +364,7 @@
   }
 
   @Test
-  void groupsOfWhichMembersLeaveTogetherEndOneAfterTheOther() {
+  void groupsWithDrainingMembersAreDissolvedOneAfterTheOther() {
     run(20_000, 1);
     List<String> heads = new ArrayList<>(headsOf("small"));
     heads.addAll(headsOf("large"));
@@ -380,7 +380,7 @@
   }
 
   @Test
-  void aLeaderWithAnOldListTakesNoNodeFromAGroupThatServes() {
+  void aLeaderWithAStaleListTakesNoNodeFromAGroupThatServes() {
     run(20_000, 1);
     List<Node> oldList = nodes.list(0);
     List<String> heads = headsOf("small").subList(0, 2);
@@ -406,7 +406,7 @@
   }
 
   @Test
-  void aConnectionThatIsRefusedIsNoProofThatAHeadIsGone() {
+  void aRefusedConnectionIsNoProofThatAHeadHasEnded() {
     run(20_000, 1);
     String head = headOf("small");
     nodes.refuseConnections(head);
@@ -415,7 +415,7 @@
   }
 
   @Test
-  void aSuspicionOfAFormerGroupDoesNotEndTheNextOneOfTheSameHead() {
+  void aSuspicionOfAFormerGroupDoesNotDissolveTheNextGroupOfTheSameHead() {
     run(20_000, 1);
     String head = headOf("large");
     nodes.kill(otherMember(head));
@@ -425,7 +425,7 @@
   }
 
   @Test
-  void survivorsAreNotHeldIdleForANodeThatStillLoads() {
+  void survivorsDoNotWaitForANodeThatIsStillLoading() {
     run(20_000, 1);
     limiter.enforce();
     List<String> heads = headsOf("small");
@@ -438,7 +438,7 @@
   }
 
   @Test
-  void aGroupThatServesOutlivesEntriesThatVanishForAWhile() {
+  void aServingGroupIsKeptWhileAnEntryIsMissingBriefly() {
     run(20_000, 1);
     String head = headOf("large");
     String group = headAtEpoch(head);
@@ -452,7 +452,7 @@
   }
 
   @Test
-  void aGroupThatTheListDoesNotShowIsToldOfAsLongAsTheStoreIsAway() {
+  void recentGroupsAreRetainedWhileTheListIsNotUpdated() {
     run(20_000, 1);
     List<Node> oldList = nodes.list(0);
     nodes.kill(otherMember(headOf("large")));
@@ -471,7 +471,7 @@
   }
 
   @Test
-  void aGroupWhoseMemberStaysAwayIsTakenApart() {
+  void aGroupIsDissolvedWhenAnEntryStaysMissing() {
     run(20_000, 1);
     String head = headOf("large");
     String group = headAtEpoch(head);
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/LastModelsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/LastModelsTest.java
@@ -7,7 +7,10 @@
 import org.fawnvale.serving.core.model.Node;
 import org.junit.jupiter.api.Test;
 
-/** A node that left its group can still join one of the same model quickly. */
+/**
+ * A node that left its group keeps its model in memory and can rejoin a group of that model
+ * quickly.
+ */
 class LastModelsTest {
 
   private final LastModels models = new LastModels();
@@ -18,20 +21,20 @@
   }
 
   @Test
-  void theModelOfTheLastGroupIsToldAgainAfterTheNodeHasLeftIt() {
+  void theLastModelIsFilledInAfterTheNodeHasLeftItsGroup() {
     complete("a", "large");
     assertThat(complete("a", null).model()).isEqualTo("large");
   }
 
   @Test
-  void aLaterGroupsModelTakesItsPlace() {
+  void theModelOfALaterGroupReplacesIt() {
     complete("a", "large");
     complete("a", "small");
     assertThat(complete("a", null).model()).isEqualTo("small");
   }
 
   @Test
-  void anotherLifeOfANodeHoldsNothing() {
+  void aNodeThatWasNotListedInBetweenHasNoModel() {
     complete("a", "large");
     assertThat(complete("b", null).model()).isNull();
     assertThat(complete("a", null).model()).isNull();
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/MixFollowsDemandTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/MixFollowsDemandTest.java
@@ -15,7 +15,7 @@
 
 /**
  * A fleet of nine domains of 19 nodes whose configuration declares equal shares for a model of
- * eight nodes and one of four, while callers ask the smaller one for twice the work of the larger.
+ * eight nodes and one of four, while the smaller model has twice the work of the larger one.
  */
 class MixFollowsDemandTest {
 
@@ -41,16 +41,16 @@
           300,
           new RequestSize(841, 111));
 
-  /** Measured: so many groups of the larger model are kept busy. */
+  /** Number of groups of the larger model that the demand keeps busy. */
   private static final double BUSY_LARGE = 3.1;
 
-  /** Measured: so many groups of the smaller model are kept busy. */
+  /** Number of groups of the smaller model that the demand keeps busy. */
   private static final double BUSY_SMALL = 11.8;
 
-  /** Noise in what is measured of the larger model, whose requests are few and uneven. */
+  /** Relative noise in the observed demand for the larger model. */
   private static final double NOISE = 0.12;
 
-  /** Work is remembered for about this time, so that it is told in part at first. */
+  /** Time constant of the observation; at first only a part of the work is observed. */
   private static final double OBSERVATION_SECONDS = 6;
 
   private final SimulatedNodes nodes = new SimulatedNodes(ENGINE);
@@ -101,13 +101,13 @@
   }
 
   @Test
-  void groupsOfTheModelThatIsAskedForMoreAreFormedWithinSeconds() {
+  void groupsOfTheModelWithMoreDemandAreFormedWithinSeconds() {
     applyDemand(1, 12, 0);
     assertThat(nodes.serving("small")).isGreaterThanOrEqualTo(22);
   }
 
   @Test
-  void noiseInWhatIsAskedForTakesHardlyAnyGroupsApart() {
+  void noiseInTheDemandCausesHardlyAnyExchanges() {
     applyDemand(1, 12, 0);
     exchanges = 0;
     applyDemand(13, 40, NOISE);
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/MixPlannerTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/MixPlannerTest.java
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void nodesFollowTheDeclaredSharesWhileNothingWasObserved() {
+  void groupsFollowTheDeclaredSharesBeforeAnyObservation() {
     MixPlanner planner = new MixPlanner(ENGINE, ModelDemand.declared(ENGINE));
     Map<String, List<Integer>> choices = planner.choose(emptyDomains(7, 9), NONE, JoinRule.ANY);
     assertThat(sum(choices, 0)).isEqualTo(8);
@@ -69,13 +69,13 @@
   }
 
   @Test
-  void domainsAreChosenTogetherSoThatFewNodesAreLeftOver() {
+  void theMixIsChosenForAllDomainsTogether() {
     Map<String, List<Integer>> choices = mix(1, 1).choose(emptyDomains(2, 9), NONE, JoinRule.ANY);
     assertThat(choices.values()).containsExactlyInAnyOrder(List.of(2, 0), List.of(0, 3));
   }
 
   @Test
-  void theModelThatIsAskedForMoreGetsMoreGroups() {
+  void theModelWithMoreDemandGetsMoreGroups() {
     Map<String, List<Integer>> even = mix(1, 1).choose(emptyDomains(6, 9), NONE, JoinRule.ANY);
     Map<String, List<Integer>> skewed = mix(2, 1).choose(emptyDomains(6, 9), NONE, JoinRule.ANY);
     assertThat(sum(skewed, 0)).isGreaterThan(sum(even, 0));
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void groupsThatStandCountForTheirModel() {
+  void existingGroupsCountForTheirModel() {
     Map<String, List<Node>> free = Map.of("d", holders("d", 4, "large", "small"));
     assertThat(mix(1, 1).choose(free, Map.of("large", 5, "small", 1), JoinRule.HOLDERS))
         .containsEntry("d", List.of(0, 1));
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void nodesJoinOnlyWhatTheyHold() {
+  void nodesJoinOnlyGroupsOfModelsThatTheyHold() {
     List<Node> nodes = holders("d", 3, "large");
     nodes.addAll(holders("d", 1, "small"));
     Map<String, List<Integer>> choices =
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void nodesThatHoldOneModelOnlyAreTakenForItFirst() {
+  void nodesThatHoldOneModelOnlyAreUsedForItFirst() {
     List<Node> nodes = holders("d", 4, "large", "small");
     nodes.addAll(holders("d", 3, "small"));
     List<FormationPolicy.Proposal> proposals =
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void aNodeIsKeptForTheModelThatIsMissedMore() {
+  void aNodeIsReservedForTheModelThatNeedsItMore() {
     List<Node> nodes = holders("d", 4, "large", "small");
     MixPlanner mix = mix(1, 1);
     JoinRule scarceLarge =
@@ -132,7 +132,7 @@
   }
 
   @Test
-  void aNodeThatHasLainIdleForLongIsNotKept() {
+  void aNodeThatWasIdleForTooLongIsNotReserved() {
     List<Node> nodes = holders("d", 4, "large", "small");
     Map<String, Integer> groupCounts = Map.of("large", 1, "small", 8);
     JoinRule rule = new ScarceModels(ENGINE, mix(1, 1), groupCounts, nodes, node -> true);
@@ -140,7 +140,7 @@
   }
 
   @Test
-  void aNodeIsNotKeptForAModelThatItsDomainCanNotForm() {
+  void aNodeIsNotReservedForAModelThatItsDomainCannotForm() {
     List<Node> nodes = holders("d", 3, "large", "small");
     JoinRule rule =
         new ScarceModels(ENGINE, mix(1, 1), Map.of("large", 1, "small", 8), nodes, NEVER);
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodeRestartTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodeRestartTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Nodes end and start again under their ids before their entries have lapsed. Nothing that was
- * known of a former life holds for the next one.
+ * Nodes restart under their ids before their entries have lapsed. State of a former incarnation
+ * must not be applied to the next one.
  */
 class NodeRestartTest {
 
@@ -86,12 +86,9 @@
     return (now - begun) / MILLI;
   }
 
-  /**
-   * Its group is short of it at once, though an entry of its id is listed all the time. Until all
-   * groups serve again 5,150 ms pass where only the missing place speaks, 1,750 ms here.
-   */
+  /** The group must be repaired at once, though the member's id is listed all the time. */
   @Test
-  void aGroupIsShortOfAMemberThatHasStartedAgain() {
+  void aGroupLosesAMemberThatRestarts() {
     int before = serving();
     String member = memberOfRank(1);
     nodes.kill(member);
@@ -99,9 +96,9 @@
     assertThat(millisUntilAllServe(before)).isLessThan(3_000);
   }
 
-  /** 3,750 ms where only the missing place speaks, 1,750 ms here. */
+  /** The members must be free at once, though the head's id is listed all the time. */
   @Test
-  void aHeadThatHasStartedAgainFreesItsMembers() {
+  void aRestartedHeadFreesItsMembers() {
     int before = serving();
     String head = memberOfRank(0);
     nodes.kill(head);
@@ -109,9 +106,12 @@
     assertThat(millisUntilAllServe(before)).isLessThan(3_000);
   }
 
-  /** It has taken no orders: a join that names a count of its former life would be refused. */
+  /**
+   * The restarted node has taken no orders; a join with the count of its former incarnation would
+   * be refused.
+   */
   @Test
-  void aNodeThatHasStartedAgainRefusesNoJoin() {
+  void aRestartedNodeRefusesNoJoin() {
     limiter.enforce();
     String member = memberOfRank(1);
     nodes.kill(member);
@@ -121,7 +121,7 @@
   }
 
   @Test
-  void theModelOfAFormerLifeIsNotInMemoryAnyMore() {
+  void theLastModelIsForgottenAfterARestart() {
     LastModels models = new LastModels();
     models.complete(List.of(node(1, "large")));
     assertThat(models.complete(List.of(node(1, null))).iterator().next().model())
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void whatWasSeenOfAFormerLifeSaysNothingOfTheNext() {
+  void theDispatcherForgetsTheStateOfAFormerIncarnation() {
     Dispatcher dispatcher =
         new Dispatcher(
             "a",
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/PlanPacingTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/PlanPacingTest.java
@@ -6,7 +6,7 @@
 import org.fawnvale.serving.core.watch.StorePlace;
 import org.junit.jupiter.api.Test;
 
-/** The leader plans when something has changed, and now and then. */
+/** The leader plans when something has changed, and otherwise at the maximal interval. */
 class PlanPacingTest {
 
   private static final long MILLI = 1_000_000L;
@@ -27,17 +27,17 @@
   }
 
   @Test
-  void whileNothingChangesOneTickInFourPlans() {
+  void oneTickInFourPlansWhileNothingChanges() {
     assertThat(plans(100, false)).isBetween(25, 26);
   }
 
   @Test
-  void whileGroupsAreOnTheirWayEachTickPlans() {
+  void everyTickPlansWhileGroupsAreBeingFormed() {
     assertThat(plans(100, true)).isEqualTo(100);
   }
 
   @Test
-  void aChangedListOrAnAnswerIsPlannedWithAtTheNextTick() {
+  void theNextTickPlansAfterAChangedListOrAnAnswer() {
     pacing.isDue(at(7), false, 0);
     assertThat(pacing.isDue(at(7), false, TICK)).isFalse();
     assertThat(pacing.isDue(at(8), false, 2 * TICK)).isTrue();
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesBenefitTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesBenefitTest.java
@@ -6,9 +6,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What it is worth to hold on to what was known of nodes while the store goes back to copies: the
- * same 400 runs of 45 s, with leaders that do and with leaders that take what the store lists.
- * Groups that serve, added up over steps of 50 ms: 80,040 before, 87,974 after.
+ * Compares the same simulations, in which the store rolls back to copies, with leaders that retain
+ * what they knew and with leaders that take the list as it is.
  */
 class RestoredNodesBenefitTest {
 
@@ -28,7 +27,7 @@
   }
 
   @Test
-  void whoHoldsOnToWhatWasKnownServesMore() {
+  void moreGroupsServeWhenKnownStateIsRetained() {
     long withoutKnownState = servedSteps(false);
     long withKnownState = servedSteps(true);
     assertThat(withKnownState).as("served steps").isGreaterThan(withoutKnownState);
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
@@ -15,7 +15,7 @@
 import org.fawnvale.serving.core.watch.StorePlace;
 import org.junit.jupiter.api.Test;
 
-/** What was known of nodes before the store went back, until they write again. */
+/** How the list is corrected after a rollback of the store until nodes write again. */
 class RestoredNodesTest {
 
   private static final long SECOND = 1_000_000_000L;
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void aNodeThatHadSaidItLeavesLeavesUntilItsEntryIsWrittenAnew() {
+  void aDrainingNodeIsShownAsDrainingUntilItsEntryIsRewritten() {
     addKnown(node("n", 7).asDraining());
     list(node("n", 7), 20);
     rollBack();
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void itLeavesAlsoWhenTheStoreGoesBackTwiceInARow() {
+  void aDrainingNodeIsShownAsDrainingAfterTwoRollbacks() {
     addKnown(node("n", 7).asDraining());
     list(node("n", 7), 20);
     rollBack();
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void aNodeThatTheCopyShowsAsLeavingLeavesWhateverWasKnown() {
+  void aNodeThatTheCopyShowsAsDrainingIsDraining() {
     addKnown(node("n", 7));
     list(node("n", 7).asDraining(), 20);
     rollBack();
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void aNodeWhoseEntryHadGoneIsNotThereUntilDeadOnesHaveLapsed() {
+  void aDeletedEntryIsHiddenUntilEntriesOfDeadNodesHaveLapsed() {
     list(node("n", 7), 20);
     rollBack("n");
     assertThat(shown("n", 0)).isNull();
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void aNodeWhoseEntryHadGoneIsThereAsSoonAsItWritesAgain() {
+  void aDeletedEntryIsShownOnceItIsRewritten() {
     list(node("n", 7), 20);
     rollBack("n");
     assertThat(shown("n", 0)).isNull();
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void aNodeThatHadBegunALaterLifeIsNotTakenForTheFormerOne() {
+  void aRestartedNodeIsNotShownAsItsFormerIncarnation() {
     addKnown(node("n", 9));
     list(node("n", 7), 20);
     rollBack();
@@ -123,13 +123,12 @@
   }
 
   /**
-   * The story: a node had started again, the store went back and showed its former life, and then
-   * was away for longer than entries of the dead take to lapse. The leader took the former life for
-   * a new one, asked its address, where nothing listened any more, held the group's head to have
-   * ended, and took a node from a group whose head served.
+   * Guards against showing a former incarnation after a rollback that is followed by a store
+   * outage: the leader took the restarted node's former incarnation for a new one and moved a
+   * member of a serving group.
    */
   @Test
-  void noTimePassesWhileTheStoreIsAwayAgain() {
+  void retentionDoesNotExpireDuringAStoreOutage() {
     addKnown(node("n", 9));
     list(node("n", 7), 20);
     list(node("gone", 7), 21);
@@ -140,7 +139,7 @@
   }
 
   @Test
-  void aLaterLifeThatIsListedHolds() {
+  void aLaterListedIncarnationTakesPrecedence() {
     addKnown(node("n", 7).asDraining());
     list(node("n", 9), 20);
     rollBack();
@@ -148,7 +147,7 @@
   }
 
   @Test
-  void aPlaceInAGroupIsTakenAsTheCopyShowsIt() {
+  void membershipsAreTakenFromTheCopy() {
     addKnown(inGroup(node("n", 7), "new", MemberState.OPEN));
     list(node("n", 7), 20);
     rollBack();
@@ -157,7 +156,7 @@
   }
 
   @Test
-  void nothingIsHeldOfNodesThatAreListedAsTheyWere() {
+  void nothingIsRetainedForUnchangedNodes() {
     addKnown(node("n", 7));
     list(node("n", 7), 20);
     rollBack();
@@ -165,7 +164,7 @@
   }
 
   @Test
-  void whatIsHeldChangesWithTimeOnlyWhereAnEntryHadGone() {
+  void onlyHiddenEntriesChangeWithTime() {
     addKnown(node("n", 7).asDraining());
     list(node("n", 7), 20);
     rollBack();
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RollbackStore.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RollbackStore.java
@@ -15,9 +15,9 @@
 import org.fawnvale.serving.core.watch.StorePlace;
 
 /**
- * What the store lists while it goes back, again and again, to a copy of up to eight seconds ago:
- * each node shows as it was then until it has written again, which takes it up to two seconds, and
- * entries of nodes that don't write lapse.
+ * A simulated store that repeatedly rolls back to a copy of up to eight seconds ago. Each node is
+ * listed as in the copy until it writes again, after up to two seconds; entries of nodes that don't
+ * write lapse.
  */
 final class RollbackStore {
 
@@ -41,7 +41,7 @@
     this.random = random;
   }
 
-  /** Moves on to what nodes write now. */
+  /** Advances to the entries that nodes write now. */
   void advance(List<Node> written, long now) {
     Map<String, Node> present = new LinkedHashMap<>();
     written.forEach(node -> present.put(node.id(), node));
@@ -97,17 +97,17 @@
     listed = next;
   }
 
-  /** The nodes that are listed, by id. */
+  /** The listed nodes, by id. */
   Map<String, Node> listed() {
     return listed;
   }
 
-  /** The place of each listed entry, by id. */
+  /** The store position of each listed entry, by id. */
   Map<String, StorePlace> places() {
     return places;
   }
 
-  /** Which of its histories the store is in. */
+  /** The era of the store, which increases with each rollback. */
   long era() {
     return era;
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/SimulatedNodes.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/SimulatedNodes.java
@@ -21,9 +21,9 @@
 import org.fawnvale.serving.core.model.NodeLife;
 
 /**
- * Nodes that follow the published rules of orders, in virtual time, and the oracle that watches two
- * promises: no head serves a group that is short of a member, and no node joins another group while
- * the head of its own may still serve.
+ * Simulates nodes that follow the platform's rules for orders, in virtual time, and records
+ * violations of two invariants: a head serves only with all members, and a node joins another group
+ * only when the head of its own can't serve any longer.
  */
 final class SimulatedNodes {
 
@@ -45,7 +45,7 @@
 
   private record DelayedOrder(long atNanos, GroupOrder order) {}
 
-  /** One node. */
+  /** The state of one node. */
   private static final class SimulatedNode {
     final String id;
     final String domain;
@@ -105,7 +105,7 @@
     }
   }
 
-  /** A node that died starts again under its id; only the weights on its host are left. */
+  /** Restarts a dead node under its id; only the weights on its host are left. */
   void restart(String id) {
     SimulatedNode simulated = byId.get(id);
     if (simulated.dead) {
@@ -124,14 +124,14 @@
     }
   }
 
-  /** A cut resets all connections to the node, which goes on serving. */
+  /** Resets all connections to the node, as a network partition may; the node serves on. */
   void refuseConnections(String id) {
     byId.get(id).refusesConnections = true;
   }
 
   /**
-   * Cuts a domain off from leaders and from the list for a while; its nodes go on. Afterwards their
-   * entries come back one by one.
+   * Partitions a domain from leaders and from the list for a while; its nodes run on. Afterwards
+   * their entries reappear one by one.
    */
   void partitionDomain(String domain, long untilNanos, java.util.Random random) {
     for (SimulatedNode simulated : byId.values()) {
@@ -143,12 +143,12 @@
     }
   }
 
-  /** The node lost the store and serves on. */
+  /** Hides the entry of a node that has lost its connection to the store and serves on. */
   void hideEntry(String id, boolean hidden) {
     byId.get(id).hidden = hidden;
   }
 
-  /** Heads without work never notice that they are short of a member. */
+  /** Makes heads idle, so that they never notice that a member is missing. */
   void makeHeadsIdle() {
     idleHeads = true;
   }
@@ -165,7 +165,7 @@
     return byId.keySet();
   }
 
-  /** Moves time on: loads end, broken heads stop, late orders are carried out. */
+  /** Advances time: loads finish, broken heads stop, delayed orders are executed. */
   void advance(long toNanos) {
     while (!delayedOrders.isEmpty() && delayedOrders.peek().atNanos <= toNanos) {
       DelayedOrder order = delayedOrders.poll();
@@ -197,7 +197,7 @@
     }
   }
 
-  /** The list as the platform shows it; dead nodes stay listed for a while. */
+  /** The list as the platform shows it; dead nodes stay listed for {@code lagNanos}. */
   List<Node> list(long lagNanos) {
     List<Node> nodes = new ArrayList<>();
     for (SimulatedNode simulated : byId.values()) {
@@ -230,7 +230,7 @@
         membership);
   }
 
-  /** Carries an order out and answers. */
+  /** Executes an order and answers it. */
   GroupOrder.Outcome order(GroupOrder order) {
     SimulatedNode simulated = byId.get(order.node().id());
     if (simulated.refusesConnections) {
@@ -241,7 +241,7 @@
         : execute(order);
   }
 
-  /** Takes an order without an answer and carries it out later. */
+  /** Executes an order after a delay, without an answer. */
   void orderWithDelay(GroupOrder order, long delayNanos) {
     delayedOrders.add(new DelayedOrder(now + delayNanos, order));
   }
@@ -263,7 +263,7 @@
         node.model(), node.staged(), node.membership(), simulated.orders, simulated.startedMillis);
   }
 
-  /** Reports are of a while earlier, count and group alike. */
+  /** Delays the contents of reports, order count and group alike. */
   void delayReports(long lagNanos) {
     reportLagNanos = lagNanos;
   }
@@ -367,8 +367,9 @@
     }
     for (String id : simulated.members) {
       SimulatedNode member = byId.get(id);
-      // The platform's rule: a member that was ready under this name and epoch and is lost since
-      // excuses the head, which stands still then; one that never was ready does not.
+      // By the platform's rule, a head may open without a member that was ready under this name and
+      // epoch and failed since; the head is stalled then. A member that was never ready is a
+      // violation.
       boolean wasReady = member.everReady.contains(order.group() + "/" + order.epoch());
       if (!wasReady) {
         violations.add(
@@ -395,7 +396,9 @@
     return GroupOrder.Outcome.BEGUN;
   }
 
-  /** Leaving takes effect at once; a node that is not in the group says that it holds already. */
+  /**
+   * Takes effect at once. A node that isn't in the group answers that the order is done already.
+   */
   private GroupOrder.Outcome leave(SimulatedNode simulated, GroupOrder order) {
     if (inGroup(simulated, order)) {
       stall(simulated);
@@ -412,7 +415,7 @@
     return GroupOrder.Outcome.BEGUN;
   }
 
-  /** The group of a member that is lost stands still, and its head is broken after a while. */
+  /** Stalls the group of a lost member; its head is broken after {@link #STALL_NANOS}. */
   private void stall(SimulatedNode member) {
     if (member.group == null) {
       return;
@@ -424,7 +427,7 @@
     }
   }
 
-  /** Groups whose heads are open and whose members are all alive and in place. */
+  /** Counts the groups whose heads are open and whose members are all alive and in the group. */
   int serving(String model) {
     int serving = 0;
     for (SimulatedNode head : byId.values()) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/StallEvidenceTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/StallEvidenceTest.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which heads are held to be standing still, by the word of near and far daemons. */
+/** Which heads are confirmed as stalled by daemons of the same and of other data centres. */
 class StallEvidenceTest {
 
   private static final long MILLI = 1_000_000L;
@@ -33,44 +33,44 @@
   }
 
   @Test
-  void twoDaemonsOfWhichOneIsNearAreBelievedAtOnce() {
+  void twoDaemonsConfirmAtOnceIfOneIsLocal() {
     assertThat(at(0, BOTH, suspects("north"), suspects("south"))).containsExactly("h@3");
   }
 
   @Test
-  void oneNearDaemonIsBelievedAfterAWhile() {
+  void oneLocalDaemonConfirmsAfterADelay() {
     assertThat(at(0, BOTH, suspects("north"), busy("south"))).isEmpty();
     assertThat(at(300, BOTH, suspects("north"), busy("south"))).containsExactly("h@3");
   }
 
   @Test
-  void headsBehindACutAreNotHeldToBeDead() {
+  void headsBehindANetworkPartitionAreNotConfirmedAsStalled() {
     Set<String> own = Set.of("south");
     assertThat(at(0, own, suspects("south"), suspects("south"))).isEmpty();
     assertThat(at(3_000, own, suspects("south"), suspects("south"))).isEmpty();
   }
 
   @Test
-  void afterACutTheDaemonsBesideTheHeadOutweighOldSuspicionsFromAfar() {
+  void localDaemonsOutweighRemoteSuspicionsAfterANetworkPartition() {
     assertThat(at(0, BOTH, suspects("south"), suspects("south"), busy("north"))).isEmpty();
     assertThat(at(2_000, BOTH, suspects("south"), suspects("south"), busy("north"))).isEmpty();
   }
 
   @Test
-  void farDaemonsAreBelievedWhereNoNearOneHasWorkAtTheHead() {
+  void remoteDaemonsConfirmIfNoLocalOneHasRequestsAtTheHead() {
     assertThat(at(0, BOTH, suspects("south"), idle("north"))).isEmpty();
     assertThat(at(600, BOTH, suspects("south"), idle("north"))).containsExactly("h@3");
   }
 
   @Test
-  void aSuspicionThatEndedBeginsAnew() {
+  void aSuspicionThatEndedStartsOver() {
     at(0, BOTH, suspects("north"));
     at(200, BOTH, busy("north"));
     assertThat(at(400, BOTH, suspects("north"))).isEmpty();
   }
 
   @Test
-  void withoutTheSwitchAllDaemonsCountAlike() {
+  void allDaemonsCountAlikeWhenThePolicyIsOff() {
     StallEvidence plain = new StallEvidence(false);
     List<StallEvidence.Observation> witnesses = List.of(suspects("south"), suspects("south"));
     assertThat(plain.confirmed(witnesses, HEADS, Set.of("south"), 0)).containsExactly("h@3");
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/VanishedNodesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/VanishedNodesTest.java
@@ -7,7 +7,7 @@
 import org.fawnvale.serving.core.model.Node;
 import org.junit.jupiter.api.Test;
 
-/** Entries that vanish while the store is in trouble, and otherwise. */
+/** Entries that vanish while the store fails, and while it is healthy. */
 class VanishedNodesTest {
 
   private static final long MILLI = 1_000_000L;
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void anEntryThatVanishesInTroubleIsHeldForAWhile() {
+  void aVanishedEntryIsRetainedWhileItMayComeBack() {
     listed(false, 0, NODE);
     assertThat(listed(true, 100)).containsExactly(NODE);
     assertThat(listed(true, 1_600)).containsExactly(NODE);
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void itIsNotHeldAnyLongerOnceEntriesCannotComeBack() {
+  void aVanishedEntryIsDroppedOnceEntriesCannotComeBack() {
     listed(false, 0, NODE);
     assertThat(listed(true, 100)).containsExactly(NODE);
     assertThat(listed(false, 150)).isEmpty();
@@ -37,13 +37,13 @@
   }
 
   @Test
-  void anEntryThatVanishesFromASoundStoreIsGone() {
+  void anEntryThatVanishesFromAHealthyStoreIsNotRetained() {
     listed(false, 0, NODE);
     assertThat(listed(false, 100)).isEmpty();
   }
 
   @Test
-  void anEntryThatComesBackIsTakenAsItIs() {
+  void aReappearedEntryReplacesTheRetainedOne() {
     listed(false, 0, NODE);
     listed(true, 100);
     Node changed = MixPlannerTest.node("a", "d", "small");
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void aNodeThatLeavesIsNotHeld() {
+  void aDrainingNodeIsNotRetained() {
     listed(false, 0, NODE.asDraining());
     assertThat(listed(true, 100)).isEmpty();
   }
