--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Dissolver.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Dissolver.java
@@ -110,8 +110,8 @@
     // A delayed join or another leader may have formed the group again.
     released.removeIf(groups::containsKey);
     for (Dissolution dissolution : List.copyOf(dissolutions.values())) {
-      boolean over = isReleased(dissolution, now) && !groups.containsKey(dissolution.key);
-      if (over) {
+      boolean completed = isReleased(dissolution, now) && !groups.containsKey(dissolution.key);
+      if (completed) {
         dissolutions.remove(dissolution.key);
         released.add(dissolution.key);
       }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/DrainingMembers.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/DrainingMembers.java
@@ -7,8 +7,8 @@
 final class DrainingMembers {
 
   /**
-   * How long a group may serve with a draining member. A member serves on for at least two seconds
-   * after it has started to drain, and the list lags by up to one.
+   * How long a group may serve with a draining member. A member keeps serving for at least two
+   * seconds after it has started to drain, and the list lags by up to one.
    */
   private static final long TIMEOUT_NANOS = 1_500_000_000L;
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -233,7 +233,7 @@
 
   /**
    * Dissolves a group with a draining member, unless many groups are being dissolved already. A
-   * draining member serves on for a while, so the group can wait until others are formed again.
+   * draining member keeps serving for a while, so the group can wait until others are formed again.
    */
   private void dissolveUnlessTooMany(ObservedGroup group, long now) {
     boolean tooMany = dissolver.pendingCount(now) >= 1 + groups.size() / GROUPS_PER_DISSOLUTION;
@@ -470,9 +470,9 @@
       Map<String, List<Node>> free, EngineSpec engine, Map<String, Integer> groupCounts, long now) {
     Set<String> taken = assembler.assignedNodes();
     for (List<Node> nodes : free.values()) {
-      List<Node> left = nodes.stream().filter(node -> !taken.contains(node.id())).toList();
+      List<Node> remaining = nodes.stream().filter(node -> !taken.contains(node.id())).toList();
       FormationPolicy.Proposal proposal =
-          FormationPolicy.proposalForUnserved(left, engine, groupCounts);
+          FormationPolicy.proposalForUnserved(remaining, engine, groupCounts);
       if (proposal != null) {
         beginIfLoadsAllow(proposal, engine, groupCounts, now);
       }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LastModels.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LastModels.java
@@ -17,7 +17,7 @@
 public final class LastModels {
 
   private final Map<String, String> models = new HashMap<>();
-  private final Lives lives = new Lives();
+  private final Lives incarnations = new Lives();
 
   /**
    * Records the models that the entries show and fills in those that they no longer show.
@@ -26,7 +26,7 @@
    * @return the nodes; those without a model have that of their last group
    */
   public Collection<Node> complete(Collection<Node> nodes) {
-    models.keySet().removeAll(lives.learn(nodes));
+    models.keySet().removeAll(incarnations.learn(nodes));
     List<Node> completed = new ArrayList<>(nodes.size());
     Set<String> listed = new HashSet<>();
     for (Node node : nodes) {
@@ -40,7 +40,7 @@
       completed.add(restorable ? node.withGroup(last, node.staged(), node.membership()) : node);
     }
     models.keySet().retainAll(listed);
-    lives.retain(listed);
+    incarnations.retain(listed);
     return completed;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ObservedGroup.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ObservedGroup.java
@@ -79,7 +79,7 @@
 
   /**
    * Tells whether the head may receive requests. Another member may be draining, since draining
-   * members serve on for a while.
+   * members keep serving for a while.
    *
    * @return true when the head is listed and not draining, and no member is broken
    */
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
@@ -36,10 +36,10 @@
    * What was known of a node.
    *
    * @param known the node as it was known; null when its entry was gone
-   * @param listedAt the store position of its entry in the copy
+   * @param listedPosition the store position of its entry in the copy
    * @param sinceNanos when this daemon noticed the rollback
    */
-  private record Retained(@Nullable Node known, StorePlace listedAt, long sinceNanos) {}
+  private record Retained(@Nullable Node known, StorePlace listedPosition, long sinceNanos) {}
 
   /**
    * Records that the store was rolled back to a copy.
@@ -47,14 +47,14 @@
    * @param known the nodes that were listed before, by id
    * @param gone ids of nodes whose entries were gone before
    * @param listed the nodes that are listed now, by id
-   * @param places the store position of each listed entry, by id
+   * @param positions the store position of each listed entry, by id
    * @param nowNanos the monotonic time
    */
   public void storeRolledBack(
       Map<String, Node> known,
       Set<String> gone,
       Map<String, Node> listed,
-      Map<String, StorePlace> places,
+      Map<String, StorePlace> positions,
       long nowNanos) {
     Map<String, Retained> before = new HashMap<>(retained);
     retained.clear();
@@ -63,7 +63,7 @@
       Node last = lastKnown(earlier, known.get(node.id()));
       boolean wasGone = last == null && (earlier != null || gone.contains(node.id()));
       if (wasGone || last != null && isLater(last, node)) {
-        retained.put(node.id(), new Retained(last, places.get(node.id()), nowNanos));
+        retained.put(node.id(), new Retained(last, positions.get(node.id()), nowNanos));
       }
     }
   }
@@ -93,18 +93,18 @@
    * Replaces listed nodes by what was known of them.
    *
    * @param listed the nodes that are listed, by id
-   * @param places the store position of each listed entry, by id
+   * @param positions the store position of each listed entry, by id
    * @param answeredNanos the monotonic time of the store's last answer
    * @return the nodes to use
    */
   public Collection<Node> complete(
-      Map<String, Node> listed, Map<String, StorePlace> places, long answeredNanos) {
+      Map<String, Node> listed, Map<String, StorePlace> positions, long answeredNanos) {
     if (retained.isEmpty()) {
       return listed.values();
     }
     retained
         .entrySet()
-        .removeIf(entry -> isRewritten(entry.getValue(), places.get(entry.getKey())));
+        .removeIf(entry -> isRewritten(entry.getValue(), positions.get(entry.getKey())));
     retained.values().removeIf(entry -> hasOutlivedLapse(entry, answeredNanos));
     Collection<Node> completed = new ArrayList<>();
     for (Node node : listed.values()) {
@@ -117,8 +117,8 @@
     return completed;
   }
 
-  private static boolean isRewritten(Retained entry, @Nullable StorePlace place) {
-    return place == null || !place.equals(entry.listedAt());
+  private static boolean isRewritten(Retained entry, @Nullable StorePlace position) {
+    return position == null || !position.equals(entry.listedPosition());
   }
 
   /**
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StagingPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StagingPlanner.java
@@ -138,7 +138,7 @@
   }
 
   private static boolean isJoining(Node node) {
-    Membership place = node.membership();
-    return place != null && place.state() == MemberState.JOINING;
+    Membership membership = node.membership();
+    return membership != null && membership.state() == MemberState.JOINING;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StallEvidence.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StallEvidence.java
@@ -40,7 +40,7 @@
   /**
    * Creates the evidence of one leader.
    *
-   * @param cutsAreNoDeaths whether data centres are told apart; otherwise all observations count
+   * @param cutsAreNoDeaths whether data centres are distinguished; otherwise all observations count
    *     alike
    */
   public StallEvidence(boolean cutsAreNoDeaths) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/VanishedNodes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/VanishedNodes.java
@@ -9,8 +9,8 @@
 
 /**
  * Retains entries that vanish although their nodes live. Entries lapse while nodes can't write to
- * the store, and reappear within about two seconds after it has recovered. Meanwhile the nodes
- * serve on.
+ * the store, and reappear within about two seconds after it has recovered. Meanwhile the nodes keep
+ * serving.
  */
 public final class VanishedNodes {
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationSimulation.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationSimulation.java
@@ -132,12 +132,12 @@
   /**
    * The store rolls back to copies of some seconds ago.
    *
-   * @param keepsKnownState whether leaders use {@link RestoredNodes}; otherwise they take the list
-   *     as it is
+   * @param usesRestoredNodes whether leaders use {@link RestoredNodes}; otherwise they take the
+   *     list as it is
    */
-  FormationSimulation withRollbacks(long seed, boolean keepsKnownState) {
+  FormationSimulation withRollbacks(long seed, boolean usesRestoredNodes) {
     rollbackStore = new RollbackStore(new Random(seed));
-    keepsKnownState = keepsKnownState;
+    keepsKnownState = usesRestoredNodes;
     return this;
   }
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
@@ -24,7 +24,7 @@
   private final RestoredNodes restored = new RestoredNodes();
   private final Map<String, Node> known = new LinkedHashMap<>();
   private final Map<String, Node> listed = new LinkedHashMap<>();
-  private final Map<String, StorePlace> places = new LinkedHashMap<>();
+  private final Map<String, StorePlace> positions = new LinkedHashMap<>();
 
   private static Node node(String id, long started) {
     return new Node(
@@ -46,7 +46,7 @@
 
   private void list(Node node, long revision) {
     listed.put(node.id(), node);
-    places.put(node.id(), new StorePlace(new StoreEra(2), revision));
+    positions.put(node.id(), new StorePlace(new StoreEra(2), revision));
   }
 
   private void addKnown(Node node) {
@@ -54,11 +54,11 @@
   }
 
   private void rollBack(String... gone) {
-    restored.storeRolledBack(known, Set.of(gone), listed, places, 0);
+    restored.storeRolledBack(known, Set.of(gone), listed, positions, 0);
   }
 
   private Node shown(String id, long atNanos) {
-    return restored.complete(listed, places, atNanos).stream()
+    return restored.complete(listed, positions, atNanos).stream()
         .filter(node -> node.id().equals(id))
         .findAny()
         .orElse(null);
