--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/OfferedLoad.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/OfferedLoad.java
@@ -45,7 +45,7 @@
    * @param workMillis the time of one group that the request takes up, in milliseconds
    * @param nowNanos the steady time
    */
-  public void record(String model, double workMillis, long nowNanos) {
+  public void recordWork(String model, double workMillis, long nowNanos) {
     Decaying sum = models.computeIfAbsent(model, name -> new Decaying());
     sum.fade(nowNanos);
     sum.millis += workMillis;
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/demand/ModelDemandTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/demand/ModelDemandTest.java
@@ -51,7 +51,7 @@
   void steadyWorkIsToldAsTheGroupsThatItKeepsBusy() {
     OfferedLoad work = new OfferedLoad();
     for (int request = 0; request < 3_000; request++) {
-      work.record("large", 200, request * SECOND / 100);
+      work.recordWork("large", 200, request * SECOND / 100);
     }
     assertThat(work.busyGroups(30 * SECOND).get("large")).isCloseTo(20, within(0.5));
     assertThat(work.busyGroups(90 * SECOND).get("large")).isLessThan(0.1);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -332,7 +332,7 @@
         && model != null
         && demand.admissionClass() == DispatchRequest.AdmissionClass.FIRST) {
       double work = EngineTimes.workMillis(engine, model, request.size());
-      offeredWork.record(model.name(), work, request.receivedNanos());
+      offeredWork.recordWork(model.name(), work, request.receivedNanos());
     }
   }
 
