--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/CallerRetryDetector.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/CallerRetryDetector.java
@@ -6,101 +6,117 @@
 import java.util.TreeMap;
 
 /**
- * Tells callers that come back after a refusal from those that ask for the first time. Every try
- * has an id of its own, but where most callers of a route set the same deadline, the patience of
- * one that comes back has shrunk by the time that it has already waited.
+ * Detects requests of callers that were refused before and now retry. A retry carries a new request
+ * id, so it is recognised by its deadline: where most callers of a route set the same deadline, a
+ * retry has less time left by what its caller has already waited.
  *
- * <p>Where callers set deadlines of their own, one that comes back is known once it has less time
- * left than nearly all first tries of its route have. With the longest deadline as the measure, 63
- * in 100 first tries were taken for returns where deadlines are 15 in 100 apart: they were let in
- * to full upstreams, and the work that they asked for was not counted as asked for.
+ * <p>Where the deadlines of callers differ, a request counts as a retry when it has less time left
+ * than nearly all first attempts on its route. The shortest deadlines are the measure, not the
+ * longest ones: otherwise most first attempts would pass for retries, be admitted to full upstreams
+ * and be missing from the measured load.
  */
 public final class CallerRetryDetector {
 
-  /** Waiting and a new connection cost a caller that comes back 3 in 100 of its time at least. */
-  private static final double WHOLE = 0.97;
+  /**
+   * A request counts as a retry when it has less than this share of the usual deadline left. A
+   * caller that retries has spent at least 3% of its deadline on waiting and on a new connection.
+   */
+  private static final double MAX_RETRY_SHARE = 0.97;
 
   /**
-   * The least share of tries with the usual deadline, where it tells anything. With a third of all
-   * callers refused three quarters of the tries are first ones; of deadlines spread evenly over 30
-   * in 100 one in seven lies within any 4 in 100.
+   * The share of requests that has to have the most frequent deadline for it to count as the usual
+   * one. It is below the share of first attempts when a third of the callers are refused (three
+   * quarters), and far above the one in seven that evenly distributed deadlines reach.
    */
-  private static final double LEAST_USUAL = 0.5;
+  private static final double MIN_USUAL_SHARE = 0.5;
 
-  /** The relative width of a class of deadlines: the way to a daemon takes some milliseconds. */
-  private static final double CLASS_WIDTH = 0.02;
+  /**
+   * The relative width of a histogram bucket. It allows for the few milliseconds of network delay
+   * before the daemon receives a request.
+   */
+  private static final double BUCKET_WIDTH = 0.02;
 
-  /** The share of first tries that may be taken for returns where deadlines differ. */
-  private static final double SHORTEST = 0.02;
+  /** The share of first attempts that may be taken for retries where deadlines differ. */
+  private static final double MAX_MISTAKEN_SHARE = 0.02;
 
-  /** With fewer first tries of a route the shortest of them tell nothing. */
-  private static final int FEWEST_FIRST = 40;
+  /**
+   * The number of first attempts on a route below which their shortest deadlines are not
+   * significant.
+   */
+  private static final int MIN_FIRST_ATTEMPTS = 40;
 
   private final Map<String, Deadlines> routes = new HashMap<>();
 
-  /** The deadlines of first tries on one route, in classes of equal relative width. */
+  /**
+   * A histogram of the deadlines of first attempts on one route. Its buckets have equal relative
+   * width.
+   */
   private static final class Deadlines {
-    private final SortedMap<Integer, Integer> tries = new TreeMap<>();
+    private final SortedMap<Integer, Integer> attempts = new TreeMap<>();
     private int all;
 
     /**
-     * Takes a try in. One that has less time left than the shortest first tries is left out, so
-     * that many returns don't pass for short first tries; one below the usual deadline is not,
-     * since what seems to be the usual one after a few tries may be chance.
+     * Classifies a request and counts it. A request with less time left than the shortest first
+     * attempts is not counted, since many retries would otherwise lower that bound. A request below
+     * the usual deadline is counted, since the usual deadline is uncertain while few requests have
+     * been seen.
      */
-    boolean isReturn(long millis) {
-      int here = classOf(millis);
-      boolean isShort = here < shortest();
+    boolean isRetry(long millis) {
+      int bucket = bucketOf(millis);
+      boolean isShort = bucket < shortest();
       if (isShort && usual() == 0) {
         return true;
       }
-      tries.merge(here, 1, Integer::sum);
+      attempts.merge(bucket, 1, Integer::sum);
       all++;
-      return millis < WHOLE * usual();
+      return millis < MAX_RETRY_SHARE * usual();
     }
 
-    /** The usual deadline in milliseconds; 0 when callers have none in common. */
+    /** Returns the usual deadline in milliseconds; 0 when callers have no deadline in common. */
     private double usual() {
       int most = 0;
       int usual = 0;
-      for (Map.Entry<Integer, Integer> entry : tries.entrySet()) {
-        int withNext = entry.getValue() + tries.getOrDefault(entry.getKey() + 1, 0);
+      for (Map.Entry<Integer, Integer> entry : attempts.entrySet()) {
+        int withNext = entry.getValue() + attempts.getOrDefault(entry.getKey() + 1, 0);
         if (withNext > most) {
           most = withNext;
           usual = entry.getKey();
         }
       }
-      return most > LEAST_USUAL * all ? Math.exp((usual + 1) * CLASS_WIDTH) : 0;
+      return most > MIN_USUAL_SHARE * all ? Math.exp((usual + 1) * BUCKET_WIDTH) : 0;
     }
 
-    /** The class that nearly all first tries reach. */
+    /**
+     * Returns the bucket that all but the share {@link #MAX_MISTAKEN_SHARE} of the first attempts
+     * reach.
+     */
     private int shortest() {
-      if (all < FEWEST_FIRST) {
+      if (all < MIN_FIRST_ATTEMPTS) {
         return 0;
       }
       double below = 0;
-      for (Map.Entry<Integer, Integer> entry : tries.entrySet()) {
+      for (Map.Entry<Integer, Integer> entry : attempts.entrySet()) {
         below += entry.getValue();
-        if (below > SHORTEST * all) {
+        if (below > MAX_MISTAKEN_SHARE * all) {
           return entry.getKey();
         }
       }
       return 0;
     }
 
-    private static int classOf(long millis) {
-      return (int) Math.floor(Math.log(Math.max(1, millis)) / CLASS_WIDTH);
+    private static int bucketOf(long millis) {
+      return (int) Math.floor(Math.log(Math.max(1, millis)) / BUCKET_WIDTH);
     }
   }
 
   /**
-   * Takes a request in.
+   * Classifies a request and counts its deadline.
    *
    * @param route the name of its route
-   * @param patienceMillis how long its caller will wait from now on, in milliseconds
-   * @return true when its caller has most likely waited before
+   * @param remainingMillis how long its caller will wait from now on, in milliseconds
+   * @return true when its caller has most likely been refused before
    */
-  public boolean isRetry(String route, long patienceMillis) {
-    return routes.computeIfAbsent(route, name -> new Deadlines()).isReturn(patienceMillis);
+  public boolean isRetry(String route, long remainingMillis) {
+    return routes.computeIfAbsent(route, name -> new Deadlines()).isRetry(remainingMillis);
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Choice.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Choice.java
@@ -2,24 +2,27 @@
 
 import org.fawnvale.serving.core.model.Node;
 
-/** Where a request goes. */
+/** The outcome of choosing an upstream for a request. */
 public sealed interface Choice {
 
   /**
-   * To an upstream.
+   * Send the request to an upstream.
    *
    * @param node the upstream
-   * @param load its requests in flight relative to its slots, as this daemon estimates them
-   * @param needsPermit whether the owner of the upstream's limit has to give leave first
+   * @param load the requests in flight at the upstream relative to its slots, as this daemon
+   *     estimates them
+   * @param needsPermit whether the daemon that owns the upstream's rate limit has to permit the
+   *     request first
    */
   record Send(Node node, double load, boolean needsPermit) implements Choice {}
 
   /**
-   * Nowhere now.
+   * Send the request to no upstream for now.
    *
-   * @param reason why
-   * @param retryAfterNanos nanoseconds until the first upstream that rests may be asked again, or
-   *     has room within its limit; {@link UpstreamGate#NOW} when it is for neither
+   * @param reason why, as logged and reported to the caller
+   * @param retryAfterNanos nanoseconds until the first upstream ends its Retry-After pause or has
+   *     room within its rate limit; {@link UpstreamGate#NOW} when no upstream pauses or is at its
+   *     limit
    */
   record Refuse(String reason, long retryAfterNanos) implements Choice {}
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/DispatchRequest.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/DispatchRequest.java
@@ -1,24 +1,22 @@
 package org.fawnvale.serving.core.dispatch;
 
 /**
- * What a request asks of the dispatcher.
+ * What the dispatcher needs to know of a request in order to choose an upstream.
  *
- * @param service the service of its route
- * @param model the model that it names; empty for a plain service
- * @param admissionClass how strong its claim to a place is
+ * @param service the service that the route sends the request to
+ * @param model the model that the request names; empty for a plain service
+ * @param admissionClass how full an upstream may be and still take the request
  */
 public record DispatchRequest(String service, String model, AdmissionClass admissionClass) {
 
-  /** How strong the claim of a request to a place at an upstream is. */
+  /** Decides up to which load of an upstream a request is admitted. */
   public enum AdmissionClass {
-    /** The caller asks for the first time: it can still be told to come back. */
+    /** The caller's first attempt. The daemon may refuse it with a Retry-After. */
     FIRST(1.0),
     /**
-     * The caller was refused before, or an upstream has begun its answer: refused again, it is
-     * lost. A place behind as many others as there are slots comes within about a second, late but
-     * within its deadline. In a data centre that was cut off for 5.4 s 74 callers, seven in ten of
-     * all that were not served that day, were refused twice while its heads stood at 0.9 of their
-     * slots.
+     * The caller was refused before, or an upstream has already started to respond. A second
+     * refusal would fail the request, so it may queue behind as many requests as the upstream has
+     * slots: it is answered late, but usually within its deadline.
      */
     RETURNING(2.0);
 
@@ -29,7 +27,7 @@
     }
 
     /**
-     * The load from which on an upstream is full for such a request.
+     * Returns the load from which on an upstream is full for a request of this class.
      *
      * @return requests in flight relative to the upstream's slots
      */
@@ -38,27 +36,30 @@
     }
   }
 
-  /** Requests of a plain service that may wait for each of its slots. */
-  private static final double PLAIN_FULL_AT = 3.0;
+  /**
+   * The load from which on an upstream of a plain service is full: two requests wait for each slot.
+   * Plain services answer within tens of milliseconds, so requests that wait this long still meet
+   * their targets.
+   */
+  private static final double PLAIN_MAX_LOAD = 3.0;
 
   /**
-   * The load from which on an upstream is full for this request. Plain services answer within some
-   * twenty to ninety milliseconds: two that wait for each slot still are in time, by the sheets' 21
-   * ms of work for a target of 121 and 86 ms for 386. At the limit of engines 28 of 194 callers
-   * that were not served on a day with a cut were refused before an upstream of a plain service.
+   * Returns the load from which on an upstream is full for this request. Plain services admit more
+   * than engines, whatever the class of the request.
    *
    * @return requests in flight relative to the upstream's slots
    */
   public double maxLoad() {
     return model.isEmpty()
-        ? Math.max(PLAIN_FULL_AT, admissionClass.maxLoad())
+        ? Math.max(PLAIN_MAX_LOAD, admissionClass.maxLoad())
         : admissionClass.maxLoad();
   }
 
   /**
-   * The same demand with the claim of a request whose answer was begun elsewhere.
+   * Returns the same request in the class {@link AdmissionClass#RETURNING}, for a request that
+   * another upstream has already started to answer.
    *
-   * @return the demand
+   * @return the request
    */
   public DispatchRequest asReturning() {
     return new DispatchRequest(service, model, AdmissionClass.RETURNING);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
@@ -16,39 +16,51 @@
 import org.fawnvale.serving.core.model.IncarnationTracker;
 import org.fawnvale.serving.core.model.Node;
 
-/** Chooses the upstream of a request among those that serve, and keeps what was seen of each. */
+/**
+ * Chooses the upstream of a request among those that serve, and keeps what this daemon has observed
+ * of each. Not thread-safe.
+ */
 public final class Dispatcher {
 
+  /** Added to the load of an upstream in another data centre. */
   private static final double FOREIGN_DATA_CENTRE_COST = 0.15;
+
+  /** Multiplied by the recent share of failed requests and added to the load. */
   private static final double FAILURE_COST = 2.0;
 
-  /** More than any load that is let in: an upstream that others suspect is the last resort. */
+  /**
+   * Added for an upstream that other daemons suspect. It exceeds every admissible load, so that
+   * such an upstream is the last resort.
+   */
   private static final double SUSPICION_COST = 2.0;
 
   /**
-   * What an upstream without a rested connection costs more: less than one request in flight at a
-   * head of 15 slots (0.067), so that load goes first. A new connection takes a millisecond of the
-   * upstream and a round trip.
+   * Added for an upstream to which no idle connection exists: a new connection costs a round trip
+   * and processing time. It is less than one request in flight at a head of 15 slots (0.067), so
+   * that load takes precedence.
    */
   private static final double CONNECT_COST = 0.05;
 
   private static final String ANY_MODEL = "";
 
   /**
-   * With the better of two at random, an empty upstream is sent a few requests in a note's time.
+   * The smallest sample: the better of two random upstreams. It keeps daemons from all sending to
+   * an idle upstream between two peer messages.
    */
-  private static final int LEAST_SAMPLE = 2;
+  private static final int MIN_SAMPLE = 2;
 
-  /** How often all daemons together look at an upstream for each request of theirs. */
-  private static final int SAMPLES_IN_ALL = 3;
+  /**
+   * How many times all daemons together sample each upstream when each of them sends one request.
+   */
+  private static final int SAMPLES_PER_UPSTREAM = 3;
 
   private final String dataCentre;
   private final Map<String, UpstreamState> states = new HashMap<>();
   private final Map<Key, List<Node>> serving = new HashMap<>();
   private final IncarnationTracker incarnations = new IncarnationTracker();
   private Map<String, Integer> peersInFlight = Map.of();
-  private Predicate<String> reachable = anywhere -> true;
-  private Predicate<Endpoint> connected = nowhere -> false;
+  private Predicate<String> reachable = dataCentre -> true;
+  private Predicate<Endpoint> connected = endpoint -> false;
   private Set<String> reportedSuspects = Set.of();
   private Set<String> reportedRejecting = Set.of();
   private final Random random;
@@ -62,20 +74,20 @@
    * Creates a dispatcher.
    *
    * @param dataCentre the data centre whose upstreams are preferred
-   * @param gate tells which upstreams may be sent requests
-   * @param steadyNanos the steady time, in nanoseconds
+   * @param gate decides which upstreams accept requests
+   * @param steadyNanos the monotonic clock, in nanoseconds
    */
   public Dispatcher(String dataCentre, UpstreamGate gate, LongSupplier steadyNanos) {
     this(dataCentre, new Random(), gate, steadyNanos);
   }
 
   /**
-   * Creates a dispatcher whose draws are known.
+   * Creates a dispatcher with a given source of randomness.
    *
    * @param dataCentre the data centre whose upstreams are preferred
-   * @param random draws the upstreams that are looked at
-   * @param gate tells which upstreams may be sent requests
-   * @param steadyNanos the steady time, in nanoseconds
+   * @param random draws the sampled upstreams
+   * @param gate decides which upstreams accept requests
+   * @param steadyNanos the monotonic clock, in nanoseconds
    */
   Dispatcher(String dataCentre, Random random, UpstreamGate gate, LongSupplier steadyNanos) {
     this.dataCentre = dataCentre;
@@ -85,8 +97,8 @@
   }
 
   /**
-   * Replaces the upstreams that serve: heads of open groups, and nodes of plain services. What was
-   * seen of a former life of one is forgotten.
+   * Replaces the upstreams that serve: heads of open groups, and nodes of plain services. Discards
+   * what was observed of earlier incarnations.
    *
    * @param nodes the upstreams
    */
@@ -100,7 +112,7 @@
   }
 
   /**
-   * Replaces what the other daemons have in flight.
+   * Replaces the numbers of requests that the other daemons have in flight.
    *
    * @param inFlight requests by node id
    */
@@ -109,45 +121,46 @@
   }
 
   /**
-   * Tells which data centres can be reached.
+   * Sets which data centres can be reachableNodes.
    *
-   * @param test true for a data centre in sight
+   * @param test true for a data centre that can be reachableNodes
    */
   public void setReachable(Predicate<String> test) {
     reachable = test;
   }
 
   /**
-   * Tells where a connection rests that can be used again.
+   * Sets where an idle connection can be reused.
    *
-   * @param test true for an upstream's address with such a connection
+   * @param test true for the address of an upstream with such a connection
    */
   public void setConnected(Predicate<Endpoint> test) {
     connected = test;
   }
 
   /**
-   * Tells whether an upstream's data centre can be reached.
+   * Tells whether an upstream's data centre can be reachableNodes.
    *
    * @param node the upstream
-   * @return true when it is in sight
+   * @return true when it can be reachableNodes
    */
   public boolean isReachable(Node node) {
     return reachable.test(node.dataCentre());
   }
 
   /**
-   * Tells whether an upstream is of this daemon's data centre.
+   * Tells whether an upstream is in this daemon's data centre, so that no partition between data
+   * centres separates them.
    *
    * @param node the upstream
-   * @return true when no cut between data centres parts them
+   * @return true when it is in the same data centre
    */
   public boolean isLocal(Node node) {
     return node.dataCentre().equals(dataCentre);
   }
 
   /**
-   * Tells how many daemons send to the same upstreams.
+   * Sets how many daemons send to the same upstreams.
    *
    * @param count their number, this one included
    */
@@ -156,7 +169,7 @@
   }
 
   /**
-   * Replaces the upstreams that other daemons hold to be standing still.
+   * Replaces the upstreams that other daemons suspect of having stalled.
    *
    * @param nodeIds their ids
    */
@@ -165,9 +178,9 @@
   }
 
   /**
-   * Replaces the upstreams that turn requests of other daemons away, or rest for them. They are
-   * asked last: each of 78 daemons that sent two requests a second had to find out by itself, so
-   * that 3,113 of 7,918 tries were refused on a day on which 0.4 of the heads turned all away.
+   * Replaces the upstreams that reject requests of other daemons, or have asked them for a
+   * Retry-After pause. The dispatcher chooses them last, so that each daemon need not find out by
+   * rejected requests of its own.
    *
    * @param nodeIds their ids
    */
@@ -176,27 +189,28 @@
   }
 
   /**
-   * Upstreams that turn requests of this daemon away again and again, or rest for it.
+   * Returns the upstreams that repeatedly reject requests of this daemon, or have asked it for a
+   * Retry-After pause.
    *
    * @return their ids
    */
   public List<String> rejecting() {
     long now = steadyNanos.getAsLong();
-    List<String> refusing = new ArrayList<>();
+    List<String> rejecting = new ArrayList<>();
     for (List<Node> nodes : serving.values()) {
       for (Node node : nodes) {
         UpstreamState state = states.get(node.id());
-        boolean refuses = state != null && state.isRejecting(now);
-        if (refuses || gate.isPaused(node.incarnation(), now)) {
-          refusing.add(node.id());
+        boolean rejects = state != null && state.isRejecting(now);
+        if (rejects || gate.isPaused(node.incarnation(), now)) {
+          rejecting.add(node.id());
         }
       }
     }
-    return refusing;
+    return rejecting;
   }
 
   /**
-   * What was seen of an upstream.
+   * Returns what this daemon has observed of an upstream.
    *
    * @param nodeId its id
    * @return its state, created when it is new
@@ -206,7 +220,7 @@
   }
 
   /**
-   * What was seen of all upstreams.
+   * Returns what this daemon has observed of all upstreams.
    *
    * @return the states by node id
    */
@@ -215,7 +229,7 @@
   }
 
   /**
-   * Forgets upstreams that are gone and have nothing in flight.
+   * Discards the states of upstreams that are gone and have nothing in flight.
    *
    * @param present the ids that are still listed
    */
@@ -227,24 +241,24 @@
   }
 
   /**
-   * Chooses an upstream. One whose limit another daemon spends is asked for last: each request
-   * there costs a question, and an upstream in need is spared where others serve.
+   * Chooses an upstream. Upstreams that reject requests, and those for which another daemon has to
+   * permit the request first, are used only when no other has room.
    *
-   * @param demand what the request asks for
-   * @param excluded upstreams that the request must not go to again
+   * @param request the request
+   * @param excluded ids of upstreams that the request must not be sent to again
    * @return the choice
    */
-  public Choice choose(DispatchRequest demand, Set<String> excluded) {
+  public Choice choose(DispatchRequest request, Set<String> excluded) {
     long now = steadyNanos.getAsLong();
-    List<Node> candidates = candidates(demand);
+    List<Node> candidates = candidates(request);
     List<Node> usable = new ArrayList<>();
     List<Node> accepting = new ArrayList<>();
     for (Node node : candidates) {
       UpstreamState state = state(node.id());
-      boolean mayGo = !excluded.contains(node.id()) && !state.isSuspect();
+      boolean permitted = !excluded.contains(node.id()) && !state.isSuspect();
       SharedLimits.Room room = gate.limits().room(node, now);
       boolean hasRoom = room != SharedLimits.Room.NONE;
-      if (mayGo && hasRoom && gate.acceptsRequests(node.incarnation(), now)) {
+      if (permitted && hasRoom && gate.acceptsRequests(node.incarnation(), now)) {
         usable.add(node);
         boolean accepts = !state.isBackedOff(now) && !reportedRejecting.contains(node.id());
         if (accepts && room != SharedLimits.Room.ASK) {
@@ -255,8 +269,8 @@
     if (usable.isEmpty()) {
       return refusal(candidates, now);
     }
-    Choice choice = choose(demand, accepting);
-    return choice instanceof Choice.Send ? choice : choose(demand, usable);
+    Choice choice = choose(request, accepting);
+    return choice instanceof Choice.Send ? choice : choose(request, usable);
   }
 
   private Choice refusal(List<Node> candidates, long now) {
@@ -264,18 +278,18 @@
     if (retryAfterNanos == UpstreamGate.NOW) {
       return new Choice.Refuse("no upstream serves", retryAfterNanos);
     }
-    boolean rests = candidates.stream().anyMatch(node -> gate.isPaused(node.incarnation(), now));
+    boolean paused = candidates.stream().anyMatch(node -> gate.isPaused(node.incarnation(), now));
     return new Choice.Refuse(
-        rests ? "every upstream rests or was tried" : "every upstream is at its limit",
+        paused ? "every upstream rests or was tried" : "every upstream is at its limit",
         retryAfterNanos);
   }
 
-  private Choice choose(DispatchRequest demand, List<Node> usable) {
+  private Choice choose(DispatchRequest request, List<Node> usable) {
     Node best = usable.isEmpty() ? null : cheapest(sample(usable));
-    if (best != null && load(best) >= demand.maxLoad()) {
+    if (best != null && load(best) >= request.maxLoad()) {
       best = cheapest(usable);
     }
-    if (best == null || load(best) >= demand.maxLoad()) {
+    if (best == null || load(best) >= request.maxLoad()) {
       return new Choice.Refuse("every upstream is full", UpstreamGate.NOW);
     }
     boolean needsPermit =
@@ -284,9 +298,9 @@
   }
 
   /**
-   * Some upstreams of the own data centre and some of the others, at random. All daemons see an
-   * upstream that has just begun to serve as empty; if each chose the emptiest, all would send to
-   * it at once, before the next notes tell of it.
+   * Draws some upstreams of this data centre and some of the others at random. An upstream that has
+   * just begun to serve looks idle to all daemons; without sampling all of them would send to it at
+   * once, before the next peer messages report its load.
    */
   private List<Node> sample(List<Node> usable) {
     List<Node> near = new ArrayList<>();
@@ -295,29 +309,27 @@
       List<Node> side = node.dataCentre().equals(dataCentre) ? near : far;
       side.add(node);
     }
-    List<Node> sample = new ArrayList<>(some(near));
-    sample.addAll(some(far));
+    List<Node> sample = new ArrayList<>(draw(near));
+    sample.addAll(draw(far));
     return sample;
   }
 
-  private List<Node> some(List<Node> nodes) {
-    int wanted = Math.max(LEAST_SAMPLE, SAMPLES_IN_ALL * nodes.size() / daemonCount);
+  private List<Node> draw(List<Node> nodes) {
+    int wanted = Math.max(MIN_SAMPLE, SAMPLES_PER_UPSTREAM * nodes.size() / daemonCount);
     if (nodes.size() <= wanted) {
       return nodes;
     }
     Collections.shuffle(nodes, random);
-    bringConnectedForward(nodes, wanted);
+    preferConnected(nodes, wanted);
     return nodes.subList(0, wanted);
   }
 
   /**
-   * Of the sample all but one are upstreams with a rested connection, as far as there are any. So
-   * each daemon keeps to a part of many heads while the one at random still finds the emptier ones:
-   * with 19 daemons before 14 heads, each sending 5.6 requests a second, connections that may rest
-   * for 3 s are opened for 0.20 of the requests instead of 0.40, at the same mean load of 0.40
-   * (ConnectionReuseTest).
+   * Moves upstreams with an idle connection into the sample, except for its first place, which
+   * stays random. Each daemon thus reuses its connections to a few of many heads, and the random
+   * place still finds heads with less load.
    */
-  private void bringConnectedForward(List<Node> nodes, int wanted) {
+  private void preferConnected(List<Node> nodes, int wanted) {
     int place = 1;
     for (int index = 1; index < nodes.size() && place < wanted; index++) {
       if (connected.test(nodes.get(index).endpoint())) {
@@ -331,18 +343,19 @@
     return Collections.min(nodes, Comparator.comparingDouble(this::cost));
   }
 
-  /** Upstreams that can be reached, or all of them when none can. */
-  private List<Node> candidates(DispatchRequest demand) {
-    List<Node> all = serving.getOrDefault(new Key(demand.service(), demand.model()), List.of());
-    List<Node> reached = all.stream().filter(node -> reachable.test(node.dataCentre())).toList();
-    return reached.isEmpty() ? all : reached;
+  /** Returns the upstreams that can be reachableNodes, or all of them when none can. */
+  private List<Node> candidates(DispatchRequest request) {
+    List<Node> all = serving.getOrDefault(new Key(request.service(), request.model()), List.of());
+    List<Node> reachableNodes =
+        all.stream().filter(node -> reachable.test(node.dataCentre())).toList();
+    return reachableNodes.isEmpty() ? all : reachableNodes;
   }
 
   /**
    * Estimates how full an upstream is.
    *
    * @param node the upstream
-   * @return requests in flight of all daemons relative to its slots
+   * @return the requests of all daemons in flight relative to its slots
    */
   public double load(Node node) {
     int own = state(node.id()).inFlight();
@@ -352,11 +365,11 @@
 
   private double cost(Node node) {
     double foreign = node.dataCentre().equals(dataCentre) ? 0 : FOREIGN_DATA_CENTRE_COST;
-    double suspicion = reportedSuspects.contains(node.id()) ? SUSPICION_COST : 0;
+    double suspected = reportedSuspects.contains(node.id()) ? SUSPICION_COST : 0;
     double connecting = connected.test(node.endpoint()) ? 0 : CONNECT_COST;
     return load(node)
         + foreign
-        + suspicion
+        + suspected
         + connecting
         + FAILURE_COST * state(node.id()).failureShare();
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/RetryBudget.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/RetryBudget.java
@@ -3,23 +3,30 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** This daemon's part of the repeats that all daemons together may send to a service. */
+/**
+ * Limits the retries that this daemon sends to one service, so that all daemons together stay
+ * within the configured ratio. Not thread-safe.
+ */
 public final class RetryBudget {
 
+  /**
+   * The part of the allowed retries that is used. The rest absorbs differences in what the daemons
+   * count.
+   */
   private static final double SAFETY = 0.8;
 
   private final double ratio;
   private final double slack;
   private final long windowNanos;
   private final Deque<Long> requests = new ArrayDeque<>();
-  private final Deque<Long> repeats = new ArrayDeque<>();
+  private final Deque<Long> retries = new ArrayDeque<>();
 
   /**
    * Creates a budget.
    *
-   * @param ratio repeats for each request
-   * @param slack repeats of all daemons beside those
-   * @param windowNanos the window they are counted in, in nanoseconds
+   * @param ratio retries allowed for each request
+   * @param slack retries that all daemons together may send in addition
+   * @param windowNanos the sliding window in which requests and retries are counted, in nanoseconds
    */
   public RetryBudget(double ratio, double slack, long windowNanos) {
     this.ratio = ratio;
@@ -30,41 +37,41 @@
   /**
    * Counts a request.
    *
-   * @param nowNanos the steady time
+   * @param nowNanos the monotonic time, in nanoseconds
    */
   public void recordRequest(long nowNanos) {
     requests.addLast(nowNanos);
-    forget(requests, nowNanos);
+    removeExpired(requests, nowNanos);
   }
 
   /**
-   * Takes one repeat if there is one left.
+   * Takes one retry from the budget.
    *
-   * @param daemons daemons that share the slack, this one included
-   * @param nowNanos the steady time
-   * @return true when the repeat may be sent
+   * @param daemons the daemons that share the slack, this one included
+   * @param nowNanos the monotonic time, in nanoseconds
+   * @return false when the budget is exhausted; the retry must not be sent then
    */
   public boolean tryTake(int daemons, long nowNanos) {
-    forget(requests, nowNanos);
-    forget(repeats, nowNanos);
+    removeExpired(requests, nowNanos);
+    removeExpired(retries, nowNanos);
     double allowed = SAFETY * (ratio * requests.size() + slack / Math.max(1, daemons));
-    if (repeats.size() + 1 > allowed) {
+    if (retries.size() + 1 > allowed) {
       return false;
     }
-    repeats.addLast(nowNanos);
+    retries.addLast(nowNanos);
     return true;
   }
 
   /**
-   * Repeats sent within the window.
+   * Returns the number of retries sent within the window, as of the last {@link #tryTake}.
    *
-   * @return their number
+   * @return retries
    */
   public int spent() {
-    return repeats.size();
+    return retries.size();
   }
 
-  private void forget(Deque<Long> times, long nowNanos) {
+  private void removeExpired(Deque<Long> times, long nowNanos) {
     while (!times.isEmpty() && nowNanos - times.peekFirst() > windowNanos) {
       times.removeFirst();
     }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/StallDetector.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/StallDetector.java
@@ -5,31 +5,31 @@
 import org.fawnvale.serving.core.model.ModelSpec;
 
 /**
- * Tells from the pauses of streams whether the group behind them stands still. The longest pause of
- * a group that moves is a pass that reads as many prompts as fit; a shorter patience, learned from
- * the pauses that occur, took groups apart that had just been given many prompts at once, as after
- * each loss elsewhere.
+ * Decides from the pauses of streams whether the group behind them has stalled. The timeout is the
+ * longest pause of a working group: one pass that prefills as many prompts as fit. A timeout learnt
+ * from observed pauses would be shorter and would dissolve groups that have just received many
+ * prompts, for example after the loss of another group.
  */
 public final class StallDetector {
 
-  /** Delays on the way, and a wake-up of a busy daemon, in milliseconds. */
+  /** Allowance for network delay and for the wake-up of a busy daemon, in milliseconds. */
   private static final double MARGIN_MILLIS = 40;
 
   private static final double NANOS_PER_MILLI = 1e6;
 
   /**
-   * How long a daemon that has started does not judge, in nanoseconds. Its code is not compiled yet
-   * and it reads events late: after a loss of power 78 daemons, busy with 750 requests that had
-   * waited for them, held 12 of 30 heads that moved to stand still.
+   * How long after its start a daemon does not judge upstreams, in nanoseconds. Until its code is
+   * compiled it reads events late and would suspect working heads, above all when many waiting
+   * requests arrive at once.
    */
   private static final long WARM_UP_NANOS = 3_000_000_000L;
 
   private StallDetector() {}
 
   /**
-   * Tells whether a daemon reads events soon enough to judge by their pauses.
+   * Tells whether a daemon reads events promptly enough to judge upstreams by their pauses.
    *
-   * @param ageNanos how long ago it has started
+   * @param ageNanos how long ago the daemon started, in nanoseconds
    * @return false shortly after its start
    */
   public static boolean isWarmedUp(long ageNanos) {
@@ -37,34 +37,35 @@
   }
 
   /**
-   * The longest pause in which a group that moves shows an event, in nanoseconds.
+   * Returns the longest pause between two events of a working group.
    *
-   * @param engine the arithmetic of the engines
+   * @param engine the performance parameters of the engines
    * @param model the group's model
    * @param inFlight requests of all daemons at the group
-   * @return the pause beyond which the group is suspect
+   * @return the pause in nanoseconds beyond which the group is suspect
    */
   public static long timeoutNanos(EngineSpec engine, ModelSpec model, int inFlight) {
-    int writers = Math.min(inFlight, engine.slots());
-    double pass = EngineTimes.passMillis(engine, model, writers);
-    double reading = EngineTimes.maxPrefillMillis(engine, model);
-    return (long) ((pass + reading + MARGIN_MILLIS) * NANOS_PER_MILLI);
+    int sequences = Math.min(inFlight, engine.slots());
+    double pass = EngineTimes.passMillis(engine, model, sequences);
+    double prefill = EngineTimes.maxPrefillMillis(engine, model);
+    return (long) ((pass + prefill + MARGIN_MILLIS) * NANOS_PER_MILLI);
   }
 
   /**
-   * Judges an upstream by streams that have begun there. A first event may take long at a head that
-   * many daemons have just sent to, so waiting for one counts only where others tell more.
+   * Judges an upstream by the streams that it has started. A daemon does not judge by a missing
+   * first event alone, since a head to which many daemons have just sent requests may take long for
+   * it; it does so only where there are other grounds for suspicion.
    *
-   * @param state what was seen of it
-   * @param timeoutNanos the longest silence of a group that moves
-   * @param doubted whether another daemon, with streams there, holds it to stand still, or it is
-   *     out of sight
-   * @param nowNanos the steady time
-   * @return true when requests are there and none has moved for too long
+   * @param state what this daemon has observed of the upstream
+   * @param timeoutNanos the longest pause of a working group, in nanoseconds
+   * @param suspectedElsewhere whether another daemon with streams there reports a stall, or the
+   *     upstream's data centre is unreachable
+   * @param nowNanos the monotonic time, in nanoseconds
+   * @return true when requests are in flight and no event has arrived within the timeout
    */
   public static boolean isStalled(
-      UpstreamState state, long timeoutNanos, boolean doubted, long nowNanos) {
-    boolean tells = state.streaming() > 0 || doubted && state.inFlight() > 0;
-    return tells && nowNanos - state.lastProgressNanos() > timeoutNanos;
+      UpstreamState state, long timeoutNanos, boolean suspectedElsewhere, long nowNanos) {
+    boolean isSignificant = state.streaming() > 0 || suspectedElsewhere && state.inFlight() > 0;
+    return isSignificant && nowNanos - state.lastProgressNanos() > timeoutNanos;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
@@ -11,38 +11,40 @@
 import org.fawnvale.serving.core.model.NodeResponse;
 
 /**
- * Whether this daemon may send anything to a node, by what the node's own answers asked for. A wish
- * holds for all requests, not for the one whose answer told it, and for one life of the node. What
- * other daemons were asked for is no wish to this one, but for the limits, which bind all together.
+ * Decides whether this daemon may send anything to a node, by the signals in the node's own
+ * responses: a Retry-After pause, an announcement that it is leaving, and its advertised limit. A
+ * signal applies to all requests, not only to the one whose response carried it, and to one
+ * incarnation of the node. Signals that other daemons received do not bind this one, except for
+ * limits, which all daemons share. Not thread-safe.
  */
 public final class UpstreamGate {
 
-  /** The answer to "when may this node be asked again" for one that may be asked now. */
+  /** The result of {@link #nanosUntilAvailable} when there is nothing to wait for. */
   public static final long NOW = 0;
 
   /**
-   * Bounds what is kept of nodes that are gone, in entries: more than the 10,000 nodes that the
-   * system is designed for.
+   * Bounds the incarnations that are remembered after their nodes are gone. It exceeds the 10,000
+   * nodes that the system is designed for.
    */
-  private static final int MOST_LIVES = 16_384;
+  private static final int MAX_INCARNATIONS = 16_384;
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
   private final SharedLimits limits;
-  private final Map<NodeIncarnation, Long> restEnds = new HashMap<>();
+  private final Map<NodeIncarnation, Long> pauseEnds = new HashMap<>();
   private final Set<NodeIncarnation> leaving = new LinkedHashSet<>();
 
   /**
    * Creates a gate.
    *
-   * @param limits the limits that nodes name, which bind all daemons together
+   * @param limits the limits that nodes advertise, shared by all daemons
    */
   public UpstreamGate(SharedLimits limits) {
     this.limits = limits;
   }
 
   /**
-   * The limits that nodes name.
+   * Returns the limits that nodes advertise.
    *
    * @return the limits
    */
@@ -50,131 +52,136 @@
     return limits;
   }
 
-  /** What an answer has brought. */
+  /** What a response changed in the state of the gate. */
   public enum Change {
-    /** Nothing that was not known. */
+    /** The response carried nothing that was not known. */
     NONE,
-    /** The node wants rest, from now on or for longer. */
+    /** The node asked for a Retry-After pause that ends later than the known one. */
     PAUSED,
-    /** The node has said for the first time that it leaves. */
+    /** The node announced for the first time that it is leaving. */
     LEAVING
   }
 
   /**
-   * Takes in what a node said with an answer.
+   * Records the signals of a response.
    *
-   * @param life the node's life
-   * @param said what it said
-   * @param nowNanos the steady time
-   * @return what was new
+   * @param incarnation the node that responded
+   * @param response the signals of its response
+   * @param nowNanos the monotonic time, in nanoseconds
+   * @return what changed
    */
-  public Change recordResponse(NodeIncarnation life, NodeResponse said, long nowNanos) {
-    boolean rests = said.retryAfterMillis() > 0 && rest(life, said.retryAfterMillis(), nowNanos);
-    if (said.leaving() && leaving.add(life)) {
-      forgetFirst(leaving);
+  public Change recordResponse(NodeIncarnation incarnation, NodeResponse response, long nowNanos) {
+    boolean paused =
+        response.retryAfterMillis() > 0
+            && pause(incarnation, response.retryAfterMillis(), nowNanos);
+    if (response.leaving() && leaving.add(incarnation)) {
+      evictFirst(leaving);
       return Change.LEAVING;
     }
-    return rests ? Change.PAUSED : Change.NONE;
+    return paused ? Change.PAUSED : Change.NONE;
   }
 
-  /** Of two wishes for rest the one that ends later holds. */
-  private boolean rest(NodeIncarnation life, long millis, long nowNanos) {
-    restEnds.values().removeIf(end -> end - nowNanos <= 0);
+  /** Starts or extends a pause. Of two pauses the one that ends later applies. */
+  private boolean pause(NodeIncarnation incarnation, long millis, long nowNanos) {
+    pauseEnds.values().removeIf(end -> end - nowNanos <= 0);
     long end = nowNanos + millis * NANOS_PER_MILLI;
-    Long before = restEnds.get(life);
+    Long before = pauseEnds.get(incarnation);
     if (before != null && before - end >= 0) {
       return false;
     }
-    restEnds.put(life, end);
-    forgetFirst(restEnds.keySet());
+    pauseEnds.put(incarnation, end);
+    evictFirst(pauseEnds.keySet());
     return true;
   }
 
-  private static void forgetFirst(Set<NodeIncarnation> lives) {
-    if (lives.size() > MOST_LIVES) {
-      lives.remove(lives.iterator().next());
+  private static void evictFirst(Set<NodeIncarnation> incarnations) {
+    if (incarnations.size() > MAX_INCARNATIONS) {
+      incarnations.remove(incarnations.iterator().next());
     }
   }
 
   /**
    * Tells whether a caller's request may be sent to a node.
    *
-   * @param life the node's life
-   * @param nowNanos the steady time
-   * @return false while it rests, and once it has said that it leaves
+   * @param incarnation the node
+   * @param nowNanos the monotonic time, in nanoseconds
+   * @return false during a Retry-After pause, and once the node has announced that it is leaving
    */
-  public boolean acceptsRequests(NodeIncarnation life, long nowNanos) {
-    return !isLeaving(life) && !isPaused(life, nowNanos);
+  public boolean acceptsRequests(NodeIncarnation incarnation, long nowNanos) {
+    return !isLeaving(incarnation) && !isPaused(incarnation, nowNanos);
   }
 
   /**
-   * Tells whether a node wants nothing at all from this daemon.
+   * Tells whether a node is within a Retry-After pause. This daemon sends it nothing then, not even
+   * messages of its own.
    *
-   * @param life the node's life
-   * @param nowNanos the steady time
-   * @return true while it rests
+   * @param incarnation the node
+   * @param nowNanos the monotonic time, in nanoseconds
+   * @return true during the pause
    */
-  public boolean isPaused(NodeIncarnation life, long nowNanos) {
-    Long end = restEnds.get(life);
+  public boolean isPaused(NodeIncarnation incarnation, long nowNanos) {
+    Long end = pauseEnds.get(incarnation);
     return end != null && end - nowNanos > 0;
   }
 
   /**
-   * Tells whether a node has said in an answer that it leaves.
+   * Tells whether a node has announced in a response that it is leaving.
    *
-   * @param life the node's life
+   * @param incarnation the node
    * @return true once it has
    */
-  public boolean isLeaving(NodeIncarnation life) {
-    return leaving.contains(life);
+  public boolean isLeaving(NodeIncarnation incarnation) {
+    return leaving.contains(incarnation);
   }
 
   /**
-   * Counts a caller's request that is about to be written.
+   * Checks a caller's request just before it is written and counts it against the node's limit.
    *
    * @param node the node
-   * @param nowNanos the steady time
-   * @return false when it may not be written: the node rests, leaves, or has no room in its limit
+   * @param nowNanos the monotonic time, in nanoseconds
+   * @return false when the request must not be written: the node is paused, is leaving, or has no
+   *     room within its limit
    */
   public boolean tryAcquire(Node node, long nowNanos) {
     return acceptsRequests(node.incarnation(), nowNanos) && limits.spend(node, nowNanos);
   }
 
   /**
-   * When the first of some nodes may be asked again.
+   * Returns when the first of some nodes accepts requests again.
    *
    * @param nodes the nodes
-   * @param nowNanos the steady time
-   * @return nanoseconds from now until the first rest ends or there is room within a limit; {@link
-   *     #NOW} when none of them rests or names a limit
+   * @param nowNanos the monotonic time, in nanoseconds
+   * @return nanoseconds from now until the first pause ends or there is room within a limit; {@link
+   *     #NOW} when no node is paused or at its limit
    */
   public long nanosUntilAvailable(Collection<Node> nodes, long nowNanos) {
     return nodes.stream()
         .filter(node -> !isLeaving(node.incarnation()))
-        .mapToLong(node -> nanosToEnd(node, nowNanos))
+        .mapToLong(node -> nanosUntilAvailable(node, nowNanos))
         .filter(nanos -> nanos != NOW)
         .min()
         .orElse(NOW);
   }
 
-  private long nanosToEnd(Node node, long nowNanos) {
-    long rest =
-        isPaused(node.incarnation(), nowNanos) ? restEnds.get(node.incarnation()) - nowNanos : NOW;
-    return Math.max(rest, limits.nanosToNext(node, nowNanos));
+  private long nanosUntilAvailable(Node node, long nowNanos) {
+    long pause =
+        isPaused(node.incarnation(), nowNanos) ? pauseEnds.get(node.incarnation()) - nowNanos : NOW;
+    return Math.max(pause, limits.nanosToNext(node, nowNanos));
   }
 
   /**
-   * How many nodes rest.
+   * Returns how many nodes are within a Retry-After pause.
    *
-   * @param nowNanos the steady time
+   * @param nowNanos the monotonic time, in nanoseconds
    * @return their number
    */
   public long pausedCount(long nowNanos) {
-    return restEnds.values().stream().filter(end -> end - nowNanos > 0).count();
+    return pauseEnds.values().stream().filter(end -> end - nowNanos > 0).count();
   }
 
   /**
-   * How many lives have said that they leave, as far as they are remembered.
+   * Returns how many incarnations have announced that they are leaving, as far as they are
+   * remembered.
    *
    * @return their number
    */
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamState.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamState.java
@@ -1,32 +1,40 @@
 package org.fawnvale.serving.core.dispatch;
 
-/** What one daemon has seen of one upstream through its own requests. */
+/**
+ * What one daemon has observed of one upstream through its own requests. Not thread-safe. All times
+ * are in nanoseconds of the monotonic clock.
+ */
 public final class UpstreamState {
 
+  /** The weight of the newest request in the moving average of failures. */
   private static final double FAILURE_WEIGHT = 0.3;
 
   /**
-   * The first pause after an upstream has turned a request away, in nanoseconds: a full head has a
-   * place again about this soon (25 events at 6 ms a step, 18 places).
+   * The first backoff after an upstream has rejected a request, in nanoseconds: about the time
+   * after which a full head completes a request and has a free slot.
    */
   private static final long FIRST_BACKOFF_NANOS = 100_000_000L;
 
   /**
-   * The shortest pause that other daemons are told of, in nanoseconds: the third turn in a row. A
-   * head that was full for a moment has a place again before a note of it arrives.
+   * The shortest backoff that this daemon reports to other daemons, in nanoseconds; the third
+   * rejection in a row reaches it. A head that was full only briefly has a free slot again before a
+   * report would arrive.
    */
-  private static final long TOLD_BACKOFF_NANOS = 4 * FIRST_BACKOFF_NANOS;
+  private static final long REPORTED_BACKOFF_NANOS = 4 * FIRST_BACKOFF_NANOS;
 
-  /** The longest pause: what a head that is well again is missed for at most. In nanoseconds. */
-  private static final long LONGEST_BACKOFF_NANOS = 2_000_000_000L;
+  /**
+   * The longest backoff, in nanoseconds. A head that has recovered stays unused for this long at
+   * most.
+   */
+  private static final long MAX_BACKOFF_NANOS = 2_000_000_000L;
 
   private int inFlight;
   private int streaming;
   private long lastProgressNanos;
-  private long lastMovedNanos;
+  private long lastResponseNanos;
   private long suspectSinceNanos;
   private boolean suspect;
-  private boolean everMoved;
+  private boolean hasResponded;
   private double failureShare;
   private long backoffNanos;
   private long backedOffUntilNanos;
@@ -34,7 +42,7 @@
   /**
    * Counts a request that was sent.
    *
-   * @param nowNanos the steady time
+   * @param nowNanos the monotonic time
    */
   public void requestSent(long nowNanos) {
     if (inFlight == 0) {
@@ -43,7 +51,7 @@
     inFlight++;
   }
 
-  /** Counts a request whose answer has begun. */
+  /** Counts a request whose response has started to arrive. */
   public void responseStarted() {
     streaming++;
   }
@@ -51,74 +59,74 @@
   /**
    * Counts the end of a request.
    *
-   * @param hadBegun whether its answer had begun
+   * @param hadStarted whether its response had started to arrive
    * @param failed whether the upstream failed
    */
-  public void requestEnded(boolean hadBegun, boolean failed) {
+  public void requestEnded(boolean hadStarted, boolean failed) {
     inFlight--;
-    if (hadBegun) {
+    if (hadStarted) {
       streaming--;
     }
     failureShare += FAILURE_WEIGHT * ((failed ? 1 : 0) - failureShare);
   }
 
   /**
-   * Counts a request that was turned away. An upstream that turns away answers at once and has
-   * nothing in flight, so by its load it would be chosen first: six of fourteen heads that turned
-   * all away drew 353 of 478 first tries. The pause doubles with each turn after the last one.
+   * Starts a backoff after the upstream has rejected a request. Without it, an upstream that
+   * rejects everything would look idle and attract most requests. The backoff doubles with each
+   * rejection after the previous one has ended; rejections during a backoff change nothing.
    *
-   * @param nowNanos the steady time
+   * @param nowNanos the monotonic time
    */
   public void requestRejected(long nowNanos) {
     if (isBackedOff(nowNanos)) {
       return;
     }
     backoffNanos =
-        backoffNanos == 0 ? FIRST_BACKOFF_NANOS : Math.min(LONGEST_BACKOFF_NANOS, 2 * backoffNanos);
+        backoffNanos == 0 ? FIRST_BACKOFF_NANOS : Math.min(MAX_BACKOFF_NANOS, 2 * backoffNanos);
     backedOffUntilNanos = nowNanos + backoffNanos;
   }
 
-  /** Counts a request that the upstream has taken. */
+  /** Ends the backoff, since the upstream has accepted a request. */
   public void requestAccepted() {
     backoffNanos = 0;
   }
 
   /**
-   * Tells whether others should be asked first, since it has just turned a request away.
+   * Tells whether other upstreams are preferred because this one has just rejected a request.
    *
-   * @param nowNanos the steady time
-   * @return true during the pause
+   * @param nowNanos the monotonic time
+   * @return true during the backoff
    */
   public boolean isBackedOff(long nowNanos) {
     return backoffNanos > 0 && backedOffUntilNanos - nowNanos > 0;
   }
 
   /**
-   * Tells whether it turns requests away again and again.
+   * Tells whether the upstream has rejected requests repeatedly.
    *
-   * @param nowNanos the steady time
-   * @return true during a pause that other daemons should know of
+   * @param nowNanos the monotonic time
+   * @return true during a backoff that is long enough to be reported to other daemons
    */
   public boolean isRejecting(long nowNanos) {
-    return backoffNanos >= TOLD_BACKOFF_NANOS && isBackedOff(nowNanos);
+    return backoffNanos >= REPORTED_BACKOFF_NANOS && isBackedOff(nowNanos);
   }
 
   /**
-   * Notes that the upstream has moved: any event or answer.
+   * Records that any event or response has arrived from the upstream, and clears a suspicion.
    *
-   * @param nowNanos the steady time
+   * @param nowNanos the monotonic time
    */
   public void recordProgress(long nowNanos) {
-    lastMovedNanos = nowNanos;
-    everMoved = true;
+    lastResponseNanos = nowNanos;
+    hasResponded = true;
     lastProgressNanos = nowNanos;
     suspect = false;
   }
 
   /**
-   * Holds the upstream to be standing still.
+   * Marks the upstream as suspected of having stalled.
    *
-   * @param nowNanos the steady time
+   * @param nowNanos the monotonic time
    */
   public void markSuspect(long nowNanos) {
     if (!suspect) {
@@ -127,13 +135,13 @@
     }
   }
 
-  /** Trusts the upstream again. */
+  /** Clears a suspicion. */
   public void clearSuspicion() {
     suspect = false;
   }
 
   /**
-   * Requests of this daemon that are at the upstream.
+   * Returns the requests of this daemon that are in flight at the upstream.
    *
    * @return their number
    */
@@ -142,7 +150,7 @@
   }
 
   /**
-   * Requests of this daemon whose answers have begun there.
+   * Returns the requests of this daemon whose responses have started to arrive.
    *
    * @return their number
    */
@@ -151,27 +159,29 @@
   }
 
   /**
-   * Tells whether an event or an answer came from the upstream a moment ago.
+   * Tells whether an event or a response has arrived from the upstream recently, which proves that
+   * it could be reached.
    *
-   * @param withinNanos how long ago at most
-   * @param nowNanos the steady time
-   * @return true when it surely could be reached then
+   * @param withinNanos the longest time since then, in nanoseconds
+   * @param nowNanos the monotonic time
+   * @return true when one has arrived within that time
    */
   public boolean progressedWithin(long withinNanos, long nowNanos) {
-    return everMoved && nowNanos - lastMovedNanos < withinNanos;
+    return hasResponded && nowNanos - lastResponseNanos < withinNanos;
   }
 
   /**
-   * When the upstream last moved, or was sent its first request after a rest.
+   * Returns when the upstream last made progress, or was sent a request while it had none in
+   * flight.
    *
-   * @return the steady time, in nanoseconds
+   * @return the monotonic time
    */
   public long lastProgressNanos() {
     return lastProgressNanos;
   }
 
   /**
-   * Tells whether it is held to be standing still.
+   * Tells whether the upstream is suspected of having stalled.
    *
    * @return true while it is suspect
    */
@@ -180,16 +190,16 @@
   }
 
   /**
-   * Since when it is suspect.
+   * Returns since when the upstream has been suspect.
    *
-   * @return the steady time, in nanoseconds
+   * @return the monotonic time
    */
   public long suspectSinceNanos() {
     return suspectSinceNanos;
   }
 
   /**
-   * The recent share of failed requests.
+   * Returns the moving average of the share of failed requests.
    *
    * @return 0 to 1
    */
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/package-info.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Choice of an upstream for a request, what upstreams ask for, evidence about heads, retry budget.
+ * Choice of an upstream for a request, signals of upstreams, stall detection and the retry budget.
  */
 @NullMarked
 package org.fawnvale.serving.core.dispatch;
