--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/EngineTimes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/EngineTimes.java
@@ -4,7 +4,7 @@
 import org.fawnvale.serving.core.model.ModelSpec;
 import org.fawnvale.serving.core.model.RequestSize;
 
-/** Times of a group of engines, by the arithmetic that the configuration publishes. */
+/** Computes times of a group of engines from the published performance parameters. */
 public final class EngineTimes {
 
   private static final double MILLIS_PER_SECOND = 1_000;
@@ -13,22 +13,22 @@
   private EngineTimes() {}
 
   /**
-   * The time of a pass that reads no prompt; each stream gets one event in it.
+   * Returns the duration of a pass without prefill, in which each stream gets one event.
    *
-   * @param engine the arithmetic
+   * @param engine the performance parameters
    * @param model the group's model
-   * @param writers requests that write
+   * @param sequences requests that are decoding
    * @return milliseconds
    */
-  public static double passMillis(EngineSpec engine, ModelSpec model, double writers) {
-    double step = engine.stepMillis() + engine.perSequenceMillis() * writers;
+  public static double passMillis(EngineSpec engine, ModelSpec model, double sequences) {
+    double step = engine.stepMillis() + engine.perSequenceMillis() * sequences;
     return step * engine.stride() * model.timeFactor();
   }
 
   /**
-   * The longest time that a pass reads prompts beside its writers.
+   * Returns the longest time that prefill adds to a pass.
    *
-   * @param engine the arithmetic
+   * @param engine the performance parameters
    * @param model the group's model
    * @return milliseconds
    */
@@ -44,11 +44,11 @@
   }
 
   /**
-   * The time that reading a prompt takes.
+   * Returns the time to prefill a prompt.
    *
-   * @param engine the arithmetic
+   * @param engine the performance parameters
    * @param model the group's model
-   * @param promptTokens the length of the prompt
+   * @param promptTokens the length of the prompt, in tokens
    * @return milliseconds
    */
   public static double prefillMillis(EngineSpec engine, ModelSpec model, int promptTokens) {
@@ -57,12 +57,12 @@
   }
 
   /**
-   * The time of a group that a request takes up, with its share of the steps of a full batch. Work
-   * that fills this time is all that a group can bear.
+   * Returns the group time that a request occupies: its prefill, and its share of the steps of a
+   * full batch. A group is saturated when the work of its requests fills its time.
    *
-   * @param engine the arithmetic
+   * @param engine the performance parameters
    * @param model the group's model
-   * @param size the request's size; the usual one when it is unknown
+   * @param size the request's size; an unknown one counts as {@link EngineSpec#typicalRequest}
    * @return milliseconds of one group
    */
   public static double workMillis(EngineSpec engine, ModelSpec model, RequestSize size) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/ModelDemand.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/ModelDemand.java
@@ -6,25 +6,35 @@
 import org.fawnvale.serving.core.model.ModelSpec;
 
 /**
- * How much of the fleet each model needs, relative to the others. All nodes together count as one.
+ * How much of the fleet each model needs, relative to the other models. All nodes together count as
+ * one.
  *
  * @param groups by model, the groups that it keeps busy, relative to one node
- * @param confidence how far it was observed: 0 when it is declared only, towards 1 with the time
+ * @param confidence how far the demand was observed: 0 when it is only declared, approaching 1 with
+ *     time
  * @param busyNodes the nodes that all models together keep busy; 0 when that is not known
  */
 public record ModelDemand(Map<String, Double> groups, double confidence, double busyNodes) {
 
-  /** Seconds of traffic after which what was observed outweighs what was declared. */
-  private static final double TRUST_SECONDS = 3;
+  /**
+   * The time constant with which observed demand replaces declared demand, in seconds of traffic.
+   */
+  private static final double CONFIDENCE_SECONDS = 3;
 
-  /** What is left of a declared share when nobody asks for the model: it may be asked for soon. */
-  private static final double LEAST_OF_DECLARED = 0.05;
+  /**
+   * The least demand that is assumed for a model without requests, since callers may request it at
+   * any time: a part of its declared demand. Also the least declared share.
+   */
+  private static final double MIN_DECLARED_SHARE = 0.05;
 
-  /** The least trust in which groups that serve are taken apart: two seconds of traffic. */
-  private static final double LEAST_TRUST = 0.48;
+  /**
+   * The confidence from which on serving groups may be dissolved, reached after two seconds of
+   * traffic.
+   */
+  private static final double MIN_CONFIDENCE = 0.48;
 
   /**
-   * A demand that is known for certain.
+   * Creates a demand that is certain.
    *
    * @param groups by model, the groups that it keeps busy, relative to one node
    */
@@ -33,34 +43,35 @@
   }
 
   /**
-   * Tells whether callers have shown for a while what they ask for.
+   * Tells whether the demand is based on enough observed traffic.
    *
    * @return false while the demand is mostly the declared one
    */
   public boolean isObserved() {
-    return confidence >= LEAST_TRUST;
+    return confidence >= MIN_CONFIDENCE;
   }
 
   /**
-   * The demand that the configuration declares: shares of the work are shares of the nodes.
+   * Returns the demand that the configuration declares: shares of the work are shares of the nodes.
    *
-   * @param engine the arithmetic of the engines
+   * @param engine the performance parameters of the engines
    * @return the demand
    */
   public static ModelDemand declared(EngineSpec engine) {
     Map<String, Double> groups = new HashMap<>();
     for (ModelSpec model : engine.models()) {
-      groups.put(model.name(), Math.max(model.share(), LEAST_OF_DECLARED) / model.size());
+      groups.put(model.name(), Math.max(model.share(), MIN_DECLARED_SHARE) / model.size());
     }
     return new ModelDemand(groups, 0, 0);
   }
 
   /**
-   * The demand that was observed, mixed with the declared one while traffic is young.
+   * Returns the observed demand, mixed with the declared one while little traffic has been
+   * observed.
    *
-   * @param engine the arithmetic of the engines
+   * @param engine the performance parameters of the engines
    * @param busy by model, how many groups the observed work would keep busy
-   * @param seconds how long traffic was observed, in seconds
+   * @param seconds how long traffic has been observed, in seconds
    * @return the demand
    */
   public static ModelDemand observed(EngineSpec engine, Map<String, Double> busy, double seconds) {
@@ -72,19 +83,19 @@
     if (nodes <= 0 || seconds <= 0) {
       return declared;
     }
-    double confidence = 1 - Math.exp(-seconds / TRUST_SECONDS);
+    double confidence = 1 - Math.exp(-seconds / CONFIDENCE_SECONDS);
     Map<String, Double> groups = new HashMap<>();
     for (ModelSpec model : engine.models()) {
-      double before = declared.of(model);
-      double seen = busy.getOrDefault(model.name(), 0.0) / nodes;
-      double mixed = (1 - confidence) * before + confidence * seen;
-      groups.put(model.name(), Math.max(mixed, LEAST_OF_DECLARED * before));
+      double declaredGroups = declared.of(model);
+      double observedGroups = busy.getOrDefault(model.name(), 0.0) / nodes;
+      double mixed = (1 - confidence) * declaredGroups + confidence * observedGroups;
+      groups.put(model.name(), Math.max(mixed, MIN_DECLARED_SHARE * declaredGroups));
     }
-    return new ModelDemand(groups, confidence, nodes / OfferedLoad.remembered(seconds));
+    return new ModelDemand(groups, confidence, nodes / OfferedLoad.weightAfter(seconds));
   }
 
   /**
-   * The demand for one model.
+   * Returns the demand for one model.
    *
    * @param model the model
    * @return the groups that it keeps busy, relative to one node
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/OfferedLoad.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/OfferedLoad.java
@@ -3,66 +3,69 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The work that callers lately asked of each model, whether or not it was let in. */
+/**
+ * The work that callers have recently requested from each model, whether or not it was admitted, as
+ * an exponentially decaying sum. Not thread-safe.
+ */
 public final class OfferedLoad {
 
   /**
-   * How long work is remembered, in nanoseconds. Traffic jumps within a second; six of them hold
-   * the noise of some dozen requests a second, of very different sizes, below a tenth.
+   * The time constant of the decay, in nanoseconds. Traffic changes within a second; six seconds
+   * keep the noise of some dozen requests per second of very different sizes below a tenth.
    */
-  private static final double MEMORY_NANOS = 6e9;
+  private static final double DECAY_NANOS = 6e9;
 
   private static final double MILLIS_PER_SECOND = 1_000;
   private static final double NANOS_PER_SECOND = 1e9;
 
-  private final Map<String, Decaying> models = new HashMap<>();
+  private final Map<String, DecayingSum> models = new HashMap<>();
 
-  /** A sum that fades. */
-  private static final class Decaying {
+  /** An exponentially decaying sum of work. */
+  private static final class DecayingSum {
     double millis;
     long atNanos;
 
-    void fade(long nowNanos) {
-      millis *= Math.exp((atNanos - nowNanos) / MEMORY_NANOS);
+    void decay(long nowNanos) {
+      millis *= Math.exp((atNanos - nowNanos) / DECAY_NANOS);
       atNanos = nowNanos;
     }
   }
 
   /**
-   * The part of steady work that is told after a while: what was asked fades in as it fades out.
+   * Returns the part of steady work that the decaying sum shows some time after the first request.
    *
-   * @param seconds how long work was asked for, in seconds
-   * @return above 0, towards 1
+   * @param seconds the time since the first request, in seconds
+   * @return above 0, approaching 1
    */
-  static double remembered(double seconds) {
-    return 1 - Math.exp(-seconds * NANOS_PER_SECOND / MEMORY_NANOS);
+  static double weightAfter(double seconds) {
+    return 1 - Math.exp(-seconds * NANOS_PER_SECOND / DECAY_NANOS);
   }
 
   /**
-   * Takes in that a caller asked for the first time.
+   * Adds the work of a caller's first attempt.
    *
    * @param model the model
-   * @param workMillis the time of one group that the request takes up, in milliseconds
-   * @param nowNanos the steady time
+   * @param workMillis the time of one group that the request occupies, in milliseconds
+   * @param nowNanos the monotonic time, in nanoseconds
    */
   public void recordWork(String model, double workMillis, long nowNanos) {
-    Decaying sum = models.computeIfAbsent(model, name -> new Decaying());
-    sum.fade(nowNanos);
+    DecayingSum sum = models.computeIfAbsent(model, name -> new DecayingSum());
+    sum.decay(nowNanos);
     sum.millis += workMillis;
   }
 
   /**
-   * The work that is asked for now.
+   * Returns the current load as groups.
    *
-   * @param nowNanos the steady time
-   * @return by model, how many groups it would keep busy
+   * @param nowNanos the monotonic time, in nanoseconds
+   * @return by model, how many groups the requested work would keep busy
    */
   public Map<String, Double> busyGroups(long nowNanos) {
     Map<String, Double> rates = new HashMap<>();
     models.forEach(
         (model, sum) -> {
-          sum.fade(nowNanos);
-          rates.put(model, sum.millis / MILLIS_PER_SECOND / (MEMORY_NANOS / NANOS_PER_SECOND));
+          sum.decay(nowNanos);
+          rates.put(model, sum.millis / MILLIS_PER_SECOND / (DECAY_NANOS / NANOS_PER_SECOND));
         });
     return rates;
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/package-info.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/package-info.java
@@ -1,4 +1,4 @@
-/** What callers ask of the engines, and what that costs by the engines' arithmetic. */
+/** The work that callers request from the engines, and the engine time that it takes. */
 @NullMarked
 package org.fawnvale.serving.core.demand;
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/LikelyCause.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/LikelyCause.java
@@ -2,36 +2,39 @@
 
 import java.util.List;
 
-/** Why a request ended as it did, as far as the logs tell. */
+/** Why a request ended as it did, as far as the logs show. */
 public enum LikelyCause {
-  /** It was answered and its answer is whole. */
-  SERVED("It was answered whole."),
+  /** The request was answered completely. */
+  SERVED("The request was answered completely."),
   /** The caller closed its connection. */
-  CALLER_LEFT("The caller left before the answer was whole; nothing is wrong with the daemon."),
-  /** The request named no route or key that the configuration has. */
+  CALLER_DISCONNECTED(
+      "The caller disconnected before the answer was complete; the daemon is not at fault."),
+  /** The request named no route or key of the configuration. */
   NOT_ALLOWED("The configuration in force has no such route or key; compare its version."),
   /** Every upstream was full. */
   OVERLOAD("Every upstream was full. Look for groups of the model dissolved shortly before."),
-  /** The nodes are in need and take no more. */
-  AT_LIMITS("Every upstream was at the limit that it names. Look for outcome=named in limits."),
-  /** The nodes want to be left alone. */
-  RESTS("Every upstream rested by its own word. Look for outcome=rests in nodes."),
-  /** It was found to end nodes. */
-  BARRED("Nodes had ended under the same request. Search its fingerprint in all daemons' logs."),
+  /** Every upstream was at its advertised limit. */
+  AT_LIMITS("Every upstream was at its advertised limit. Look for outcome=named in limits."),
+  /** Every upstream was within a Retry-After pause or had been tried. */
+  PAUSED(
+      "Every upstream had asked for a pause or had been tried. Look for outcome=rests in nodes."),
+  /** The request was quarantined because nodes failed while running it. */
+  QUARANTINED(
+      "Nodes failed while running this request. Search its fingerprint in all daemons' logs."),
   /** No upstream served the model. */
   NO_UPSTREAM("No group of the model served. Look for why its groups were dissolved."),
   /** The daemon was stopping or had just started. */
-  DAEMON_STARTS_OR_STOPS("The daemon was stopping or knew no configuration yet."),
-  /** A group stood still under it. */
-  MEMBER_LOST("The group stood still, most likely since it lost a member."),
+  DAEMON_STARTING_OR_STOPPING("The daemon was stopping or had no configuration yet."),
+  /** The group that processed the request stalled. */
+  MEMBER_LOST("The group stalled, most likely because it lost a member."),
   /** The connection to the upstream broke. */
-  UPSTREAM_BROKE("The connection to the upstream broke after the request was sent."),
-  /** The time of the route or of the caller passed. */
-  OUT_OF_TIME("The time of the route or of the caller passed; compare load= where it was sent."),
-  /** The upstream itself answered with a failure. */
-  UPSTREAM_FAILED("The upstream itself answered with a failure."),
-  /** No line tells how it ended. */
-  UNKNOWN("No line tells how it ended; the daemon may have been killed, or dropped lines.");
+  CONNECTION_BROKEN("The connection to the upstream broke after the request was sent."),
+  /** The timeout of the route or the deadline of the caller passed. */
+  TIMED_OUT("The timeout of the route or caller passed; compare load= in the line with sent_to=."),
+  /** The upstream answered with an error of its own. */
+  UPSTREAM_FAILED("The upstream itself answered with an error."),
+  /** No log line shows how the request ended. */
+  UNKNOWN("No line shows how it ended; the daemon may have been killed or have dropped log lines.");
 
   private static final String OUTCOME = "outcome";
 
@@ -42,7 +45,7 @@
   }
 
   /**
-   * The cause in words, with where to look next.
+   * Returns the cause in words, with a hint where to look next.
    *
    * @return one or two sentences
    */
@@ -51,13 +54,12 @@
   }
 
   /**
-   * Judges a request's end.
+   * Determines the likely cause.
    *
    * @param own the lines that name the request, oldest first
-   * @param story those and the lines on its upstreams
-   * @return the likely cause
+   * @param timeline those lines and the ones on its upstreams
    */
-  static LikelyCause of(List<LogLine> own, List<LogLine> story) {
+  static LikelyCause of(List<LogLine> own, List<LogLine> timeline) {
     LogLine last = own.get(own.size() - 1);
     String status = last.value("status");
     String reason = last.value("reason");
@@ -67,22 +69,22 @@
     return switch (reason) {
       case "complete" -> SERVED;
       case "answered" -> status.startsWith("5") ? UPSTREAM_FAILED : SERVED;
-      case "caller left" -> CALLER_LEFT;
-      case "stopping", "no configuration yet" -> DAEMON_STARTS_OR_STOPS;
-      default -> ofFailure(status, reason, own, story);
+      case "caller left" -> CALLER_DISCONNECTED;
+      case "stopping", "no configuration yet" -> DAEMON_STARTING_OR_STOPPING;
+      default -> ofFailure(status, reason, own, timeline);
     };
   }
 
   private static LikelyCause ofFailure(
-      String status, String reason, List<LogLine> own, List<LogLine> story) {
+      String status, String reason, List<LogLine> own, List<LogLine> timeline) {
     if ("404".equals(status) || "401".equals(status)) {
       return NOT_ALLOWED;
     }
-    if (story.stream().anyMatch(line -> line.hasValue(OUTCOME, "stands_still"))) {
+    if (timeline.stream().anyMatch(line -> line.hasValue(OUTCOME, "stands_still"))) {
       return MEMBER_LOST;
     }
     if (own.stream().anyMatch(line -> line.value("failure") != null)) {
-      return UPSTREAM_BROKE;
+      return CONNECTION_BROKEN;
     }
     return ofReason(reason);
   }
@@ -90,14 +92,14 @@
   private static LikelyCause ofReason(String reason) {
     return switch (reason) {
       case "every upstream is at its limit" -> AT_LIMITS;
-      case "every upstream rests or was tried" -> RESTS;
-      case "ends the nodes that run it" -> BARRED;
-      case "timeout" -> OUT_OF_TIME;
-      default -> ofReasonInPart(reason);
+      case "every upstream rests or was tried" -> PAUSED;
+      case "ends the nodes that run it" -> QUARANTINED;
+      case "timeout" -> TIMED_OUT;
+      default -> ofReasonPrefix(reason);
     };
   }
 
-  private static LikelyCause ofReasonInPart(String reason) {
+  private static LikelyCause ofReasonPrefix(String reason) {
     if (reason.startsWith("no upstream")) {
       return NO_UPSTREAM;
     }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/LogLine.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/LogLine.java
@@ -5,26 +5,26 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One line that a daemon has logged.
+ * A line that a daemon has logged.
  *
- * @param time the time of day that it gives, as text that sorts by time
- * @param daemon where it was read: the file, and what stood before the line in it
- * @param component the part of the daemon that wrote it
+ * @param time the time of day as text that sorts chronologically
+ * @param daemon where the line was read: the file, and the text that precedes the line in it
+ * @param component the component of the daemon that logged it
  * @param message its message, {@code key=value} pairs
  */
 public record LogLine(String time, String daemon, String component, String message) {
 
-  private static final Pattern PAIR =
+  private static final Pattern KEY_VALUE =
       Pattern.compile("(?:^|\\s)([a-z_]+)=(.*?)(?=\\s+[a-z_]+=|$)", Pattern.DOTALL);
 
   /**
-   * Reads one of the message's values.
+   * Returns the value of a key in the message. A value extends to the next key.
    *
    * @param key the key
-   * @return the value; null when the message has none
+   * @return the first value; null when the message has none
    */
   public @Nullable String value(String key) {
-    Matcher pairs = PAIR.matcher(message);
+    Matcher pairs = KEY_VALUE.matcher(message);
     while (pairs.find()) {
       if (pairs.group(1).equals(key)) {
         return pairs.group(2);
@@ -34,13 +34,13 @@
   }
 
   /**
-   * Tells whether a value of the message is the given one.
+   * Tells whether the message has the given value for a key.
    *
    * @param key the key
-   * @param wanted the value
-   * @return true when it is
+   * @param expected the value
+   * @return true when it has
    */
-  public boolean hasValue(String key, String wanted) {
-    return wanted.equals(value(key));
+  public boolean hasValue(String key, String expected) {
+    return expected.equals(value(key));
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/LogSummary.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/LogSummary.java
@@ -14,28 +14,28 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the logs of all daemons tell of a stretch of time: for each span of it, how many groups of
- * each model served, how full they were when requests were sent to them, which first events came
- * late, and why callers were refused.
+ * Summarises the logs of all daemons by intervals of time: for each interval, how many groups of
+ * each model served, their load when requests were sent to them, late first events, and refusals by
+ * reason.
  *
- * @param spans the spans, oldest first
+ * @param spans the intervals, oldest first
  */
 public record LogSummary(List<Span> spans) {
 
-  /** Plain services, and groups whose beginning no line tells. */
+  /** Stands for plain services, and for groups whose start is not in the logs. */
   private static final String OTHER = "other";
 
   private static final double MEDIAN = 0.5;
-  private static final double HIGH = 0.9;
+  private static final double HIGH_QUANTILE = 0.9;
 
   /**
-   * One span.
+   * One interval. Its components are the keys of the JSON output.
    *
-   * @param from when it begins, as the logs write the time of day
-   * @param models what is told of each model
-   * @param refusals refused callers, by reason
-   * @param moved requests that were sent a second time, by any reason
-   * @param stalls heads that a daemon held to stand still
+   * @param from the time of day at which it begins, as in the logs
+   * @param models figures by model
+   * @param refusals numbers of refused requests by reason
+   * @param moved requests that were sent again, for any reason
+   * @param stalls numbers of reports that a head has stalled
    */
   public record Span(
       String from,
@@ -45,44 +45,45 @@
       int stalls) {}
 
   /**
-   * One model within a span.
+   * The figures of one model within an interval. Its components are the keys of the JSON output.
    *
-   * @param groups groups that serve at its end, as far as the logs tell
+   * @param groups groups that serve at the end of the interval, as far as the logs show
    * @param sent requests that were sent to its groups
-   * @param medianLoad the median load of the groups at sending; requests relative to slots
-   * @param highLoad the load that nine tenths of the sendings saw at most
-   * @param lateFirst first events that came late
+   * @param medianLoad the median load of the groups when requests were sent, as requests relative
+   *     to slots
+   * @param highLoad the 90th percentile of that load
+   * @param lateFirst first events that were late
    */
   public record ModelSpan(
       int groups, int sent, double medianLoad, double highLoad, int lateFirst) {}
 
   /**
-   * Sums lines up.
+   * Summarises lines.
    *
    * @param lines the lines of all daemons, in any order
-   * @param seconds the length of a span, in seconds
+   * @param seconds the length of an interval, in seconds
    * @return the summary
    */
   public static LogSummary of(List<LogLine> lines, int seconds) {
     List<LogLine> sorted = new ArrayList<>(lines);
     sorted.sort(Comparator.comparing(LogLine::time));
-    Reader reader = new Reader();
+    Collector collector = new Collector();
     List<Span> spans = new ArrayList<>();
-    long begun = Long.MIN_VALUE;
+    long start = Long.MIN_VALUE;
     for (LogLine line : sorted) {
       Long second = second(line.time());
       if (second == null) {
         continue;
       }
       long span = second / seconds * seconds;
-      if (span != begun && begun != Long.MIN_VALUE) {
-        spans.add(reader.span(begun));
+      if (span != start && start != Long.MIN_VALUE) {
+        spans.add(collector.span(start));
       }
-      begun = span;
-      reader.read(line);
+      start = span;
+      collector.add(line);
     }
-    if (begun != Long.MIN_VALUE) {
-      spans.add(reader.span(begun));
+    if (start != Long.MIN_VALUE) {
+      spans.add(collector.span(start));
     }
     return new LogSummary(List.copyOf(spans));
   }
@@ -91,13 +92,16 @@
     try {
       return (long) LocalTime.parse(time).toSecondOfDay();
     } catch (DateTimeParseException e) {
-      // A line of another program that looks like one of ours has no place in the table.
+      // The line is not from a daemon, although it resembles one.
       return null;
     }
   }
 
-  /** Gathers one span after the other; what is known of groups outlasts a span. */
-  private static final class Reader {
+  /**
+   * Collects the figures of one interval after the other. What is known of groups is kept across
+   * intervals.
+   */
+  private static final class Collector {
     private final Map<String, String> modelOfHead = new HashMap<>();
     private final Map<String, Set<String>> groups = new TreeMap<>();
     private final Map<String, List<Double>> loads = new TreeMap<>();
@@ -106,14 +110,14 @@
     private int moved;
     private int stalls;
 
-    void read(LogLine line) {
+    void add(LogLine line) {
       String group = firstWord(line.value("group"));
       if (group != null && line.message().contains(" serves model=")) {
         String model = String.valueOf(line.value("model"));
         modelOfHead.put(headOf(group), model);
         groups.computeIfAbsent(model, name -> new HashSet<>()).add(group);
       } else if (group != null && line.message().contains(" dissolved ")) {
-        groups.values().forEach(standing -> standing.remove(group));
+        groups.values().forEach(serving -> serving.remove(group));
       } else if (line.value("sent_to") != null) {
         sent(line);
       } else if (line.hasValue("status", "503") && line.value("reason") != null) {
@@ -139,7 +143,7 @@
       return modelOfHead.getOrDefault(head, OTHER);
     }
 
-    /** What follows a value up to the next key belongs to the sentence. */
+    /** Cuts off the free text after a value; {@link LogLine#value} extends to the next key. */
     private static @Nullable String firstWord(@Nullable String value) {
       return value == null ? null : value.split(" ", 2)[0];
     }
@@ -148,7 +152,7 @@
       return group.substring(group.indexOf('~') + 1);
     }
 
-    Span span(long begun) {
+    Span span(long start) {
       Set<String> names = new HashSet<>(groups.keySet());
       names.addAll(loads.keySet());
       names.addAll(late.keySet());
@@ -156,7 +160,7 @@
       names.forEach(name -> models.put(name, modelSpan(name)));
       Span span =
           new Span(
-              LocalTime.ofSecondOfDay(begun).toString(),
+              LocalTime.ofSecondOfDay(start).toString(),
               models,
               new TreeMap<>(refusals),
               moved,
@@ -170,13 +174,13 @@
     }
 
     private ModelSpan modelSpan(String name) {
-      List<Double> seen = new ArrayList<>(loads.getOrDefault(name, List.of()));
-      Collections.sort(seen);
+      List<Double> sorted = new ArrayList<>(loads.getOrDefault(name, List.of()));
+      Collections.sort(sorted);
       return new ModelSpan(
           groups.getOrDefault(name, Set.of()).size(),
-          seen.size(),
-          quantile(seen, MEDIAN),
-          quantile(seen, HIGH),
+          sorted.size(),
+          quantile(sorted, MEDIAN),
+          quantile(sorted, HIGH_QUANTILE),
           late.getOrDefault(name, 0));
     }
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/RequestTimeline.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/RequestTimeline.java
@@ -8,8 +8,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the logs of all daemons tell of one request: its own lines, and what was decided on the
- * nodes that it was sent to while it was under way or shortly before.
+ * The timeline of one request, from the logs of all daemons: the lines that name the request, and
+ * the lines on its upstreams from shortly before it arrived until it ended.
  *
  * @param id the request's id
  * @param lines the lines, oldest first
@@ -19,17 +19,17 @@
 
   private static final String REQUEST = "request";
   private static final String NODE = "node";
-  private static final String NONE = "null";
+  private static final String NULL_VALUE = "null";
 
-  /** Lines on the nodes that are told from before the request came. */
+  /** How many lines on its upstreams are shown from before the request arrived. */
   private static final int LINES_BEFORE = 6;
 
   /**
-   * Gathers the story of a request.
+   * Builds the timeline of a request.
    *
    * @param id the request's id
    * @param all the lines of all daemons, in any order
-   * @return the story; null when no line names the request
+   * @return the timeline; null when no line names the request
    */
   public static @Nullable RequestTimeline of(String id, List<LogLine> all) {
     List<LogLine> sorted = new ArrayList<>(all);
@@ -44,10 +44,10 @@
     List<LogLine> before = new ArrayList<>();
     List<LogLine> lines = new ArrayList<>();
     for (LogLine line : sorted) {
-      boolean about = line.value(REQUEST) == null && concerns(line, nodes);
-      if (about && line.time().compareTo(first) < 0) {
+      boolean concernsNode = line.value(REQUEST) == null && concerns(line, nodes);
+      if (concernsNode && line.time().compareTo(first) < 0) {
         before.add(line);
-      } else if (line.hasValue(REQUEST, id) || about && line.time().compareTo(last) <= 0) {
+      } else if (line.hasValue(REQUEST, id) || concernsNode && line.time().compareTo(last) <= 0) {
         lines.add(line);
       }
     }
@@ -65,12 +65,12 @@
   }
 
   private static void addNode(Set<String> nodes, @Nullable String node) {
-    if (node != null && !NONE.equals(node)) {
+    if (node != null && !NULL_VALUE.equals(node)) {
       nodes.add(node);
     }
   }
 
-  /** Lines on one of the nodes as a node, or on a group of which it is the head. */
+  /** Tells whether a line is about one of the nodes, or about a group whose head is one of them. */
   private static boolean concerns(LogLine line, Set<String> nodes) {
     String node = line.value(NODE);
     String group = line.value("group");
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/package-info.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/package-info.java
@@ -1,4 +1,4 @@
-/** The story of one request, told from the log lines of several daemons. */
+/** Analysis of the log lines of several daemons: timelines of requests and summaries of load. */
 @NullMarked
 package org.fawnvale.serving.core.explain;
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/AdvertisedLimit.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/AdvertisedLimit.java
@@ -1,55 +1,56 @@
 package org.fawnvale.serving.core.model;
 
 /**
- * A limit that a node names in an answer. It binds all daemons together.
+ * A rate limit that a node advertises in a response. It applies to all daemons together.
  *
- * @param perSecond the requests a second that the node takes from all daemons together; 0 or more
- * @param text the limit as the node wrote it, cut to a length that a log line bears
- * @param readable whether what was written is such a number; otherwise {@code perSecond} is what is
- *     assumed for it
+ * @param perSecond the requests per second that the node accepts from all daemons together; 0 or
+ *     more
+ * @param text the limit as the node wrote it, truncated for log lines
+ * @param readable whether {@code text} is a valid limit; otherwise {@code perSecond} is {@link
+ *     #ASSUMED_PER_SECOND}
  */
 public record AdvertisedLimit(double perSecond, String text, boolean readable) {
 
   /**
-   * What is assumed of a node that names a limit which can't be read, in requests a second: it is
-   * in need, and a node that is sent nothing would not be heard to say more.
+   * The limit that is assumed when the advertised one cannot be parsed, in requests per second. The
+   * node is probably overloaded, but without any requests it could not advertise another limit.
    */
   public static final double ASSUMED_PER_SECOND = 1;
 
-  private static final int LONGEST_WRITTEN = 40;
+  private static final int MAX_TEXT_LENGTH = 40;
 
   /**
-   * A limit that was read.
+   * Creates a limit that was parsed.
    *
-   * @param perSecond requests a second
-   * @param text as the node wrote it
+   * @param perSecond requests per second
+   * @param text the limit as the node wrote it
    * @return the limit
    */
   public static AdvertisedLimit of(double perSecond, String text) {
-    return new AdvertisedLimit(perSecond, cut(text), true);
+    return new AdvertisedLimit(perSecond, truncate(text), true);
   }
 
   /**
-   * A limit that can't be read.
+   * Creates a limit that could not be parsed.
    *
-   * @param text as the node wrote it
-   * @return the limit that is assumed
+   * @param text the limit as the node wrote it
+   * @return the assumed limit
    */
   public static AdvertisedLimit unreadable(String text) {
-    return new AdvertisedLimit(ASSUMED_PER_SECOND, cut(text), false);
+    return new AdvertisedLimit(ASSUMED_PER_SECOND, truncate(text), false);
   }
 
   /**
-   * Of two limits that one answer names the one that allows less.
+   * Returns the lower of two limits that one response advertises.
    *
    * @param other the other limit
-   * @return the stricter one
+   * @return the lower limit; this one when both are equal
    */
   public AdvertisedLimit stricter(AdvertisedLimit other) {
     return other.perSecond < perSecond ? other : this;
   }
 
-  private static String cut(String text) {
-    return text.length() <= LONGEST_WRITTEN ? text : text.substring(0, LONGEST_WRITTEN) + "...";
+  private static String truncate(String text) {
+    return text.length() <= MAX_TEXT_LENGTH ? text : text.substring(0, MAX_TEXT_LENGTH) + "...";
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Configuration.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Configuration.java
@@ -5,15 +5,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One version of what the operator wants.
+ * One version of the operator's configuration.
  *
- * @param version its version; versions rise
+ * @param version its version; versions increase
  * @param routes the routes
  * @param services the services by name
- * @param workspaces the workspaces by key; null when callers need no keys
- * @param maxHeaderBytes the largest head of a request, in bytes
- * @param maxBodyBytes the largest body of a request, in bytes
- * @param idleMillis how long a caller's connection may rest, in milliseconds
+ * @param workspaces the workspaces by API key; null when callers need no keys
+ * @param maxHeaderBytes the largest request header section, in bytes
+ * @param maxBodyBytes the largest request body, in bytes
+ * @param idleMillis how long a caller's connection may stay idle, in milliseconds
  */
 public record Configuration(
     long version,
@@ -25,7 +25,7 @@
     int idleMillis) {
 
   /**
-   * Finds the service whose upstreams form groups.
+   * Returns the service whose upstreams form groups.
    *
    * @return the service; null when there is none
    */
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Endpoint.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Endpoint.java
@@ -3,7 +3,7 @@
 /**
  * An IP address and a port.
  *
- * @param host the address in digits
+ * @param host the IPv4 address in dotted decimal form
  * @param port the port
  */
 public record Endpoint(String host, int port) {
@@ -11,28 +11,29 @@
   private static final int LAST_PORT = 65_535;
 
   /**
-   * Reads {@code HOST:PORT}.
+   * Parses {@code HOST:PORT}.
    *
    * @param text the text
    * @return the endpoint
-   * @throws IllegalArgumentException when the text has another form
+   * @throws IllegalArgumentException when the text has another form or the port is out of range
    */
   public static Endpoint parse(String text) {
     int colon = text.lastIndexOf(':');
     if (colon <= 0 || !isAddress(text, colon)) {
-      throw new IllegalArgumentException("'" + text + "' is no endpoint; write it as IP:PORT.");
+      throw new IllegalArgumentException("'" + text + "' is not an endpoint; expected IP:PORT.");
     }
     int port = Integer.parseInt(text.substring(colon + 1));
     if (port < 1 || port > LAST_PORT) {
-      throw new IllegalArgumentException("'" + text + "' has no port of 1 to " + LAST_PORT + ".");
+      throw new IllegalArgumentException(
+          "'" + text + "' has no port between 1 and " + LAST_PORT + ".");
     }
     return new Endpoint(text.substring(0, colon), port);
   }
 
   private static boolean isAddress(String text, int end) {
-    for (int place = 0; place < end; place++) {
-      char sign = text.charAt(place);
-      if (sign != '.' && (sign < '0' || sign > '9')) {
+    for (int index = 0; index < end; index++) {
+      char character = text.charAt(index);
+      if (character != '.' && (character < '0' || character > '9')) {
         return false;
       }
     }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/EngineSpec.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/EngineSpec.java
@@ -4,21 +4,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The arithmetic of the engines of a service.
+ * The published performance parameters of the engines of a service. Engines work in steps; a pass
+ * is a sequence of {@code stride} steps after which each stream gets one event.
  *
- * @param slots requests that a group works on at once
- * @param kvTokens tokens that a group's memory holds
- * @param stride steps of a pass that has writers
- * @param chunk prompt tokens that a step reads at most
+ * @param slots requests that a group processes concurrently
+ * @param kvTokens tokens that fit into a group's key-value cache
+ * @param stride steps of a pass while requests are decoding
+ * @param chunk the most prompt tokens that one step prefills
  * @param models the models, in the order of the configuration
- * @param stepMillis time of a step, in milliseconds
- * @param perSequenceMillis time added for each request that writes, in milliseconds
+ * @param stepMillis duration of a step, in milliseconds
+ * @param perSequenceMillis time that each decoding request adds to a step, in milliseconds
  * @param contextMillis time added for each 1,000 tokens of context, in milliseconds
- * @param prefillTokensPerSecond prompt tokens that are read in a second
- * @param pairsMillis time added for each million pairs of a prompt token and one before it, in
- *     milliseconds
- * @param loadsPerSecond loads from the weight store that may begin in a second
- * @param loadsAtOnce loads that run at their full speed at the same time
+ * @param prefillTokensPerSecond prompt tokens that are prefilled per second
+ * @param pairsMillis time added for each million pairs of a prompt token and an earlier one
+ *     (attention), in milliseconds
+ * @param loadsPerSecond loads from the weight store that may start per second
+ * @param loadsAtOnce loads that run concurrently at full speed
  * @param formMillis time from the opening of a head to its first request, in milliseconds
  * @param typicalRequest the mean size of a request
  */
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/IncarnationTracker.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/IncarnationTracker.java
@@ -7,47 +7,47 @@
 import java.util.Set;
 
 /**
- * Which life of each id was seen last. What is remembered of a node belongs to a life; an id that
- * comes with a later start has begun a new one, and what was known of it is not true any more.
+ * Tracks the latest incarnation of each node id, so that state about an earlier incarnation can be
+ * discarded. Not thread-safe.
  */
 public final class IncarnationTracker {
 
-  private final Map<String, NodeIncarnation> last = new HashMap<>();
+  private final Map<String, NodeIncarnation> latest = new HashMap<>();
 
   /**
-   * Takes nodes in.
+   * Records nodes as the latest incarnations of their ids.
    *
-   * @param nodes the nodes that are seen now
-   * @return ids that had another life when they were seen last
+   * @param nodes the nodes that are listed now
+   * @return ids that had another incarnation at the previous update
    */
   public Set<String> update(Collection<Node> nodes) {
-    Set<String> begunAnew = new HashSet<>();
+    Set<String> restarted = new HashSet<>();
     for (Node node : nodes) {
-      NodeIncarnation before = last.put(node.id(), node.incarnation());
-      if (before != null && !before.equals(node.incarnation())) {
-        begunAnew.add(node.id());
+      NodeIncarnation previous = latest.put(node.id(), node.incarnation());
+      if (previous != null && !previous.equals(node.incarnation())) {
+        restarted.add(node.id());
       }
     }
-    return begunAnew;
+    return restarted;
   }
 
   /**
-   * Tells whether a node is the life that was seen last.
+   * Tells whether a node is the latest known incarnation of its id.
    *
    * @param node the node
-   * @return false once a later life of its id was seen
+   * @return true also when the id is unknown; false when another incarnation has been recorded
    */
   public boolean isCurrent(Node node) {
-    NodeIncarnation seen = last.get(node.id());
-    return seen == null || seen.equals(node.incarnation());
+    NodeIncarnation known = latest.get(node.id());
+    return known == null || known.equals(node.incarnation());
   }
 
   /**
-   * Forgets ids that nobody asks about any more.
+   * Removes all ids but the given ones.
    *
-   * @param ids those that are kept
+   * @param ids the ids to keep
    */
   public void retain(Set<String> ids) {
-    last.keySet().retainAll(ids);
+    latest.keySet().retainAll(ids);
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/MemberState.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/MemberState.java
@@ -1,15 +1,15 @@
 package org.fawnvale.serving.core.model;
 
-/** State of a node within its group. */
+/** The state of a node within its group. */
 public enum MemberState {
-  /** It loads the model. */
+  /** The node loads the model's weights. */
   JOINING,
-  /** It has the model, and the group does not serve. */
+  /** The node has loaded the weights; its group does not serve yet. */
   READY,
   /** The group serves. */
   OPEN,
-  /** The group takes nothing new. */
+  /** The group accepts no new requests. */
   CLOSING,
-  /** The group lost a member. */
+  /** The group has lost a member. */
   BROKEN
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Node.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Node.java
@@ -4,18 +4,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One life of an upstream node, as the platform's list shows it.
+ * One incarnation of an upstream node, as the platform lists it.
  *
- * @param incarnation which life of which id it is
- * @param service the service it belongs to
- * @param endpoint where it listens
+ * @param incarnation its id and start time
+ * @param service the service that it belongs to
+ * @param endpoint the address that it listens on
  * @param dataCentre its data centre
- * @param slots requests that it works on at once
- * @param draining whether it is leaving
+ * @param slots requests that it processes concurrently
+ * @param draining whether it is leaving and accepts no new requests
  * @param domain its fabric domain; empty for a plain service
  * @param model the model of its group; null when it has none
- * @param staged the models whose weights lie on its host
- * @param membership its place in a group; null when it has none
+ * @param staged the models whose weights are stored on its host
+ * @param membership its membership of a group; null when it has none
  */
 public record Node(
     NodeIncarnation incarnation,
@@ -30,21 +30,21 @@
     @Nullable Membership membership) {
 
   /**
-   * The id that this life has.
+   * Returns the id, which an earlier incarnation may have had too.
    *
-   * @return the id, which an earlier life may have had
+   * @return the id
    */
   public String id() {
     return incarnation.id();
   }
 
   /**
-   * Replaces what a node's own report tells anew.
+   * Returns a copy with the group and the models that the node itself has reported.
    *
-   * @param newModel the model of its group
-   * @param newStaged the models on its host
-   * @param newMembership its place
-   * @return the changed node
+   * @param newModel the model of its group; null when it has none
+   * @param newStaged the models whose weights are stored on its host
+   * @param newMembership its membership of a group; null when it has none
+   * @return the changed copy
    */
   public Node withGroup(
       @Nullable String newModel, List<String> newStaged, @Nullable Membership newMembership) {
@@ -62,10 +62,10 @@
   }
 
   /**
-   * Replaces the number of slots by that of the node's group.
+   * Returns a copy with the number of slots of the node's group.
    *
-   * @param groupSlots requests that the group works on at once
-   * @return the changed node
+   * @param groupSlots requests that the group processes concurrently
+   * @return the changed copy
    */
   public Node withSlots(int groupSlots) {
     return new Node(
@@ -82,9 +82,9 @@
   }
 
   /**
-   * Marks the node as leaving.
+   * Returns a copy that is marked as draining.
    *
-   * @return the changed node
+   * @return the changed copy
    */
   public Node asDraining() {
     return new Node(
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/NodeIncarnation.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/NodeIncarnation.java
@@ -1,23 +1,25 @@
 package org.fawnvale.serving.core.model;
 
 /**
- * One life of a node or daemon: from a start to its end. A node may start again under the id that
- * it had; it then holds and knows nothing of before.
+ * One incarnation of a node or daemon: a run from its start to its end. A node may restart under
+ * the same id; the new incarnation has none of the earlier one's state.
  *
- * @param id the id, which may be that of an earlier life
- * @param startedMillis when it started, in milliseconds of Unix time as it tells it; {@link
- *     #UNKNOWN_START} when it does not tell
+ * @param id the id, which may be that of an earlier incarnation
+ * @param startedMillis when it started by its own clock, in milliseconds of Unix time; {@link
+ *     #UNKNOWN_START} when it does not report a start
  */
 public record NodeIncarnation(String id, long startedMillis) {
 
-  /** The start of a node that does not tell when it started: each of its ids has one life. */
+  /**
+   * The start of a node that does not report one; all runs under its id count as one incarnation.
+   */
   public static final long UNKNOWN_START = 0;
 
   /**
-   * The only life of an id.
+   * Returns the incarnation of a node that does not report its start.
    *
    * @param id the id
-   * @return the life
+   * @return the incarnation
    */
   public static NodeIncarnation only(String id) {
     return new NodeIncarnation(id, UNKNOWN_START);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/NodeResponse.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/NodeResponse.java
@@ -3,15 +3,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the head of a node's answer says of the node and of the request, beside the answer itself.
+ * What the status and headers of a node's response signal about the request and the node.
  *
- * @param status the status of the answer
- * @param notRun whether the node surely did not run the request and will not
- * @param leaving whether the node says that it is leaving
- * @param retryAfterMillis how long the node wants nothing from this daemon, in milliseconds; 0 when
- *     it asks for no rest
- * @param faultyNode the id of the node that it holds to be at fault; null when it names none
- * @param limit the limit that it names; null when it names none
+ * @param status the HTTP status
+ * @param notRun whether the node guarantees that it did not and will not run the request
+ * @param leaving whether the node announces that it is leaving
+ * @param retryAfterMillis the Retry-After pause in which this daemon must send the node nothing, in
+ *     milliseconds; 0 when it asks for none
+ * @param faultyNode the id of the node that the responding node reports as faulty; null when it
+ *     reports none
+ * @param limit the rate limit that the node advertises; null when it advertises none
  */
 public record NodeResponse(
     int status,
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Policy.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Policy.java
@@ -1,15 +1,16 @@
 package org.fawnvale.serving.core.model;
 
 /**
- * Switches of the mechanisms that decide, so that a played day can leave one out. The defaults are
- * what measured best over all deployments; docs/POLICY.md names the runs.
+ * Switches that turn single mechanisms of the planner off, in order to compare runs with and
+ * without them.
  *
- * @param observedDemand groups are formed by the work that callers ask for; otherwise by the shares
- *     that the configuration declares
- * @param secondModel members of a group keep the weights of a second model on their hosts
- * @param exchange groups of one model are taken apart where their nodes serve more as another
- * @param scarceModels nodes are kept for the model that is missed more
- * @param cutsAreNoDeaths heads in a data centre that is out of sight are not held to be dead
+ * @param observedDemand forms groups by the work that callers request; otherwise by the shares that
+ *     the configuration declares
+ * @param secondModel lets members of a group keep the weights of a second model on their hosts
+ * @param exchange dissolves groups of one model where their nodes serve more callers with another
+ *     model
+ * @param scarceModels reserves nodes for the model that lacks capacity most
+ * @param cutsAreNoDeaths treats heads in an unreachable data centre as alive
  */
 public record Policy(
     boolean observedDemand,
@@ -18,6 +19,6 @@
     boolean scarceModels,
     boolean cutsAreNoDeaths) {
 
-  /** All mechanisms at work. */
+  /** All mechanisms are on. */
   public static final Policy DEFAULT = new Policy(true, true, true, true, true);
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/RequestSize.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/RequestSize.java
@@ -1,13 +1,13 @@
 package org.fawnvale.serving.core.model;
 
 /**
- * How much work a request says it is.
+ * The declared size of a request.
  *
  * @param promptTokens the tokens of its prompt
- * @param answerTokens the tokens that its answer is likely to have
+ * @param answerTokens the expected number of tokens of its answer
  */
 public record RequestSize(int promptTokens, int answerTokens) {
 
-  /** The size of a request that says nothing of it. */
+  /** The size of a request that declares none. */
   public static final RequestSize UNKNOWN = new RequestSize(0, 0);
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Route.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Route.java
@@ -7,16 +7,17 @@
  *
  * @param name its name
  * @param host the host that requests name
- * @param pathPrefix what the path begins with; begins and ends with a slash
- * @param kind what may be repeated
+ * @param pathPrefix the prefix of the path; begins and ends with a slash
+ * @param kind whether a request may be repeated
  * @param timeoutMillis the longest time that a request is held, in milliseconds
- * @param targetMillis the time to the first piece of an answer that is in time, in milliseconds
- * @param gapMillis the longest pause between events that is in time, in milliseconds; 0 if none
+ * @param targetMillis the target time to the first event of an answer, in milliseconds
+ * @param gapMillis the target for the longest pause between events, in milliseconds; 0 if there is
+ *     none
  * @param priority its rank, 0 being highest
- * @param destinations where requests go, by weight
+ * @param destinations the services that requests are sent to, by weight
  * @param maxAttempts the most upstreams that one request is sent to
  * @param anonymous whether requests need no key
- * @param resumable whether a stream may be taken up at another upstream
+ * @param resumable whether another upstream may resume a stream
  */
 public record Route(
     String name,
@@ -43,7 +44,7 @@
   /**
    * Tells whether a request may run a second time.
    *
-   * @return true for idempotent requests and for streams that may be resumed
+   * @return true for idempotent requests and for resumable streams
    */
   public boolean repeatable() {
     return kind == RouteKind.IDEMPOTENT || kind == RouteKind.STREAMING && resumable;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/RouteKind.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/RouteKind.java
@@ -1,11 +1,11 @@
 package org.fawnvale.serving.core.model;
 
-/** What may be done with a request a second time. */
+/** How a request of a route runs and whether it may be repeated. */
 public enum RouteKind {
-  /** It may run more than once. */
+  /** A request may run more than once. */
   IDEMPOTENT,
-  /** It may run once at most. */
+  /** A request may run at most once. */
   NON_IDEMPOTENT,
-  /** Its answer is a stream of events. */
+  /** The answer is a stream of events. */
   STREAMING
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Settings.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Settings.java
@@ -8,15 +8,15 @@
  * @param name the daemon's name
  * @param address its IP address
  * @param dataCentre its data centre
- * @param frontend where callers reach it
- * @param ready where the balancer asks whether it is ready
- * @param metrics where figures are served
- * @param peerPort the port of datagrams between daemons
- * @param seedHosts addresses of a few daemons, which may be gone
- * @param store where the platform's store listens
+ * @param frontend the address that callers connect to
+ * @param ready the address of the readiness endpoint for the load balancer
+ * @param metrics the address of the metrics endpoint
+ * @param peerPort the UDP port for messages between daemons
+ * @param seedHosts addresses of a few daemons, some of which may no longer exist
+ * @param store the address of the platform's store
  * @param bounds times and rates promised to callers
- * @param policy the mechanisms at work
- * @param firstStart whether the whole system starts for the first time: nothing serves yet
+ * @param policy the enabled mechanisms
+ * @param firstStart whether the whole system starts for the first time, so that nothing serves yet
  */
 public record Settings(
     String name,
@@ -33,15 +33,18 @@
     boolean firstStart) {
 
   /**
-   * Times and rates promised to callers.
+   * Times and rates promised to callers and to the platform.
    *
-   * @param stallMillis how long a group stands still after a loss until it is broken
-   * @param graceMillis time between the order to stop and the kill
-   * @param retryRatio repeats allowed for each request, over all daemons
-   * @param retrySlack repeats allowed beside those
-   * @param retryWindowMillis the window that the repeats are counted in
-   * @param loadWindowMillis the window that loads from the weight store are counted in
-   * @param leavingMillis how soon after a node says that it leaves nothing may be sent there
+   * @param stallMillis how long a group that has lost a member stalls before it counts as broken,
+   *     in milliseconds
+   * @param graceMillis time between the order to stop and the kill, in milliseconds
+   * @param retryRatio retries allowed for each request, over all daemons
+   * @param retrySlack retries allowed in addition
+   * @param retryWindowMillis the window in which retries are counted, in milliseconds
+   * @param loadWindowMillis the window in which loads from the weight store are counted, in
+   *     milliseconds
+   * @param leavingMillis how soon after a node announces that it is leaving daemons must stop
+   *     sending to it, in milliseconds
    */
   public record Bounds(
       int stallMillis,
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/package-info.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/package-info.java
@@ -1,4 +1,4 @@
-/** Immutable model of nodes, configuration, engines and groups. */
+/** Types that describe nodes, configuration, engines and groups. */
 @NullMarked
 package org.fawnvale.serving.core.model;
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/route/RouteTable.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/route/RouteTable.java
@@ -11,7 +11,7 @@
 import org.fawnvale.serving.core.model.Workspace;
 import org.jspecify.annotations.Nullable;
 
-/** Lookup of routes and keys of one configuration. */
+/** Looks up the routes and API keys of one configuration. Immutable. */
 public final class RouteTable {
 
   private final Configuration configuration;
@@ -20,7 +20,7 @@
   private RouteTable(Configuration configuration) {
     this.configuration = configuration;
     for (Route route : configuration.routes()) {
-      byHost.computeIfAbsent(key(route.host()), host -> new ArrayList<>()).add(route);
+      byHost.computeIfAbsent(normalized(route.host()), host -> new ArrayList<>()).add(route);
     }
     Comparator<Route> longestFirst =
         Comparator.comparingInt((Route route) -> route.pathPrefix().length()).reversed();
@@ -28,7 +28,7 @@
   }
 
   /**
-   * Builds the lookup.
+   * Creates the lookup of a configuration.
    *
    * @param configuration the configuration
    * @return its lookup
@@ -38,7 +38,7 @@
   }
 
   /**
-   * The configuration behind the lookup.
+   * Returns the configuration of this lookup.
    *
    * @return the configuration
    */
@@ -47,15 +47,15 @@
   }
 
   /**
-   * Finds the route with the longest prefix that begins the path.
+   * Finds the route with the longest prefix of the path.
    *
-   * @param host the request's host, with or without a port
+   * @param host the request's host, with or without a port; case is ignored
    * @param target the request's path and query
    * @return the route; null when there is none
    */
   public @Nullable Route find(String host, String target) {
     int colon = host.indexOf(':');
-    List<Route> routes = byHost.get(key(colon < 0 ? host : host.substring(0, colon)));
+    List<Route> routes = byHost.get(normalized(colon < 0 ? host : host.substring(0, colon)));
     if (routes == null) {
       return null;
     }
@@ -71,7 +71,7 @@
    * Finds the workspace of a key.
    *
    * @param key the key; null when the request has none
-   * @return the workspace; null when the key is unknown
+   * @return the workspace; null when the key is missing or unknown, or when callers need no keys
    */
   public @Nullable Workspace workspace(@Nullable String key) {
     Map<String, Workspace> workspaces = configuration.workspaces();
@@ -82,13 +82,13 @@
    * Tells whether requests of a route need a key.
    *
    * @param route the route
-   * @return true when the request is to be refused without a known key
+   * @return true when a request without a known key has to be refused
    */
   public boolean needsKey(Route route) {
     return configuration.workspaces() != null && !route.anonymous();
   }
 
-  private static String key(String host) {
+  private static String normalized(String host) {
     return host.toLowerCase(Locale.ROOT);
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/route/package-info.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/route/package-info.java
@@ -1,4 +1,4 @@
-/** Choice of a route and of the workspace behind a key. */
+/** Lookup of routes and of the workspaces that API keys belong to. */
 @NullMarked
 package org.fawnvale.serving.core.route;
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/explain/RequestTimelineTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/explain/RequestTimelineTest.java
@@ -60,9 +60,9 @@
     assertThat(causeOfRefusal("r1", "every upstream is at its limit node=null"))
         .isEqualTo(LikelyCause.AT_LIMITS);
     assertThat(causeOfRefusal("r2", "every upstream rests or was tried node=null"))
-        .isEqualTo(LikelyCause.RESTS);
+        .isEqualTo(LikelyCause.PAUSED);
     assertThat(causeOfRefusal("r3", "ends the nodes that run it node=null"))
-        .isEqualTo(LikelyCause.BARRED);
+        .isEqualTo(LikelyCause.QUARANTINED);
   }
 
   @Test
@@ -70,7 +70,7 @@
     line("10.0", "edge-1", "gateway", "request=r1 sent_to=i-a why=first");
     line("10.1", "edge-1", "gateway", "request=r1 node=i-a failure=BROKEN cause=Connection reset");
     line("10.2", "edge-1", "gateway", "request=r1 status=502 reason=connection broken node=i-a");
-    assertThat(story("r1").cause()).isEqualTo(LikelyCause.UPSTREAM_BROKE);
+    assertThat(story("r1").cause()).isEqualTo(LikelyCause.CONNECTION_BROKEN);
   }
 
   @Test
