--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/ExplainCommand.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/ExplainCommand.java
@@ -113,19 +113,19 @@
       return unreadable;
     }
     String id = options.getString("request");
-    RequestTimeline story = RequestTimeline.of(id, lines);
-    if (story == null) {
+    RequestTimeline timeline = RequestTimeline.of(id, lines);
+    if (timeline == null) {
       console
           .err()
           .println("fawnvale: no line names request " + id + ". Give the logs of all daemons.");
       return ExitCode.REFUSED;
     }
-    for (LogLine line : story.lines()) {
+    for (LogLine line : timeline.lines()) {
       console.line(
           String.join(
               " ", line.time(), line.daemon(), "[" + line.component() + "]", line.message()));
     }
-    console.line("Likely cause: " + story.cause().sentence());
+    console.line("Likely cause: " + timeline.cause().sentence());
     return ExitCode.DONE;
   }
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/LogSummary.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/LogSummary.java
@@ -35,7 +35,7 @@
    * @param models figures by model
    * @param refusals numbers of refused requests by reason
    * @param moved requests that were sent again, for any reason
-   * @param stalls numbers of reports that a head has stalled
+   * @param stalls number of reports that a head has stalled
    */
   public record Span(
       String from,
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/demand/ModelDemandTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/demand/ModelDemandTest.java
@@ -10,7 +10,7 @@
 import org.fawnvale.serving.core.model.RequestSize;
 import org.junit.jupiter.api.Test;
 
-/** What callers ask for, in times of groups. */
+/** How measured requests translate into the demand for groups. */
 class ModelDemandTest {
 
   private static final ModelSpec LARGE = new ModelSpec("large", 4, 0.6, 1.0, 16_000, 1_600);
@@ -34,7 +34,7 @@
   private static final long SECOND = 1_000_000_000L;
 
   @Test
-  void aRequestTakesTheTimeOfItsPromptAndItsShareOfTheSteps() {
+  void workIsPrefillTimePlusAShareOfTheSteps() {
     double work = EngineTimes.workMillis(ENGINE, LARGE, new RequestSize(2_000, 100));
     assertThat(work).isCloseTo(2_000 / 50.0 + 100 * (6.0 / 20 + 0.4), within(1e-9));
     double faster = EngineTimes.workMillis(ENGINE, SMALL, new RequestSize(2_000, 100));
@@ -42,13 +42,13 @@
   }
 
   @Test
-  void aRequestThatSaysNothingOfItsSizeCountsAsAUsualOne() {
+  void requestOfUnknownSizeCountsAsTheTypicalOne() {
     assertThat(EngineTimes.workMillis(ENGINE, LARGE, RequestSize.UNKNOWN))
         .isEqualTo(EngineTimes.workMillis(ENGINE, LARGE, new RequestSize(1_000, 100)));
   }
 
   @Test
-  void steadyWorkIsToldAsTheGroupsThatItKeepsBusy() {
+  void steadyWorkIsReportedAsBusyGroups() {
     OfferedLoad work = new OfferedLoad();
     for (int request = 0; request < 3_000; request++) {
       work.recordWork("large", 200, request * SECOND / 100);
@@ -58,16 +58,16 @@
   }
 
   @Test
-  void whatIsObservedTakesThePlaceOfWhatIsDeclared() {
+  void observedDemandReplacesDeclaredDemand() {
     Map<String, Double> busy = Map.of("large", 2.0, "small", 4.0);
-    ModelDemand young = ModelDemand.observed(ENGINE, busy, 0);
-    assertThat(young).isEqualTo(ModelDemand.declared(ENGINE));
-    ModelDemand known = ModelDemand.observed(ENGINE, busy, 60);
-    assertThat(known.of(SMALL) / known.of(LARGE)).isCloseTo(2, within(1e-6));
+    ModelDemand initial = ModelDemand.observed(ENGINE, busy, 0);
+    assertThat(initial).isEqualTo(ModelDemand.declared(ENGINE));
+    ModelDemand observed = ModelDemand.observed(ENGINE, busy, 60);
+    assertThat(observed.of(SMALL) / observed.of(LARGE)).isCloseTo(2, within(1e-6));
   }
 
   @Test
-  void aModelThatNobodyAsksForKeepsALittle() {
+  void modelWithoutRequestsKeepsAMinimalDemand() {
     ModelDemand demand = ModelDemand.observed(ENGINE, Map.of("large", 2.0), 60);
     assertThat(demand.of(SMALL)).isPositive();
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/CallerRetryDetectorTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/CallerRetryDetectorTest.java
@@ -5,83 +5,82 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Who has waited before, as far as deadlines tell. */
+/** Which requests count as retries by the time that they have left. */
 class CallerRetryDetectorTest {
 
   private static final String ROUTE = "route";
-  private static final int TRIES = 1_000;
+  private static final int ATTEMPTS = 1_000;
 
   private final CallerRetryDetector callers = new CallerRetryDetector();
   private final Random random = new Random(11);
 
   @Test
-  void whereAllSetOneDeadlineThoseWithLessTimeLeftHaveComeBack() {
+  void withACommonDeadlineRequestsWithLessTimeAreRetries() {
     int recognized = 0;
     int mistaken = 0;
-    int returns = 0;
-    for (int each = 0; each < TRIES; each++) {
-      boolean returns20Percent = each % 5 == 4;
-      long patience = returns20Percent ? 5_000 + random.nextInt(600) : 6_000;
-      boolean told = callers.isRetry(ROUTE, patience);
-      returns += returns20Percent ? 1 : 0;
-      recognized += told && returns20Percent ? 1 : 0;
-      mistaken += told && !returns20Percent ? 1 : 0;
+    int retries = 0;
+    for (int each = 0; each < ATTEMPTS; each++) {
+      boolean isRetry = each % 5 == 4;
+      long remaining = isRetry ? 5_000 + random.nextInt(600) : 6_000;
+      boolean detected = callers.isRetry(ROUTE, remaining);
+      retries += isRetry ? 1 : 0;
+      recognized += detected && isRetry ? 1 : 0;
+      mistaken += detected && !isRetry ? 1 : 0;
     }
-    assertThat(recognized).isGreaterThan(returns * 95 / 100);
+    assertThat(recognized).isGreaterThan(retries * 95 / 100);
     assertThat(mistaken).isZero();
   }
 
   @Test
-  void aFewCallersWithLongDeadlinesDoNotMakeTheOthersSeemToReturn() {
+  void fewLongDeadlinesDoNotTurnOtherRequestsIntoRetries() {
     int mistaken = 0;
-    for (int each = 0; each < TRIES; each++) {
+    for (int each = 0; each < ATTEMPTS; each++) {
       mistaken += callers.isRetry(ROUTE, each % 25 == 3 ? 9_000 : 6_000) ? 1 : 0;
     }
     assertThat(mistaken).isZero();
   }
 
-  /** A daemon sees few tries of each route; the first ones must not look like a usual deadline. */
   @Test
-  void withFewTriesOfEachRouteNobodyIsHeldToComeBackEither() {
+  void withFewAttemptsPerRouteHardlyAnyCountsAsRetry() {
     int mistaken = 0;
-    for (int each = 0; each < TRIES; each++) {
-      long patience = 5_100 + random.nextInt(1_800);
-      mistaken += callers.isRetry("route" + each / 5, patience) ? 1 : 0;
+    for (int each = 0; each < ATTEMPTS; each++) {
+      long remaining = 5_100 + random.nextInt(1_800);
+      mistaken += callers.isRetry("route" + each / 5, remaining) ? 1 : 0;
     }
-    assertThat(mistaken).isLessThan(TRIES * 3 / 100);
+    assertThat(mistaken).isLessThan(ATTEMPTS * 3 / 100);
   }
 
-  /** Before, 63 in 100 first tries of such callers were taken for returns. */
   @Test
-  void whereDeadlinesDifferHardlyAnyFirstTryIsHeldToBeAReturn() {
+  void withDifferentDeadlinesHardlyAnyFirstAttemptCountsAsRetry() {
     int mistaken = 0;
-    for (int each = 0; each < TRIES; each++) {
-      long patience = 5_100 + random.nextInt(1_800);
-      mistaken += callers.isRetry(ROUTE, patience) ? 1 : 0;
+    for (int each = 0; each < ATTEMPTS; each++) {
+      long remaining = 5_100 + random.nextInt(1_800);
+      mistaken += callers.isRetry(ROUTE, remaining) ? 1 : 0;
     }
-    assertThat(mistaken).isLessThan(TRIES * 3 / 100);
+    assertThat(mistaken).isLessThan(ATTEMPTS * 3 / 100);
   }
 
   /**
-   * Those that come back after 1.4 to 1.9 s, as RetryAfterPolicy tells callers with six seconds.
+   * Retries arrive after 1.4 to 1.9 s, as {@link RetryAfterPolicy} asks of callers with six
+   * seconds.
    */
   @Test
-  void whereDeadlinesDifferThoseWithLessTimeThanNearlyAllOthersHaveComeBack() {
+  void withDifferentDeadlinesTheShortestRequestsAreRetries() {
     int recognized = 0;
     int mistaken = 0;
-    for (int each = 0; each < TRIES; each++) {
-      long patience = 5_100 + random.nextInt(1_800);
-      mistaken += callers.isRetry(ROUTE, patience) ? 1 : 0;
-      long again = 5_100 + random.nextInt(1_800) - 1_400 - random.nextInt(500);
-      recognized += each > TRIES / 2 && callers.isRetry(ROUTE, again) ? 1 : 0;
+    for (int each = 0; each < ATTEMPTS; each++) {
+      long remaining = 5_100 + random.nextInt(1_800);
+      mistaken += callers.isRetry(ROUTE, remaining) ? 1 : 0;
+      long retry = 5_100 + random.nextInt(1_800) - 1_400 - random.nextInt(500);
+      recognized += each > ATTEMPTS / 2 && callers.isRetry(ROUTE, retry) ? 1 : 0;
     }
-    assertThat(mistaken).isLessThan(TRIES * 3 / 100);
-    assertThat(recognized).isGreaterThan(TRIES / 2 * 90 / 100);
+    assertThat(mistaken).isLessThan(ATTEMPTS * 3 / 100);
+    assertThat(recognized).isGreaterThan(ATTEMPTS / 2 * 90 / 100);
   }
 
   @Test
   void eachRouteHasItsOwnDeadline() {
-    for (int each = 0; each < TRIES; each++) {
+    for (int each = 0; each < ATTEMPTS; each++) {
       assertThat(callers.isRetry("short", 600)).isFalse();
       assertThat(callers.isRetry("long", 8_000)).isFalse();
     }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ConnectionReuseTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ConnectionReuseTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many daemons before many heads: each pair meets too seldom for a connection to be there still.
- * Simulated time: 19 daemons of a data centre send 5.6 requests a second each, to 14 heads.
+ * How often a daemon can reuse an idle connection when many daemons send to many heads. Runs in
+ * simulated time: 19 daemons of a data centre send 5.6 requests per second each to 14 heads.
  */
 class ConnectionReuseTest {
 
@@ -30,10 +30,10 @@
   private static final int DAEMONS = 19;
   private static final int HEADS = 14;
   private static final int SLOTS = 15;
-  private static final double REQUESTS_A_SECOND = 5.6;
+  private static final double REQUESTS_PER_SECOND = 5.6;
   private static final double ANSWER_SECONDS = 0.9;
-  private static final double REST_SECONDS = 3;
-  private static final double NOTE_SECONDS = 0.3;
+  private static final double IDLE_SECONDS = 3;
+  private static final double MESSAGE_SECONDS = 0.3;
   private static final int REQUESTS = 20_000;
 
   private final Random random = new Random(7);
@@ -54,7 +54,7 @@
             new UpstreamGate(
                 new SharedLimits(new Owners(new Owners.Daemon("d", "127.0.0.1", "a")))),
             () -> 0);
-    final Map<Endpoint, List<Double>> rested = new HashMap<>();
+    final Map<Endpoint, List<Double>> idleSince = new HashMap<>();
   }
 
   private static Node head(int number) {
@@ -71,13 +71,13 @@
         new Membership("g", 1, 0, MemberState.OPEN));
   }
 
-  private boolean hasRested(Daemon daemon, Endpoint endpoint) {
-    List<Double> since = daemon.rested.computeIfAbsent(endpoint, any -> new ArrayList<>());
-    since.removeIf(at -> now - at > REST_SECONDS);
+  private boolean hasIdleConnection(Daemon daemon, Endpoint endpoint) {
+    List<Double> since = daemon.idleSince.computeIfAbsent(endpoint, any -> new ArrayList<>());
+    since.removeIf(at -> now - at > IDLE_SECONDS);
     return !since.isEmpty();
   }
 
-  private void play(boolean keepsToConnections) {
+  private void simulate(boolean prefersConnections) {
     List<Node> heads = new ArrayList<>();
     for (int number = 0; number < HEADS; number++) {
       heads.add(head(number));
@@ -86,26 +86,26 @@
       Daemon daemon = new Daemon();
       daemon.dispatcher.setUpstreams(heads);
       daemon.dispatcher.setDaemonCount(DAEMONS);
-      if (keepsToConnections) {
-        daemon.dispatcher.setConnected(endpoint -> hasRested(daemon, endpoint));
+      if (prefersConnections) {
+        daemon.dispatcher.setConnected(endpoint -> hasIdleConnection(daemon, endpoint));
       }
       daemons.add(daemon);
     }
-    double nextNote = 0;
+    double nextMessage = 0;
     for (int request = 0; request < REQUESTS; request++) {
-      now += -Math.log(1 - random.nextDouble()) / (DAEMONS * REQUESTS_A_SECOND);
+      now += -Math.log(1 - random.nextDouble()) / (DAEMONS * REQUESTS_PER_SECOND);
       while (!answers.isEmpty() && answers.peek().at() <= now) {
         end(answers.poll());
       }
-      if (now >= nextNote) {
-        nextNote = now + NOTE_SECONDS;
-        daemons.forEach(this::tell);
+      if (now >= nextMessage) {
+        nextMessage = now + MESSAGE_SECONDS;
+        daemons.forEach(this::reportLoad);
       }
       send(daemons.get(random.nextInt(DAEMONS)));
     }
   }
 
-  private void tell(Daemon daemon) {
+  private void reportLoad(Daemon daemon) {
     Map<String, Integer> others = new HashMap<>(inFlight);
     daemon
         .dispatcher
@@ -116,8 +116,8 @@
 
   private void send(Daemon daemon) {
     Node head = ((Choice.Send) daemon.dispatcher.choose(FIRST, Set.of())).node();
-    if (hasRested(daemon, head.endpoint())) {
-      daemon.rested.get(head.endpoint()).remove(0);
+    if (hasIdleConnection(daemon, head.endpoint())) {
+      daemon.idleSince.get(head.endpoint()).remove(0);
     } else {
       opened++;
     }
@@ -133,21 +133,21 @@
     answer.from().dispatcher.state(answer.head().id()).requestEnded(false, false);
     answer
         .from()
-        .rested
+        .idleSince
         .computeIfAbsent(answer.head().endpoint(), any -> new ArrayList<>())
         .add(answer.at());
   }
 
   @Test
-  void withoutAnEyeOnConnectionsFourInTenRequestsOpenOne() {
-    play(false);
+  void withoutPreferenceFourInTenRequestsOpenAConnection() {
+    simulate(false);
     assertThat(opened / (double) REQUESTS).isBetween(0.35, 0.45);
     assertThat(sumOfLoads / REQUESTS).isBetween(0.38, 0.43);
   }
 
   @Test
-  void whenDaemonsKeepToThemTwoInTenDoAndTheLoadStaysEven() {
-    play(true);
+  void preferringIdleConnectionsHalvesNewOnesAtTheSameLoad() {
+    simulate(true);
     assertThat(opened / (double) REQUESTS).isLessThan(0.22);
     assertThat(sumOfLoads / REQUESTS).isBetween(0.38, 0.43);
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
@@ -18,7 +18,7 @@
 import org.fawnvale.serving.core.peer.Owners;
 import org.junit.jupiter.api.Test;
 
-/** Where a request goes, and who is let in when little is left. */
+/** Which upstream a request is sent to, and which requests are admitted when capacity is short. */
 class DispatcherTest {
 
   private static final DispatchRequest FIRST =
@@ -51,14 +51,14 @@
   }
 
   @Test
-  void theLeastLoadedHeadTakesTheRequest() {
+  void choosesTheLeastLoadedHead() {
     dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
     dispatcher.setPeersInFlight(Map.of("a", 5));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
   }
 
   @Test
-  void aHeadOfTheOwnDataCentreIsTakenWhileItIsHardlyFuller() {
+  void prefersTheLocalDataCentreUnlessItsHeadIsMuchFuller() {
     dispatcher.setUpstreams(List.of(head("a", "elsewhere"), head("b", "here")));
     dispatcher.setPeersInFlight(Map.of("b", 1));
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void aFullHeadRefusesFirstTriesAndStillTakesThoseThatComeBack() {
+  void fullHeadAdmitsRetriesButNoFirstAttempts() {
     dispatcher.setUpstreams(List.of(head("a", "here")));
     dispatcher.setPeersInFlight(Map.of("a", SLOTS));
     assertThat(dispatcher.choose(FIRST, Set.of())).isInstanceOf(Choice.Refuse.class);
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void aPlainUpstreamIsFullOnlyWithTwoWaitingForEachSlot() {
+  void plainUpstreamIsFullWithTwoRequestsWaitingPerSlot() {
     Node plain =
         new Node(
             NodeIncarnation.only("p"),
@@ -90,23 +90,24 @@
             null,
             List.of(),
             null);
-    DispatchRequest asked = new DispatchRequest("plain", "", DispatchRequest.AdmissionClass.FIRST);
+    DispatchRequest request =
+        new DispatchRequest("plain", "", DispatchRequest.AdmissionClass.FIRST);
     dispatcher.setUpstreams(List.of(plain));
     dispatcher.setPeersInFlight(Map.of("p", 3 * SLOTS - 1));
-    assertThat(target(dispatcher.choose(asked, Set.of()))).isEqualTo("p");
+    assertThat(target(dispatcher.choose(request, Set.of()))).isEqualTo("p");
     dispatcher.setPeersInFlight(Map.of("p", 3 * SLOTS));
-    assertThat(dispatcher.choose(asked, Set.of())).isInstanceOf(Choice.Refuse.class);
+    assertThat(dispatcher.choose(request, Set.of())).isInstanceOf(Choice.Refuse.class);
   }
 
   @Test
-  void aHeadThatStandsStillOrWasTriedIsLeftOut() {
+  void excludesSuspectAndAlreadyTriedHeads() {
     dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here"), head("c", "here")));
     dispatcher.state("a").markSuspect(1);
     assertThat(target(dispatcher.choose(FIRST, Set.of("b")))).isEqualTo("c");
   }
 
   @Test
-  void aHeadThatPeersSuspectIsTheLastResort() {
+  void headSuspectedByPeersIsTheLastResort() {
     dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
     dispatcher.setPeersInFlight(Map.of("b", 7));
     dispatcher.setReportedSuspects(Set.of("a"));
@@ -115,7 +116,7 @@
   }
 
   @Test
-  void manyDaemonsDoNotAllSendToTheHeadThatHasJustBegunToServe() {
+  void manyDaemonsDoNotAllSendToANewIdleHead() {
     List<Node> heads = new ArrayList<>();
     Map<String, Integer> inFlight = new HashMap<>();
     for (int index = 0; index < 20; index++) {
@@ -125,15 +126,15 @@
     dispatcher.setUpstreams(heads);
     dispatcher.setPeersInFlight(inFlight);
     dispatcher.setDaemonCount(60);
-    int toTheEmptyOne = 0;
+    int toTheIdleHead = 0;
     for (int request = 0; request < 1_000; request++) {
-      toTheEmptyOne += "h0".equals(target(dispatcher.choose(FIRST, Set.of()))) ? 1 : 0;
+      toTheIdleHead += "h0".equals(target(dispatcher.choose(FIRST, Set.of()))) ? 1 : 0;
     }
-    assertThat(toTheEmptyOne).isBetween(40, 200);
+    assertThat(toTheIdleHead).isBetween(40, 200);
   }
 
   @Test
-  void aRequestIsNotRefusedWhileAnyHeadHasRoom() {
+  void requestIsNotRefusedWhileAnyHeadHasRoom() {
     List<Node> heads = new ArrayList<>();
     Map<String, Integer> inFlight = new HashMap<>();
     for (int index = 0; index < 20; index++) {
@@ -149,7 +150,7 @@
   }
 
   @Test
-  void headsOutOfSightAreTakenOnlyWhenNoOtherServes() {
+  void unreachableHeadsAreUsedOnlyWhenNoOtherServes() {
     dispatcher.setUpstreams(List.of(head("a", "elsewhere"), head("b", "here")));
     dispatcher.setReachable("here"::equals);
     dispatcher.setPeersInFlight(Map.of("b", SLOTS));
@@ -158,15 +159,15 @@
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("a");
   }
 
-  private static NodeResponse restOf(long millis) {
+  private static NodeResponse pauseOf(long millis) {
     return new NodeResponse(503, true, false, millis, null, null);
   }
 
   @Test
-  void headsThatRestAreLeftOutHoweverEmptyTheyLook() {
+  void headsWithinARetryAfterPauseAreExcluded() {
     dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
     dispatcher.setPeersInFlight(Map.of("b", SLOTS - 1));
-    gate.recordResponse(NodeIncarnation.only("a"), restOf(3_000), now.get());
+    gate.recordResponse(NodeIncarnation.only("a"), pauseOf(3_000), now.get());
     assertThat(target(dispatcher.choose(FIRST, Set.of()))).isEqualTo("b");
     dispatcher.setPeersInFlight(Map.of("b", SLOTS));
     assertThat(dispatcher.choose(FIRST, Set.of())).isInstanceOf(Choice.Refuse.class);
@@ -175,10 +176,10 @@
   }
 
   @Test
-  void whereAllRestTheRefusalTellsWhenTheFirstMayBeAskedAgain() {
+  void refusalStatesWhenTheFirstPauseEnds() {
     dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
-    gate.recordResponse(NodeIncarnation.only("a"), restOf(3_000), now.get());
-    gate.recordResponse(NodeIncarnation.only("b"), restOf(1_000), now.get());
+    gate.recordResponse(NodeIncarnation.only("a"), pauseOf(3_000), now.get());
+    gate.recordResponse(NodeIncarnation.only("b"), pauseOf(1_000), now.get());
     now.set(200 * MILLI);
     Choice choice = dispatcher.choose(FIRST, Set.of("b"));
     assertThat(choice)
@@ -186,7 +187,7 @@
   }
 
   @Test
-  void aHeadThatTurnsAwayIsAskedLastForAPauseThatDoubles() {
+  void rejectingHeadIsUsedLastDuringABackoffThatDoubles() {
     dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
     dispatcher.setPeersInFlight(Map.of("b", SLOTS - 1));
     dispatcher.state("a").requestRejected(now.get());
@@ -201,7 +202,7 @@
   }
 
   @Test
-  void itIsAskedAllTheSameWhereNoOtherHasRoom() {
+  void rejectingHeadIsUsedWhenNoOtherHasRoom() {
     dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
     dispatcher.state("a").requestRejected(now.get());
     dispatcher.setPeersInFlight(Map.of("b", SLOTS));
@@ -209,7 +210,7 @@
   }
 
   @Test
-  void itCountsAsBeforeOnceItTakesARequest() {
+  void backoffEndsWhenTheHeadAcceptsARequest() {
     dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
     dispatcher.setPeersInFlight(Map.of("b", 1));
     dispatcher.state("a").requestRejected(now.get());
@@ -218,7 +219,7 @@
   }
 
   @Test
-  void headsThatTurnOthersAwayAreAskedLast() {
+  void headsThatRejectRequestsOfPeersAreUsedLast() {
     dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here")));
     dispatcher.setPeersInFlight(Map.of("b", SLOTS - 1));
     dispatcher.setReportedRejecting(Set.of("a"));
@@ -228,23 +229,23 @@
   }
 
   @Test
-  void othersAreToldOfThoseThatRestAndThoseThatTurnAwayAThirdTime() {
+  void reportsPausedHeadsAndHeadsThatRejectThreeTimes() {
     dispatcher.setUpstreams(List.of(head("a", "here"), head("b", "here"), head("c", "here")));
-    gate.recordResponse(NodeIncarnation.only("c"), restOf(10_000), now.get());
-    UpstreamState turning = dispatcher.state("a");
-    turning.requestRejected(now.get());
+    gate.recordResponse(NodeIncarnation.only("c"), pauseOf(10_000), now.get());
+    UpstreamState rejecting = dispatcher.state("a");
+    rejecting.requestRejected(now.get());
     now.set(100 * MILLI);
-    turning.requestRejected(now.get());
+    rejecting.requestRejected(now.get());
     assertThat(dispatcher.rejecting()).containsExactly("c");
     now.set(300 * MILLI);
-    turning.requestRejected(now.get());
+    rejecting.requestRejected(now.get());
     assertThat(dispatcher.rejecting()).containsExactlyInAnyOrder("a", "c");
     now.set(700 * MILLI);
     assertThat(dispatcher.rejecting()).containsExactly("c");
   }
 
   @Test
-  void manyTurnedAwayAtOnceAreOnePause() {
+  void simultaneousRejectionsStartASingleBackoff() {
     for (int request = 0; request < 20; request++) {
       dispatcher.state("a").requestRejected(now.get());
     }
@@ -253,7 +254,7 @@
   }
 
   @Test
-  void aCallerWithLessPatienceThanOthersOfItsRouteHasComeBack() {
+  void callerWithLessTimeThanOthersOfItsRouteIsARetry() {
     CallerRetryDetector callers = new CallerRetryDetector();
     assertThat(callers.isRetry("chat", 5_000)).isFalse();
     assertThat(callers.isRetry("chat", 4_995)).isFalse();
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadSimulation.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadSimulation.java
@@ -29,28 +29,28 @@
 import org.fawnvale.serving.core.peer.Owners;
 
 /**
- * Plays a load in simulated time: callers of streams before many daemons, each with a dispatcher of
- * its own, before the heads of one model that work by the engines' published arithmetic. Daemons
- * hear of each other's requests by notes only. Tells what callers get.
+ * Simulates callers of streams, many daemons with a dispatcher each, and the heads of one model,
+ * whose times follow the published performance parameters. Daemons learn of each other's requests
+ * only by periodic messages. Reports what share of the callers is answered in time.
  */
 final class LoadSimulation {
 
   private static final int DATA_CENTRES = 3;
-  private static final double NOTE_SECONDS = 0.3;
-  private static final double NOTE_DELAY_SECONDS = 0.15;
+  private static final double MESSAGE_SECONDS = 0.3;
+  private static final double MESSAGE_DELAY_SECONDS = 0.15;
   private static final double WARM_UP_SECONDS = 2;
-  private static final double LEFT_SECONDS = 8;
+  private static final double DRAIN_SECONDS = 8;
   private static final int EVENT_TOKENS = 5;
-  private static final int MOST_REJECTIONS = 3;
+  private static final int MAX_REJECTIONS = 3;
 
   private final Load load;
-  private final Turning turning;
-  private final Ways ways;
-  private final Returns returns;
+  private final RejectionPhase phase;
+  private final RejectionHandling handling;
+  private final ReturnPolicy returns;
   private final Random random;
   private final List<Daemon> daemons = new ArrayList<>();
   private final Map<String, Head> heads = new HashMap<>();
-  private final Queue<Due> dues =
+  private final Queue<Event> events =
       new PriorityQueue<>((one, other) -> Double.compare(one.at(), other.at()));
   private double now;
   private int offered;
@@ -60,17 +60,17 @@
   private int refused;
 
   /**
-   * What is played.
+   * The simulated load.
    *
    * @param engine the engines
    * @param model the model
-   * @param daemons daemons before the heads
-   * @param heads heads that serve the model
-   * @param rate requests a second at a time in seconds
-   * @param seconds how long callers ask
-   * @param firstMillis the least time of a first event at an idle head
-   * @param targetMillis the time of a first event that is in time
-   * @param deadlineMillis how long a caller waits
+   * @param daemons the number of daemons
+   * @param heads the number of heads that serve the model
+   * @param rate requests per second at a time in seconds
+   * @param seconds how long callers send requests
+   * @param firstMillis the least time to a first event at an idle head, in milliseconds
+   * @param targetMillis the target time to a first event, in milliseconds
+   * @param deadlineMillis how long a caller waits, in milliseconds
    */
   record Load(
       EngineSpec engine,
@@ -84,54 +84,55 @@
       long deadlineMillis) {}
 
   /**
-   * What callers get, as shares of those that asked.
+   * What callers got, as shares of all callers.
    *
-   * @param inTime answered, the first event in time from the first try on
+   * @param inTime answered, with the first event in time since the first attempt
    * @param late answered late
    * @param lost not answered
-   * @param refused refusals, also of callers that were served later
+   * @param refused refusals, including those of callers that were served later
    */
   record Outcome(double inTime, double late, double lost, double refused) {}
 
   /**
-   * Heads that turn all requests away for a while.
+   * A phase in which some heads reject all requests.
    *
-   * @param from when they begin, in seconds
-   * @param until when they end, in seconds
-   * @param heads how many of them
-   * @param restMillis the rest that they ask each daemon for, in milliseconds; 0 for none
+   * @param from when it begins, in seconds
+   * @param until when it ends, in seconds
+   * @param heads the number of rejecting heads
+   * @param retryAfterMillis the Retry-After pause that they ask each daemon for, in milliseconds; 0
+   *     for none
    */
-  record Turning(double from, double until, int heads, long restMillis) {
+  record RejectionPhase(double from, double until, int heads, long retryAfterMillis) {
 
-    static final Turning NONE = new Turning(0, 0, 0, 0);
+    static final RejectionPhase NONE = new RejectionPhase(0, 0, 0, 0);
   }
 
   /**
-   * What daemons make of being turned away.
+   * How daemons handle rejections.
    *
-   * @param backsOff whether they ask others first for a while
-   * @param tells whether they tell each other
+   * @param backsOff whether a daemon uses a rejecting head last for a while
+   * @param reports whether daemons report rejecting heads to each other
    */
-  record Ways(boolean backsOff, boolean tells) {
+  record RejectionHandling(boolean backsOff, boolean reports) {
 
-    static final Ways AS_BUILT = new Ways(true, true);
+    static final RejectionHandling FULL = new RejectionHandling(true, true);
   }
 
-  /** Tells a refused caller when to come back. */
+  /** Decides when a refused caller returns. */
   @FunctionalInterface
-  interface Returns {
+  interface ReturnPolicy {
 
     /**
-     * Decides for one caller.
+     * Returns the time until one caller returns.
      *
-     * @param leftMillis how much longer it would wait, in milliseconds
-     * @param restMillis how long until the first head that rests may be asked, in milliseconds
+     * @param remainingMillis how much longer it would wait, in milliseconds
+     * @param pauseMillis how long until the first Retry-After pause ends, in milliseconds
      * @return the time from now, in milliseconds
      */
-    long millis(long leftMillis, long restMillis);
+    long millis(long remainingMillis, long pauseMillis);
   }
 
-  private record Due(double at, Runnable what) {}
+  private record Event(double at, Runnable action) {}
 
   private static final class Daemon {
     final UpstreamGate gate =
@@ -146,9 +147,9 @@
   private static final class Caller {
     double askedAt;
     RequestSize size = RequestSize.UNKNOWN;
-    boolean returns;
-    double tokensToRead;
-    int tokensToWrite;
+    boolean isRetry;
+    double tokensToPrefill;
+    int tokensToDecode;
     double firstAt;
     Daemon daemon;
   }
@@ -157,9 +158,9 @@
     final Node node;
     final int number;
     final Deque<Caller> waiting = new ArrayDeque<>();
-    final List<Caller> reading = new ArrayList<>();
-    final List<Caller> writing = new ArrayList<>();
-    boolean works;
+    final List<Caller> prefilling = new ArrayList<>();
+    final List<Caller> decoding = new ArrayList<>();
+    boolean busy;
 
     Head(Node node, int number) {
       this.node = node;
@@ -167,43 +168,54 @@
     }
 
     int requests() {
-      return waiting.size() + reading.size() + writing.size();
+      return waiting.size() + prefilling.size() + decoding.size();
     }
   }
 
-  private LoadSimulation(Load load, Turning turning, Ways ways, Returns returns, long seed) {
+  private LoadSimulation(
+      Load load,
+      RejectionPhase phase,
+      RejectionHandling handling,
+      ReturnPolicy returns,
+      long seed) {
     this.load = load;
-    this.turning = turning;
-    this.ways = ways;
+    this.phase = phase;
+    this.handling = handling;
     this.returns = returns;
     this.random = new Random(seed);
   }
 
   /**
-   * Plays a load.
+   * Simulates a load before heads that accept requests.
    *
    * @param load the load
-   * @param returnMillis when a refused caller comes back, by the time that remains to it
-   * @param seed of the draws
+   * @param returnMillis when a refused caller returns, by its remaining time in milliseconds
+   * @param seed the seed of all random draws
    * @return what callers got
    */
-  static Outcome play(Load load, LongUnaryOperator returnMillis, long seed) {
-    Returns returns = (leftMillis, restMillis) -> returnMillis.applyAsLong(leftMillis);
-    return play(load, Turning.NONE, Ways.AS_BUILT, returns, seed);
+  static Outcome simulate(Load load, LongUnaryOperator returnMillis, long seed) {
+    ReturnPolicy returns =
+        (remainingMillis, pauseMillis) -> returnMillis.applyAsLong(remainingMillis);
+    return simulate(load, RejectionPhase.NONE, RejectionHandling.FULL, returns, seed);
   }
 
   /**
-   * Plays a load before heads some of which turn requests away.
+   * Simulates a load before heads of which some reject requests for a while.
    *
    * @param load the load
-   * @param turning the heads that turn away
-   * @param ways what daemons make of it
-   * @param returns when a refused caller comes back
-   * @param seed of the draws
+   * @param phase when which heads reject requests
+   * @param handling how daemons handle rejections
+   * @param returns when a refused caller returns
+   * @param seed the seed of all random draws
    * @return what callers got
    */
-  static Outcome play(Load load, Turning turning, Ways ways, Returns returns, long seed) {
-    return new LoadSimulation(load, turning, ways, returns, seed).run();
+  static Outcome simulate(
+      Load load,
+      RejectionPhase phase,
+      RejectionHandling handling,
+      ReturnPolicy returns,
+      long seed) {
+    return new LoadSimulation(load, phase, handling, returns, seed).run();
   }
 
   private Outcome run() {
@@ -219,12 +231,12 @@
       daemon.dispatcher.setDaemonCount(load.daemons());
       daemons.add(daemon);
     }
-    at(0, this::ask);
-    at(0, this::tell);
-    while (!dues.isEmpty() && now < load.seconds() + LEFT_SECONDS) {
-      Due due = dues.poll();
-      now = due.at();
-      due.what().run();
+    at(0, this::startCaller);
+    at(0, this::exchangeMessages);
+    while (!events.isEmpty() && now < load.seconds() + DRAIN_SECONDS) {
+      Event event = events.poll();
+      now = event.at();
+      event.action().run();
     }
     double all = Math.max(1, offered);
     return new Outcome(inTime / all, late / all, lost / all, refused / all);
@@ -244,19 +256,19 @@
         new Membership("g", 1, 0, MemberState.OPEN));
   }
 
-  private void at(double time, Runnable what) {
-    dues.add(new Due(time, what));
+  private void at(double time, Runnable action) {
+    events.add(new Event(time, action));
   }
 
   private boolean counts(Caller caller) {
     return caller.askedAt >= WARM_UP_SECONDS;
   }
 
-  private void ask() {
+  private void startCaller() {
     if (now >= load.seconds()) {
       return;
     }
-    at(now - Math.log(1 - random.nextDouble()) / load.rate().applyAsDouble(now), this::ask);
+    at(now - Math.log(1 - random.nextDouble()) / load.rate().applyAsDouble(now), this::startCaller);
     Caller caller = new Caller();
     caller.askedAt = now;
     caller.size = new RequestSize(prompt(), answer());
@@ -264,7 +276,7 @@
     arrive(caller);
   }
 
-  /** Sizes as callers send them: long ones are rare. */
+  /** Draws the length of a prompt; long prompts are rare. */
   private int prompt() {
     return (int) Math.min(2_380, 40 + logNormal(674, 0.89));
   }
@@ -281,106 +293,111 @@
   private void arrive(Caller caller) {
     caller.daemon = daemons.get(random.nextInt(daemons.size()));
     DispatchRequest.AdmissionClass claim =
-        caller.returns
+        caller.isRetry
             ? DispatchRequest.AdmissionClass.RETURNING
             : DispatchRequest.AdmissionClass.FIRST;
     DispatchRequest demand = new DispatchRequest("engines", load.model().name(), claim);
     Set<String> tried = new HashSet<>();
     Choice choice = caller.daemon.dispatcher.choose(demand, tried);
-    while (choice instanceof Choice.Send send && tried.size() <= MOST_REJECTIONS) {
+    while (choice instanceof Choice.Send send && tried.size() <= MAX_REJECTIONS) {
       Head head = heads.get(send.node().id());
-      if (!turnsAway(head)) {
+      if (!rejects(head)) {
         begin(caller, head);
         return;
       }
       tried.add(send.node().id());
-      hearRefusal(caller.daemon, head);
+      recordRejection(caller.daemon, head);
       choice = caller.daemon.dispatcher.choose(demand, tried);
     }
     long retryAfterNanos = choice instanceof Choice.Refuse refuse ? refuse.retryAfterNanos() : 0;
     refused += counts(caller) ? 1 : 0;
-    if (caller.returns) {
+    if (caller.isRetry) {
       lost += counts(caller) ? 1 : 0;
       return;
     }
-    caller.returns = true;
-    long left = load.deadlineMillis();
-    at(now + returns.millis(left, retryAfterNanos / 1_000_000) / 1e3, () -> arrive(caller));
+    caller.isRetry = true;
+    long remaining = load.deadlineMillis();
+    at(now + returns.millis(remaining, retryAfterNanos / 1_000_000) / 1e3, () -> arrive(caller));
   }
 
   private long nowNanos() {
     return (long) (now * 1e9);
   }
 
-  private boolean turnsAway(Head head) {
-    boolean oneOfThem = head.number < turning.heads();
-    return oneOfThem && now >= turning.from() && now < turning.until();
+  private boolean rejects(Head head) {
+    boolean isRejecting = head.number < phase.heads();
+    return isRejecting && now >= phase.from() && now < phase.until();
   }
 
-  private void hearRefusal(Daemon daemon, Head head) {
-    if (ways.backsOff()) {
+  private void recordRejection(Daemon daemon, Head head) {
+    if (handling.backsOff()) {
       daemon.dispatcher.state(head.node.id()).requestRejected(nowNanos());
     }
-    NodeResponse said = new NodeResponse(503, true, false, turning.restMillis(), null, null);
-    daemon.gate.recordResponse(head.node.incarnation(), said, nowNanos());
+    NodeResponse response =
+        new NodeResponse(503, true, false, phase.retryAfterMillis(), null, null);
+    daemon.gate.recordResponse(head.node.incarnation(), response, nowNanos());
   }
 
   private void begin(Caller caller, Head head) {
     caller.daemon.dispatcher.state(head.node.id()).requestSent(nowNanos());
     caller.daemon.dispatcher.state(head.node.id()).requestAccepted();
-    caller.tokensToRead = caller.size.promptTokens();
-    caller.tokensToWrite = caller.size.answerTokens();
+    caller.tokensToPrefill = caller.size.promptTokens();
+    caller.tokensToDecode = caller.size.answerTokens();
     head.waiting.add(caller);
-    if (!head.works) {
+    if (!head.busy) {
       pass(head);
     }
   }
 
-  /** One pass: prompts are read as far as chunks allow, and each writer gets an event. */
+  /**
+   * Starts one pass: prompts are prefilled up to the chunk limits, and each decoding request gets
+   * an event.
+   */
   private void pass(Head head) {
     EngineSpec engine = load.engine();
-    while (!head.waiting.isEmpty() && head.reading.size() + head.writing.size() < engine.slots()) {
-      head.reading.add(head.waiting.poll());
+    while (!head.waiting.isEmpty()
+        && head.prefilling.size() + head.decoding.size() < engine.slots()) {
+      head.prefilling.add(head.waiting.poll());
     }
-    head.works = head.requests() > 0;
-    if (!head.works) {
+    head.busy = head.requests() > 0;
+    if (!head.busy) {
       return;
     }
     double room = (double) engine.chunk() * engine.stride();
-    double read = 0;
-    for (Caller caller : head.reading) {
-      double part = Math.min(caller.tokensToRead, room - read);
-      caller.tokensToRead -= part;
-      read += part;
+    double prefilled = 0;
+    for (Caller caller : head.prefilling) {
+      double part = Math.min(caller.tokensToPrefill, room - prefilled);
+      caller.tokensToPrefill -= part;
+      prefilled += part;
     }
-    List<Caller> writers = List.copyOf(head.writing);
-    double millis = read * 1e3 / engine.prefillTokensPerSecond() * load.model().timeFactor();
-    if (!writers.isEmpty()) {
-      millis += EngineTimes.passMillis(engine, load.model(), writers.size());
+    List<Caller> sequences = List.copyOf(head.decoding);
+    double millis = prefilled * 1e3 / engine.prefillTokensPerSecond() * load.model().timeFactor();
+    if (!sequences.isEmpty()) {
+      millis += EngineTimes.passMillis(engine, load.model(), sequences.size());
     }
-    at(now + millis / 1e3, () -> passEnds(head, writers));
+    at(now + millis / 1e3, () -> passEnds(head, sequences));
   }
 
-  private void passEnds(Head head, List<Caller> writers) {
-    for (Iterator<Caller> each = head.reading.iterator(); each.hasNext(); ) {
+  private void passEnds(Head head, List<Caller> sequences) {
+    for (Iterator<Caller> each = head.prefilling.iterator(); each.hasNext(); ) {
       Caller caller = each.next();
-      if (caller.tokensToRead <= 0) {
+      if (caller.tokensToPrefill <= 0) {
         each.remove();
         caller.firstAt = now + load.firstMillis() / 1e3;
-        head.writing.add(caller);
-        write(caller, head);
+        head.decoding.add(caller);
+        decode(caller, head);
       }
     }
-    writers.forEach(caller -> write(caller, head));
+    sequences.forEach(caller -> decode(caller, head));
     pass(head);
   }
 
-  private void write(Caller caller, Head head) {
-    caller.tokensToWrite -= load.engine().stride();
-    if (caller.tokensToWrite > 0) {
+  private void decode(Caller caller, Head head) {
+    caller.tokensToDecode -= load.engine().stride();
+    if (caller.tokensToDecode > 0) {
       return;
     }
-    head.writing.remove(caller);
+    head.decoding.remove(caller);
     caller.daemon.dispatcher.state(head.node.id()).requestEnded(true, false);
     if (!counts(caller)) {
       return;
@@ -395,18 +412,18 @@
     }
   }
 
-  /** Notes tell what all others have in flight, a moment ago. */
-  private void tell() {
-    at(now + NOTE_SECONDS, this::tell);
+  /** Reports the requests of all daemons to each daemon, with a random delay. */
+  private void exchangeMessages() {
+    at(now + MESSAGE_SECONDS, this::exchangeMessages);
     Set<String> refusing = new HashSet<>();
-    if (ways.tells()) {
+    if (handling.reports()) {
       daemons.forEach(daemon -> refusing.addAll(daemon.dispatcher.rejecting()));
     }
     for (Daemon daemon : daemons) {
       Map<String, Integer> others = new HashMap<>();
       heads.forEach(
           (id, head) -> others.put(id, head.requests() - daemon.dispatcher.state(id).inFlight()));
-      double delay = NOTE_DELAY_SECONDS * random.nextDouble();
+      double delay = MESSAGE_DELAY_SECONDS * random.nextDouble();
       at(
           now + delay,
           () -> {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/RejectingHeadsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/RejectingHeadsTest.java
@@ -9,8 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What callers get while five of twelve heads turn every request away for six seconds, in simulated
- * time. Such a head answers at once, so by its load it is the emptiest.
+ * Guards against daemons that keep sending to heads which reject every request: such heads respond
+ * at once, so they look idle. In simulated time, five of twelve heads reject everything for six
+ * seconds.
  */
 class RejectingHeadsTest {
 
@@ -34,18 +35,18 @@
 
   private static final int HEADS = 12;
   private static final int SEEDS = 6;
-  private static final LoadSimulation.Turning WITHOUT_REST =
-      new LoadSimulation.Turning(4, 10, 5, 0);
-  private static final LoadSimulation.Turning WITH_REST =
-      new LoadSimulation.Turning(4, 10, 5, 3_000);
+  private static final LoadSimulation.RejectionPhase WITHOUT_PAUSE =
+      new LoadSimulation.RejectionPhase(4, 10, 5, 0);
+  private static final LoadSimulation.RejectionPhase WITH_PAUSE =
+      new LoadSimulation.RejectionPhase(4, 10, 5, 3_000);
 
-  private static LoadSimulation.Returns built() {
-    RetryAfterPolicy times = new RetryAfterPolicy();
-    return times::nextMillis;
+  private static LoadSimulation.ReturnPolicy policy() {
+    RetryAfterPolicy retryAfter = new RetryAfterPolicy();
+    return retryAfter::nextMillis;
   }
 
   private static LoadSimulation.Outcome mean(
-      int daemons, LoadSimulation.Turning turning, LoadSimulation.Ways ways) {
+      int daemons, LoadSimulation.RejectionPhase phase, LoadSimulation.RejectionHandling handling) {
     LoadSimulation.Load load =
         new LoadSimulation.Load(ENGINE, MODEL, daemons, HEADS, second -> 120, 12, 120, 300, 6_000);
     double inTime = 0;
@@ -53,7 +54,7 @@
     double lost = 0;
     double refused = 0;
     for (int seed = 1; seed <= SEEDS; seed++) {
-      LoadSimulation.Outcome one = LoadSimulation.play(load, turning, ways, built(), seed);
+      LoadSimulation.Outcome one = LoadSimulation.simulate(load, phase, handling, policy(), seed);
       inTime += one.inTime() / SEEDS;
       late += one.late() / SEEDS;
       lost += one.lost() / SEEDS;
@@ -62,38 +63,37 @@
     return new LoadSimulation.Outcome(inTime, late, lost, refused);
   }
 
-  private static final LoadSimulation.Ways NOTHING = new LoadSimulation.Ways(false, false);
-  private static final LoadSimulation.Ways BACK_OFF = new LoadSimulation.Ways(true, false);
+  private static final LoadSimulation.RejectionHandling NO_BACKOFF =
+      new LoadSimulation.RejectionHandling(false, false);
+  private static final LoadSimulation.RejectionHandling BACKOFF =
+      new LoadSimulation.RejectionHandling(true, false);
 
-  /**
-   * The seven heads that serve carry all with ease, so nearly all should be in time. With 9
-   * daemons: 0.838 where nothing is made of being turned away (0.033 never served), 0.993 with
-   * back-off, 0.988 where daemons tell each other too.
-   */
+  /** The seven other heads have capacity for all callers. */
   @Test
-  void inASmallFleetBackOffAloneFindsTheHeadsThatServe() {
-    assertThat(mean(9, WITHOUT_REST, NOTHING).inTime()).isLessThan(0.9);
-    assertThat(mean(9, WITHOUT_REST, BACK_OFF).inTime()).isGreaterThan(0.95);
-    assertThat(mean(9, WITHOUT_REST, LoadSimulation.Ways.AS_BUILT).inTime()).isGreaterThan(0.95);
+  void backoffAloneSufficesInASmallFleet() {
+    assertThat(mean(9, WITHOUT_PAUSE, NO_BACKOFF).inTime()).isLessThan(0.9);
+    assertThat(mean(9, WITHOUT_PAUSE, BACKOFF).inTime()).isGreaterThan(0.95);
+    assertThat(mean(9, WITHOUT_PAUSE, LoadSimulation.RejectionHandling.FULL).inTime())
+        .isGreaterThan(0.95);
   }
 
-  /**
-   * Each of 78 daemons sends 1.5 requests a second, too few to find out by itself: 0.847 without
-   * anything, 0.903 with back-off (0.086 refused), 0.960 where they tell each other (0.018).
-   */
+  /** Each daemon sends too few requests to find the rejecting heads by itself. */
   @Test
-  void inALargeFleetDaemonsHaveToTellEachOther() {
-    assertThat(mean(78, WITHOUT_REST, NOTHING).inTime()).isLessThan(0.9);
-    double alone = mean(78, WITHOUT_REST, BACK_OFF).inTime();
-    double told = mean(78, WITHOUT_REST, LoadSimulation.Ways.AS_BUILT).inTime();
-    assertThat(told).isGreaterThan(0.95).isGreaterThan(alone + 0.02);
+  void largeFleetNeedsReportsBetweenDaemons() {
+    assertThat(mean(78, WITHOUT_PAUSE, NO_BACKOFF).inTime()).isLessThan(0.9);
+    double alone = mean(78, WITHOUT_PAUSE, BACKOFF).inTime();
+    double withReports = mean(78, WITHOUT_PAUSE, LoadSimulation.RejectionHandling.FULL).inTime();
+    assertThat(withReports).isGreaterThan(0.95).isGreaterThan(alone + 0.02);
   }
 
-  /** Where they ask each daemon for 3 s of rest: 0.956 alone, 0.970 told, with 78 daemons. */
+  /** The heads ask each daemon for a Retry-After pause of 3 s. */
   @Test
-  void headsThatAskForRestCostCallersLittle() {
-    assertThat(mean(9, WITH_REST, LoadSimulation.Ways.AS_BUILT).inTime()).isGreaterThan(0.95);
-    assertThat(mean(78, WITH_REST, LoadSimulation.Ways.AS_BUILT).inTime()).isGreaterThan(0.95);
-    assertThat(mean(78, WITH_REST, LoadSimulation.Ways.AS_BUILT).lost()).isLessThan(0.001);
+  void headsThatAskForAPauseCostCallersLittle() {
+    assertThat(mean(9, WITH_PAUSE, LoadSimulation.RejectionHandling.FULL).inTime())
+        .isGreaterThan(0.95);
+    assertThat(mean(78, WITH_PAUSE, LoadSimulation.RejectionHandling.FULL).inTime())
+        .isGreaterThan(0.95);
+    assertThat(mean(78, WITH_PAUSE, LoadSimulation.RejectionHandling.FULL).lost())
+        .isLessThan(0.001);
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/RetryAfterPolicyTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/RetryAfterPolicyTest.java
@@ -11,15 +11,15 @@
 import org.fawnvale.serving.core.model.RequestSize;
 import org.junit.jupiter.api.Test;
 
-/** When refused callers come back, and what they and the others get then. */
+/** When refused callers return, and how many callers are answered in time as a result. */
 class RetryAfterPolicyTest {
 
   private static final ModelSpec SMALL = new ModelSpec("small", 4, 0.5, 0.6, 12_000, 1_100);
 
-  /** Each request makes the steps of all others longer. */
+  /** Engines whose steps take longer with each request. */
   private static final EngineSpec STEEP = engine(24, 6.07, 0.341, 46_000);
 
-  /** Requests hardly make steps longer. */
+  /** Engines whose steps hardly depend on the number of requests. */
   private static final EngineSpec FLAT = engine(18, 5.95, 0.0445, 50_700);
 
   private static final int DAEMONS = 78;
@@ -53,12 +53,12 @@
     return second -> second >= 4 && second < 7 ? usual * times : usual;
   }
 
-  private static LongUnaryOperator timesHere() {
+  private static LongUnaryOperator policy() {
     RetryAfterPolicy times = new RetryAfterPolicy();
-    return patience -> times.nextMillis(patience, 0);
+    return remaining -> times.nextMillis(remaining, 0);
   }
 
-  private static LongUnaryOperator soon() {
+  private static LongUnaryOperator shortTimes() {
     Random random = new Random(3);
     return left -> 400 + random.nextInt(1_000);
   }
@@ -69,7 +69,7 @@
     double lost = 0;
     double refused = 0;
     for (int seed = 1; seed <= SEEDS; seed++) {
-      LoadSimulation.Outcome one = LoadSimulation.play(load, returns, seed);
+      LoadSimulation.Outcome one = LoadSimulation.simulate(load, returns, seed);
       inTime += one.inTime() / SEEDS;
       late += one.late() / SEEDS;
       lost += one.lost() / SEEDS;
@@ -78,32 +78,30 @@
     return new LoadSimulation.Outcome(inTime, late, lost, refused);
   }
 
-  /** Answered in time: 0.705 of the callers when they came back soon, 0.716 now; none lost. */
   @Test
-  void afterAHeavyBurstMoreCallersAreAnsweredInTimeThanIfTheyCameBackSoon() {
+  void afterAHeavyBurstMoreCallersAreInTimeThanWithShortRetryAfter() {
     LoadSimulation.Load heavy = load(STEEP, burst(150, 2.2));
-    LoadSimulation.Outcome before = mean(heavy, soon());
-    LoadSimulation.Outcome here = mean(heavy, timesHere());
-    assertThat(before.inTime()).isBetween(0.695, 0.715);
-    assertThat(here.inTime()).isBetween(0.71, 0.73);
-    assertThat(here.lost()).isZero();
+    LoadSimulation.Outcome withShortTimes = mean(heavy, shortTimes());
+    LoadSimulation.Outcome withPolicy = mean(heavy, policy());
+    assertThat(withShortTimes.inTime()).isBetween(0.695, 0.715);
+    assertThat(withPolicy.inTime()).isBetween(0.71, 0.73);
+    assertThat(withPolicy.lost()).isZero();
   }
 
-  /** 0.825 and 0.827; 0.871 both; with engines whose steps hardly grow 0.705 and 0.704. */
   @Test
-  void underOtherLoadsNobodyLosesByIt() {
+  void underOtherLoadsThePolicyIsNoWorse() {
     assertNoLoss(load(STEEP, burst(170, 1.7)));
     assertNoLoss(load(STEEP, second -> 230));
     assertNoLoss(load(FLAT, burst(190, 2.2)));
   }
 
   private static void assertNoLoss(LoadSimulation.Load load) {
-    double before = mean(load, soon()).inTime();
-    assertThat(mean(load, timesHere()).inTime()).isGreaterThan(before - 0.01);
+    double withShortTimes = mean(load, shortTimes()).inTime();
+    assertThat(mean(load, policy()).inTime()).isGreaterThan(withShortTimes - 0.01);
   }
 
   @Test
-  void thoseRefusedTogetherComeBackApartAndWithinTheTimeThatTheyHeed() {
+  void spreadsCallersWithinTheWaitThatTheyAccept() {
     RetryAfterPolicy times = new RetryAfterPolicy();
     int first = times.nextMillis(6_000, 0);
     int second = times.nextMillis(6_000, 0);
@@ -114,15 +112,15 @@
   }
 
   @Test
-  void whereUpstreamsRestCallersComeBackWhenTheFirstRestEnds() {
+  void callersReturnWhenTheFirstPauseEnds() {
     RetryAfterPolicy times = new RetryAfterPolicy();
     assertThat(times.nextMillis(6_000, 800)).isBetween(800, 1_275);
     assertThat(times.nextMillis(3_000, 940)).isBetween(940, 960);
   }
 
-  /** Another daemon may still be served: it was not asked for the same rest. */
+  /** Another daemon may still serve the caller, since the node may not have asked it to pause. */
   @Test
-  void aRestThatOutlastsWhatTheyHeedDoesNotCount() {
+  void pauseLongerThanTheAcceptedWaitIsIgnored() {
     assertThat(new RetryAfterPolicy().nextMillis(3_000, 3_000)).isBetween(720, 960);
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/StallDetectorTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/StallDetectorTest.java
@@ -8,7 +8,7 @@
 import org.fawnvale.serving.core.model.RequestSize;
 import org.junit.jupiter.api.Test;
 
-/** When a head that says nothing is held to stand still. */
+/** When a head without events counts as stalled. */
 class StallDetectorTest {
 
   private static final long MILLI = 1_000_000L;
@@ -32,18 +32,18 @@
 
   private final UpstreamState state = new UpstreamState();
 
-  private boolean stalledAt(long millis, boolean doubted) {
-    long patience = StallDetector.timeoutNanos(ENGINE, MODEL, 5);
-    return StallDetector.isStalled(state, patience, doubted, millis * MILLI);
+  private boolean stalledAt(long millis, boolean suspectedElsewhere) {
+    long timeout = StallDetector.timeoutNanos(ENGINE, MODEL, 5);
+    return StallDetector.isStalled(state, timeout, suspectedElsewhere, millis * MILLI);
   }
 
   @Test
-  void aPassThatReadsAsMuchAsItCanIsNoStall() {
+  void timeoutCoversAPassWithMaximalPrefill() {
     assertThat(StallDetector.timeoutNanos(ENGINE, MODEL, 5) / MILLI).isEqualTo(40 + 200 + 40);
   }
 
   @Test
-  void aHeadWhoseStreamsPauseLongerThanAnyPassStandsStill() {
+  void headWhoseStreamsPauseLongerThanAnyPassIsStalled() {
     state.requestSent(0);
     state.responseStarted();
     state.recordProgress(100 * MILLI);
@@ -52,25 +52,25 @@
   }
 
   @Test
-  void waitingForAFirstEventAloneTellsNothing() {
+  void missingFirstEventAloneIsNoStall() {
     state.requestSent(0);
     assertThat(stalledAt(10_000, false)).isFalse();
   }
 
   @Test
-  void whereOthersSeeItStandStillAFirstEventIsNotWaitedFor() {
+  void missingFirstEventIsAStallWhenOthersSuspectTheHead() {
     state.requestSent(0);
     assertThat(stalledAt(281, true)).isTrue();
   }
 
   @Test
-  void aDaemonThatHasJustStartedDoesNotJudge() {
+  void newlyStartedDaemonDoesNotJudge() {
     assertThat(StallDetector.isWarmedUp(1_000 * MILLI)).isFalse();
     assertThat(StallDetector.isWarmedUp(3_000 * MILLI)).isTrue();
   }
 
   @Test
-  void aHeadWithoutRequestsTellsNothing() {
+  void headWithoutRequestsIsNeverStalled() {
     assertThat(stalledAt(10_000, true)).isFalse();
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/explain/LogSummaryTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/explain/LogSummaryTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** From the logs of all daemons to a table of a day; the lines are like those of played days. */
+/** Summaries of log lines as daemons write them. */
 class LogSummaryTest {
 
   private final List<LogLine> log = new ArrayList<>();
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void loadsAndLateFirstEventsAreToldByModel() {
+  void reportsLoadsAndLateFirstEventsByModel() {
     line("10:00:00.100", "group=edge-1-k-1-4~i-a serves model=large");
     line("10:00:00.200", "request=r1 sent_to=i-a route=x why=first claim=FIRST load=0.20");
     line("10:00:00.300", "request=r2 sent_to=i-a route=x why=first claim=FIRST load=0.40");
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void groupsOutlastASpanUntilTheyAreDissolved() {
+  void groupsCountInLaterSpansUntilTheyAreDissolved() {
     line("10:00:00.100", "group=edge-1-k-1-4~i-a serves model=large");
     line("10:00:02.100", "request=r1 sent_to=i-a why=first load=0.20");
     line("10:00:04.100", "group=edge-1-k-1-4~i-a epoch=3 dissolved reason=its head stands still");
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void refusalsAreToldByReasonAndStallsAreCounted() {
+  void countsRefusalsByReasonAndStalls() {
     line("10:00:00.100", "request=r1 status=503 reason=every upstream is full node=null events=0");
     line("10:00:00.200", "request=r2 status=503 reason=no upstream serves node=null events=0");
     line("10:00:00.300", "request=r3 status=503 reason=every upstream is full node=null events=0");
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void linesWithoutATimeOfDayAreLeftOut() {
+  void ignoresLinesWithoutATimeOfDay() {
     line("yesterday", "group=edge-1-k-1-4~i-a serves model=large");
     assertThat(spans()).isEmpty();
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/explain/RequestTimelineTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/explain/RequestTimelineTest.java
@@ -7,22 +7,22 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** From a request's id to its cause; the lines are like those of played days. */
+/** From a request's id to its timeline and likely cause; the lines are as daemons write them. */
 class RequestTimelineTest {
 
   private final List<LogLine> log = new ArrayList<>();
 
-  private void line(String time, String daemon, String part, String message) {
-    log.add(new LogLine(time, daemon, part, message));
+  private void line(String time, String daemon, String component, String message) {
+    log.add(new LogLine(time, daemon, component, message));
   }
 
-  private RequestTimeline story(String id) {
+  private RequestTimeline timeline(String id) {
     Collections.reverse(log);
     return RequestTimeline.of(id, log);
   }
 
   @Test
-  void aStreamThatBrokeSinceItsGroupStoodStillIsToldInOrderAcrossDaemons() {
+  void timelineOfAStreamWhoseGroupStalledCoversAllDaemonsInOrder() {
     line("10.0", "edge-1", "gateway", "request=r1 sent_to=i-a route=x why=first");
     line("10.1", "edge-1", "gateway", "request=r2 sent_to=i-b route=x why=first");
     line("10.4", "edge-2", "gateway", "node=i-a outcome=stands_still silent_ms=179");
@@ -33,30 +33,30 @@
         "gateway",
         "request=r1 status=502 reason=every upstream is full node=i-a");
     line("11.0", "edge-3", "formation", "node=i-a order=JOIN outcome=BEGUN");
-    RequestTimeline story = story("r1");
-    assertThat(story.lines())
+    RequestTimeline timeline = timeline("r1");
+    assertThat(timeline.lines())
         .extracting(LogLine::time)
         .containsExactly("10.0", "10.4", "10.5", "10.6");
-    assertThat(story.cause()).isEqualTo(LikelyCause.MEMBER_LOST);
+    assertThat(timeline.cause()).isEqualTo(LikelyCause.MEMBER_LOST);
   }
 
   @Test
-  void aRefusalWhereEveryUpstreamWasFullIsOverload() {
+  void refusalWithAllUpstreamsFullIsOverload() {
     line(
         "10.0",
         "edge-1",
         "gateway",
         "request=r1 status=503 reason=every upstream is full node=null");
-    assertThat(story("r1").cause()).isEqualTo(LikelyCause.OVERLOAD);
+    assertThat(timeline("r1").cause()).isEqualTo(LikelyCause.OVERLOAD);
   }
 
   private LikelyCause causeOfRefusal(String request, String reason) {
     line("10.0", "edge-1", "gateway", "request=" + request + " status=503 reason=" + reason);
-    return story(request).cause();
+    return timeline(request).cause();
   }
 
   @Test
-  void aRefusalByTheNodesOwnWordIsNoOverload() {
+  void refusalThatNodesAskedForIsNoOverload() {
     assertThat(causeOfRefusal("r1", "every upstream is at its limit node=null"))
         .isEqualTo(LikelyCause.AT_LIMITS);
     assertThat(causeOfRefusal("r2", "every upstream rests or was tried node=null"))
@@ -66,33 +66,33 @@
   }
 
   @Test
-  void anUnsafeCallWhoseConnectionBrokeSaysSo() {
+  void failureAfterABrokenConnectionIsConnectionBroken() {
     line("10.0", "edge-1", "gateway", "request=r1 sent_to=i-a why=first");
     line("10.1", "edge-1", "gateway", "request=r1 node=i-a failure=BROKEN cause=Connection reset");
     line("10.2", "edge-1", "gateway", "request=r1 status=502 reason=connection broken node=i-a");
-    assertThat(story("r1").cause()).isEqualTo(LikelyCause.CONNECTION_BROKEN);
+    assertThat(timeline("r1").cause()).isEqualTo(LikelyCause.CONNECTION_BROKEN);
   }
 
   @Test
-  void aMissingRouteIsNotTheUpstreamsFault() {
+  void missingRouteIsNotAllowed() {
     line("10.0", "edge-1", "gateway", "request=r1 status=404 reason=no route, configuration 4");
-    assertThat(story("r1").cause()).isEqualTo(LikelyCause.NOT_ALLOWED);
+    assertThat(timeline("r1").cause()).isEqualTo(LikelyCause.NOT_ALLOWED);
   }
 
   @Test
-  void aRequestWithoutAnEndIsUnknown() {
+  void requestWithoutAnEndIsUnknown() {
     line("10.0", "edge-1", "gateway", "request=r1 sent_to=i-a why=first");
-    assertThat(story("r1").cause()).isEqualTo(LikelyCause.UNKNOWN);
+    assertThat(timeline("r1").cause()).isEqualTo(LikelyCause.UNKNOWN);
   }
 
   @Test
-  void aRequestThatNoLineNamesHasNoStory() {
+  void requestThatNoLineNamesHasNoTimeline() {
     line("10.0", "edge-1", "gateway", "request=r10 sent_to=i-a why=first");
-    assertThat(story("r1")).isNull();
+    assertThat(timeline("r1")).isNull();
   }
 
   @Test
-  void valuesMayHoldBlanks() {
+  void valuesMayContainSpaces() {
     LogLine line = new LogLine("1", "d", "gateway", "request=r1 reason=caller left node=null");
     assertThat(line.value("reason")).isEqualTo("caller left");
     assertThat(line.value("absent")).isNull();
