--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
@@ -65,7 +65,7 @@
   private Set<String> reportedRejecting = Set.of();
   private final Random random;
   private final UpstreamGate gate;
-  private final LongSupplier steadyNanos;
+  private final LongSupplier monotonicNanos;
   private int daemonCount = 1;
 
   private record Key(String service, String model) {}
@@ -75,10 +75,10 @@
    *
    * @param dataCentre the data centre whose upstreams are preferred
    * @param gate decides which upstreams accept requests
-   * @param steadyNanos the monotonic clock, in nanoseconds
+   * @param monotonicNanos the monotonic clock, in nanoseconds
    */
-  public Dispatcher(String dataCentre, UpstreamGate gate, LongSupplier steadyNanos) {
-    this(dataCentre, new Random(), gate, steadyNanos);
+  public Dispatcher(String dataCentre, UpstreamGate gate, LongSupplier monotonicNanos) {
+    this(dataCentre, new Random(), gate, monotonicNanos);
   }
 
   /**
@@ -87,13 +87,13 @@
    * @param dataCentre the data centre whose upstreams are preferred
    * @param random draws the sampled upstreams
    * @param gate decides which upstreams accept requests
-   * @param steadyNanos the monotonic clock, in nanoseconds
+   * @param monotonicNanos the monotonic clock, in nanoseconds
    */
-  Dispatcher(String dataCentre, Random random, UpstreamGate gate, LongSupplier steadyNanos) {
+  Dispatcher(String dataCentre, Random random, UpstreamGate gate, LongSupplier monotonicNanos) {
     this.dataCentre = dataCentre;
     this.random = random;
     this.gate = gate;
-    this.steadyNanos = steadyNanos;
+    this.monotonicNanos = monotonicNanos;
   }
 
   /**
@@ -139,7 +139,7 @@
   }
 
   /**
-   * Tells whether an upstream's data centre can be reachableNodes.
+   * Tells whether an upstream's data centre can be reached.
    *
    * @param node the upstream
    * @return true when it can be reachableNodes
@@ -195,7 +195,7 @@
    * @return their ids
    */
   public List<String> rejecting() {
-    long now = steadyNanos.getAsLong();
+    long now = monotonicNanos.getAsLong();
     List<String> rejecting = new ArrayList<>();
     for (List<Node> nodes : serving.values()) {
       for (Node node : nodes) {
@@ -249,7 +249,7 @@
    * @return the choice
    */
   public Choice choose(DispatchRequest request, Set<String> excluded) {
-    long now = steadyNanos.getAsLong();
+    long now = monotonicNanos.getAsLong();
     List<Node> candidates = candidates(request);
     List<Node> usable = new ArrayList<>();
     List<Node> accepting = new ArrayList<>();
@@ -293,7 +293,7 @@
       return new Choice.Refuse("every upstream is full", UpstreamGate.NOW);
     }
     boolean needsPermit =
-        gate.limits().room(best, steadyNanos.getAsLong()) == SharedLimits.Room.ASK;
+        gate.limits().room(best, monotonicNanos.getAsLong()) == SharedLimits.Room.ASK;
     return new Choice.Send(best, load(best), needsPermit);
   }
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadSimulation.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadSimulation.java
@@ -292,13 +292,13 @@
 
   private void arrive(Caller caller) {
     caller.daemon = daemons.get(random.nextInt(daemons.size()));
-    DispatchRequest.AdmissionClass claim =
+    DispatchRequest.AdmissionClass admissionClass =
         caller.isRetry
             ? DispatchRequest.AdmissionClass.RETURNING
             : DispatchRequest.AdmissionClass.FIRST;
-    DispatchRequest demand = new DispatchRequest("engines", load.model().name(), claim);
+    DispatchRequest request = new DispatchRequest("engines", load.model().name(), admissionClass);
     Set<String> tried = new HashSet<>();
-    Choice choice = caller.daemon.dispatcher.choose(demand, tried);
+    Choice choice = caller.daemon.dispatcher.choose(request, tried);
     while (choice instanceof Choice.Send send && tried.size() <= MAX_REJECTIONS) {
       Head head = heads.get(send.node().id());
       if (!rejects(head)) {
@@ -307,7 +307,7 @@
       }
       tried.add(send.node().id());
       recordRejection(caller.daemon, head);
-      choice = caller.daemon.dispatcher.choose(demand, tried);
+      choice = caller.daemon.dispatcher.choose(request, tried);
     }
     long retryAfterNanos = choice instanceof Choice.Refuse refuse ? refuse.retryAfterNanos() : 0;
     refused += counts(caller) ? 1 : 0;
