--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -347,7 +347,7 @@
     ModelSpec model = engine == null ? null : engine.model(demand.model());
     if (engine != null && model != null && demand.admissionClass() == DispatchRequest.AdmissionClass.FIRST) {
       double work = EngineTimes.workMillis(engine, model, request.size());
-      offeredWork.record(model.name(), work, request.receivedNanos());
+      offeredWork.recordWork(model.name(), work, request.receivedNanos());
     }
   }
 
