--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulation.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulation.java
@@ -188,11 +188,11 @@
   }
 
   /** The two sides can't reach each other; both still reach the node. */
-  private void setPartition(boolean cut) {
+  private void setPartition(boolean partitioned) {
     for (int number = 0; number < daemons.size(); number++) {
-      daemons.get(number).side = cut && number % DATA_CENTRES == 1 ? 1 : 0;
+      daemons.get(number).side = partitioned && number % DATA_CENTRES == 1 ? 1 : 0;
     }
-    schedule(now + (cut ? TIMEOUT_NANOS : MESSAGE_NANOS), this::updateReachable);
+    schedule(now + (partitioned ? TIMEOUT_NANOS : MESSAGE_NANOS), this::updateReachable);
   }
 
   /** Sends the limits of each daemon to the others, at random in one of ten rounds. */
@@ -209,7 +209,7 @@
   }
 
   private void deliver(Daemon to, List<LimitUpdate> updates) {
-    updates.forEach(note -> to.limits.merge(note, now));
+    updates.forEach(update -> to.limits.merge(update, now));
   }
 
   private void arrive() {
