--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/KnownLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/KnownLimits.java
@@ -222,8 +222,8 @@
   }
 
   /**
-   * Tells whether a response has added or lowered a limit since the last call, which other daemons
-   * must know at once. Raised and ended limits can wait for the next regular message.
+   * Tells whether a response has added or lowered a limit since the last call. Other daemons must
+   * receive such a change at once; raised and ended limits can wait for the next regular message.
    */
   public boolean takeUrgent() {
     boolean wasUrgent = urgent;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/LimitUpdate.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/LimitUpdate.java
@@ -7,10 +7,10 @@
  *
  * @param incarnation the incarnation of the node
  * @param version counts the known changes of this incarnation's limit; of two updates, the one with
- *     the higher version was made with knowledge of the other
+ *     the higher version was made with knowledge of the other one
  * @param perSecond the requests per second that the node accepts from all daemons together; {@link
  *     #UNLIMITED} when it advertises no limit any more
- * @param ageMillis time since a daemon last received a response that confirms the limit, in
+ * @param ageMillis the time since a daemon last received a response that confirms the limit, in
  *     milliseconds
  */
 public record LimitUpdate(NodeLife incarnation, int version, double perSecond, long ageMillis) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/Quarantine.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/Quarantine.java
@@ -243,8 +243,8 @@
   }
 
   /**
-   * Tells whether this daemon has observed a failure or a response since the last call that other
-   * daemons must know at once.
+   * Tells whether this daemon has observed a failure or a response since the last call. Other
+   * daemons must receive it at once.
    */
   public boolean takeUrgent() {
     boolean wasUrgent = urgent;
@@ -288,8 +288,8 @@
   }
 
   /**
-   * Removes the first record if it has expired, and the oldest record with the fewest failures if
-   * there are too many.
+   * Removes the record that was added first if it has expired. If there are too many records,
+   * removes the oldest of those with the fewest failures.
    */
   private void evict(long nowNanos) {
     Entry oldest = entries.values().iterator().next();
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/PollIntervals.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/PollIntervals.java
@@ -46,8 +46,8 @@
    * @param drainMillis the time after a node starts to drain within which all daemons must stop
    *     sending to it, in milliseconds
    */
-  public PollIntervals(int leavingMillis) {
-    this.drainMillis = leavingMillis;
+  public PollIntervals(int drainMillis) {
+    this.drainMillis = drainMillis;
   }
 
   /**
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreOutages.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreOutages.java
@@ -12,14 +12,14 @@
 public final class StoreOutages {
 
   /**
-   * Time in which an entry can expire: three heartbeats of 1.2 s, the first of which may have been
-   * due just before the outage.
+   * The shortest outage in which an entry can expire: three heartbeats of 1.2 s, the first of which
+   * may have been due just before the outage.
    */
   private static final long MIN_EXPIRY_NANOS = 2_400_000_000L;
 
   /**
-   * How long after an outage missing entries may have expired: the first responses show them
-   * missing.
+   * How long after a fleet-wide outage the store's responses may lack entries that expired during
+   * it.
    */
   private static final long RECOVERY_NANOS = 2_000_000_000L;
 
@@ -41,19 +41,20 @@
   /**
    * Records an observation; to be called regularly.
    *
-   * @param answersHere whether the store answers this daemon
-   * @param answersOthers whether the store answers any other daemon, as they report
-   * @param lastAnswerNanos the monotonic time of the store's last response to this daemon
+   * @param reachableHere whether the store answers this daemon
+   * @param reachableElsewhere whether the store answers any other daemon, as reported by the
+   *     daemons
+   * @param responseNanos the monotonic time of the store's last response to this daemon
    * @param nowNanos the monotonic time
    */
   public void observe(
-      boolean answersHere, boolean answersOthers, long lastAnswerNanos, long nowNanos) {
-    if (!answersHere) {
+      boolean reachableHere, boolean reachableElsewhere, long responseNanos, long nowNanos) {
+    if (!reachableHere) {
       if (!unavailable) {
-        startOutage(lastAnswerNanos);
+        startOutage(responseNanos);
       }
       observations++;
-      observationsWithOthers += answersOthers ? 1 : 0;
+      observationsWithOthers += reachableElsewhere ? 1 : 0;
     } else if (unavailable) {
       wasFleetWide = isFleetWide(nowNanos);
       returnedNanos = nowNanos;
@@ -61,9 +62,9 @@
     }
   }
 
-  private void startOutage(long lastAnswerNanos) {
+  private void startOutage(long responseNanos) {
     unavailable = true;
-    lastResponseNanos = lastAnswerNanos;
+    lastResponseNanos = responseNanos;
     observations = 0;
     observationsWithOthers = 0;
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/PartitionedDataCentreTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/peer/PartitionedDataCentreTest.java
@@ -36,7 +36,7 @@
 
   private static final class Daemon {
     final String name;
-    final LeaderElection leadership;
+    final LeaderElection election;
     final StoreSuspicion suspicion = new StoreSuspicion();
     long callStartedNanos = -1;
     long failedNanos = Long.MIN_VALUE / 2;
@@ -44,7 +44,7 @@
 
     Daemon(int number) {
       name = String.format("d%02d", number);
-      leadership = new LeaderElection(name, "cut");
+      election = new LeaderElection(name, "cut");
     }
 
     /** A call fails after the timeout. */
@@ -81,13 +81,13 @@
 
   private void step(Daemon daemon, boolean useSuspicion) {
     boolean peerHasLost =
-        daemon.leadership.live(now).values().stream()
+        daemon.election.live(now).values().stream()
             .anyMatch(message -> message.eligibility() == LeaderEligibility.WITHOUT_STORE);
     daemon.suspicion.updatePeers(peerHasLost, now);
     boolean answers =
         !daemon.hasFailedRecently(now) && (!useSuspicion || daemon.suspicion.isCleared(-1));
     daemon.eligibility = answers ? LeaderEligibility.ELIGIBLE : LeaderEligibility.WITHOUT_STORE;
-    boolean leads = daemon.leadership.decide(daemon.eligibility, now);
+    boolean leads = daemon.election.decide(daemon.eligibility, now);
     daemon.call(leads && isPartitioned, now);
     if (leads) {
       leaders.add(daemon.name);
@@ -101,9 +101,9 @@
             from.name,
             "cut",
             1,
-            from.leadership.term(),
-            from.leadership.leader(),
-            from.leadership.highestClaim(),
+            from.election.term(),
+            from.election.leader(),
+            from.election.highestClaim(),
             from.eligibility,
             true,
             Map.of(),
@@ -114,7 +114,7 @@
             List.of());
     for (Daemon to : daemons) {
       if (to != from) {
-        to.leadership.receive(message, now);
+        to.election.receive(message, now);
       }
     }
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/StoreOutagesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/StoreOutagesTest.java
@@ -11,20 +11,20 @@
 class StoreOutagesTest {
 
   private static final long MILLI = 1_000_000L;
-  private static final int STEP = 50;
+  private static final int STEP_MILLIS = 50;
 
   private final StoreOutages outages = new StoreOutages();
   private int now;
 
   private void observe(int millis, boolean here, boolean others) {
-    int lastAnswer = now;
-    for (int until = now + millis; now < until; now += STEP) {
-      lastAnswer = here ? now : lastAnswer;
-      outages.observe(here, others, lastAnswer * MILLI, now * MILLI);
+    int lastResponse = now;
+    for (int until = now + millis; now < until; now += STEP_MILLIS) {
+      lastResponse = here ? now : lastResponse;
+      outages.observe(here, others, lastResponse * MILLI, now * MILLI);
     }
   }
 
-  private boolean mayHaveLapsed() {
+  private boolean mayHaveExpired() {
     return outages.mayHaveExpired(now * MILLI);
   }
 
@@ -32,15 +32,15 @@
   void entryIsGoneWhenOthersReachStore() {
     observe(1_000, true, true);
     observe(4_000, false, true);
-    assertThat(mayHaveLapsed()).isFalse();
+    assertThat(mayHaveExpired()).isFalse();
     observe(100, true, true);
-    assertThat(mayHaveLapsed()).isFalse();
+    assertThat(mayHaveExpired()).isFalse();
   }
 
   @Test
   void entryIsGoneWhenThisDaemonReachesStore() {
     observe(5_000, true, true);
-    assertThat(mayHaveLapsed()).isFalse();
+    assertThat(mayHaveExpired()).isFalse();
   }
 
   @Test
@@ -48,9 +48,9 @@
     observe(1_000, true, true);
     observe(500, false, true);
     observe(3_500, false, false);
-    assertThat(mayHaveLapsed()).isTrue();
+    assertThat(mayHaveExpired()).isTrue();
     observe(200, true, true);
-    assertThat(mayHaveLapsed()).isTrue();
+    assertThat(mayHaveExpired()).isTrue();
   }
 
   @Test
@@ -60,7 +60,7 @@
     observe(3_000, false, false);
     observe(800, false, true);
     observe(50, true, true);
-    assertThat(mayHaveLapsed()).isTrue();
+    assertThat(mayHaveExpired()).isTrue();
   }
 
   @Test
@@ -68,15 +68,15 @@
     observe(1_000, true, true);
     observe(4_000, false, false);
     observe(2_100, true, true);
-    assertThat(mayHaveLapsed()).isFalse();
+    assertThat(mayHaveExpired()).isFalse();
   }
 
   @Test
   void shortOutageExpiresNoEntry() {
     observe(1_000, true, true);
     observe(2_000, false, false);
-    assertThat(mayHaveLapsed()).isFalse();
+    assertThat(mayHaveExpired()).isFalse();
     observe(50, true, true);
-    assertThat(mayHaveLapsed()).isFalse();
+    assertThat(mayHaveExpired()).isFalse();
   }
 }
