--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
@@ -107,6 +107,7 @@
     return apply(update.incarnation(), knownLimits.merge(update, nowNanos));
   }
 
+  /** Drops the token bucket, the permits and the retry time that a change makes obsolete. */
   private KnownLimits.Change apply(NodeLife incarnation, KnownLimits.Change change) {
     if (change == KnownLimits.Change.ENDED) {
       buckets.remove(incarnation);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StorePosition.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StorePosition.java
@@ -33,7 +33,7 @@
     return isKnown() && other.isKnown() && era.equals(other.era);
   }
 
-  /** Returns the later one of two positions; this one if neither is later. */
+  /** Returns the later one of two positions, or this one if neither is later. */
   public StorePosition orLater(StorePosition other) {
     return other.isAfter(this) ? other : this;
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreSuspicion.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreSuspicion.java
@@ -33,7 +33,8 @@
    * Tells whether the daemon can rely on the store.
    *
    * @param lastResponseNanos the monotonic time of the store's last response to this daemon
-   * @return false from the loss that a peer reported until the next response
+   * @return false after a peer has lost the store, until the store responds to this daemon or no
+   *     peer reports the loss any more
    */
   public boolean isCleared(long lastResponseNanos) {
     return !peerHasLostStore || lastResponseNanos > sinceNanos;
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulation.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulation.java
@@ -113,14 +113,14 @@
     }
   }
 
-  private SharedLimitSimulation(Scenario load, Strategy way, long seed) {
-    this.scenario = load;
-    this.strategy = way;
+  private SharedLimitSimulation(Scenario scenario, Strategy strategy, long seed) {
+    this.scenario = scenario;
+    this.strategy = strategy;
     this.random = new Random(seed);
   }
 
-  static Outcome run(Scenario load, Strategy way, long seed) {
-    return new SharedLimitSimulation(load, way, seed).run();
+  static Outcome run(Scenario scenario, Strategy strategy, long seed) {
+    return new SharedLimitSimulation(scenario, strategy, seed).run();
   }
 
   private Outcome run() {
@@ -141,15 +141,15 @@
     }
     long end = (60 + scenario.seconds()) * SECOND;
     while (!events.isEmpty() && events.peek().at() < end) {
-      Event due = events.poll();
-      now = due.at();
-      due.action().run();
+      Event event = events.poll();
+      now = event.at();
+      event.action().run();
     }
     return outcome(63 * SECOND, end);
   }
 
-  private void schedule(long time, Runnable what) {
-    events.add(new Event(time, what));
+  private void schedule(long time, Runnable action) {
+    events.add(new Event(time, action));
   }
 
   private Outcome outcome(long from, long end) {
@@ -195,7 +195,7 @@
     schedule(now + (partitioned ? TIMEOUT_NANOS : MESSAGE_NANOS), this::updateReachable);
   }
 
-  /** Sends the limits of each daemon to the others, at random in one of ten rounds. */
+  /** Sends the limits of each daemon to the others, on average in one of ten rounds. */
   private void exchange() {
     schedule(now + MESSAGE_NANOS, this::exchange);
     Set<Daemon> alive = new HashSet<>(daemons);
@@ -245,7 +245,7 @@
         }
       }
       case EXHAUSTED -> {
-        // The caller is refused.
+        // The request is rejected.
       }
     }
   }
@@ -253,16 +253,16 @@
   private void requestPermit(Daemon daemon) {
     String name = daemon.limits.ownerOf(node).name();
     Daemon owner = daemons.get(Integer.parseInt(name.substring(1)));
-    LimitUpdate known = daemon.limits.updateFor(node.life(), now);
+    LimitUpdate update = daemon.limits.updateFor(node.life(), now);
     long delay = (1 + random.nextInt(4)) * MILLI;
-    if (!owner.alive || owner.side != daemon.side || known == null) {
+    if (!owner.alive || owner.side != daemon.side || update == null) {
       daemon.limits.permitDenied(node.life(), 300 * MILLI, now);
       return;
     }
     schedule(
         now + delay,
         () -> {
-          owner.limits.merge(known, now);
+          owner.limits.merge(update, now);
           SharedLimits.Reply reply =
               owner.limits.requestPermit(node.life(), node.dataCentre(), now);
           schedule(now + delay, () -> receiveReply(daemon, reply));
@@ -279,16 +279,16 @@
     }
   }
 
-  private void sendIf(Daemon daemon, boolean goes) {
-    if (!goes) {
+  private void sendIf(Daemon daemon, boolean mayBeSent) {
+    if (!mayBeSent) {
       return;
     }
     arrivals.add(now);
-    int stamp = daemon.limits.knownLimits().version(node.life());
-    NodeAnswer answer =
+    int version = daemon.limits.knownLimits().version(node.life());
+    NodeAnswer response =
         new NodeAnswer(200, false, false, 0, null, StatedLimit.of(scenario.limit(), "named"));
     schedule(
         now + ANSWER_NANOS,
-        () -> daemon.limits.recordResponse(node.life(), answer, stamp, true, now));
+        () -> daemon.limits.recordResponse(node.life(), response, version, true, now));
   }
 }
