--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/DigestCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/DigestCodec.java
@@ -18,10 +18,10 @@
     packer.packString(digest.dataCentre());
     packer.packString(digest.relay());
     packer.packLong(digest.sequence());
-    NoteCodec.writeCounts(packer, digest.inFlight());
-    NoteCodec.writeWork(packer, digest.offeredWork());
-    NoteCodec.writeStrings(packer, digest.suspects());
-    NoteCodec.writeStrings(packer, digest.refusing());
+    PeerMessageCodec.writeCounts(packer, digest.inFlight());
+    PeerMessageCodec.writeWork(packer, digest.offeredWork());
+    PeerMessageCodec.writeStrings(packer, digest.suspects());
+    PeerMessageCodec.writeStrings(packer, digest.refusing());
     packer.packBoolean(digest.served());
     packer.packArrayHeader(digest.members().size());
     for (DataCentreDigest.Member member : digest.members()) {
@@ -36,10 +36,10 @@
     String dataCentre = in.unpackString();
     String relay = in.unpackString();
     long sequence = in.unpackLong();
-    Map<String, Integer> inFlight = NoteCodec.readCounts(in);
-    Map<String, Double> offeredWork = NoteCodec.readWork(in);
-    List<String> suspects = NoteCodec.readStrings(in);
-    List<String> refusing = NoteCodec.readStrings(in);
+    Map<String, Integer> inFlight = PeerMessageCodec.readCounts(in);
+    Map<String, Double> offeredWork = PeerMessageCodec.readWork(in);
+    List<String> suspects = PeerMessageCodec.readStrings(in);
+    List<String> refusing = PeerMessageCodec.readStrings(in);
     boolean served = in.unpackBoolean();
     List<DataCentreDigest.Member> members = new ArrayList<>();
     int count = in.unpackArrayHeader();
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerLink.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerLink.java
@@ -29,13 +29,13 @@
   private final DatagramSocket socket;
   private final Settings settings;
   private final Object guard;
-  private final Consumer<NoteCodec.Datagram> heard;
+  private final Consumer<PeerMessageCodec.Datagram> heard;
   private final Map<String, Long> lastHeard = new LinkedHashMap<>();
   private int turn;
   private long sent;
 
   private PeerLink(
-      Settings settings, Object guard, DatagramSocket socket, Consumer<NoteCodec.Datagram> heard) {
+      Settings settings, Object guard, DatagramSocket socket, Consumer<PeerMessageCodec.Datagram> heard) {
     this.settings = settings;
     this.guard = guard;
     this.socket = socket;
@@ -51,7 +51,7 @@
    * @return the link
    * @throws IOException when the port can't be bound
    */
-  static PeerLink open(Settings settings, Object guard, Consumer<NoteCodec.Datagram> heard)
+  static PeerLink open(Settings settings, Object guard, Consumer<PeerMessageCodec.Datagram> heard)
       throws IOException {
     InetSocketAddress address = new InetSocketAddress(settings.address(), settings.peerPort());
     DatagramSocket socket = new DatagramSocket(address);
@@ -74,7 +74,7 @@
       DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
       try {
         socket.receive(packet);
-        NoteCodec.Datagram datagram = NoteCodec.read(buffer, packet.getLength());
+        PeerMessageCodec.Datagram datagram = PeerMessageCodec.read(buffer, packet.getLength());
         synchronized (guard) {
           take(datagram);
         }
@@ -88,7 +88,7 @@
     }
   }
 
-  private void take(NoteCodec.Datagram datagram) {
+  private void take(PeerMessageCodec.Datagram datagram) {
     String address = datagram.note().address();
     if (address.equals(settings.address())) {
       return;
@@ -133,12 +133,12 @@
    * @param datagram the note
    * @param targets their addresses
    */
-  void send(NoteCodec.Datagram datagram, Set<String> targets) {
+  void send(PeerMessageCodec.Datagram datagram, Set<String> targets) {
     if (targets.isEmpty()) {
       return;
     }
     try {
-      byte[] bytes = NoteCodec.write(datagram);
+      byte[] bytes = PeerMessageCodec.write(datagram);
       targets.forEach(address -> sendTo(address, bytes));
     } catch (IOException e) {
       LOG.warn("The note could not be written: {}.", e.toString());
@@ -151,7 +151,7 @@
    * @param datagram the note
    * @param live addresses of the daemons that are alive
    */
-  void sendToUnheard(NoteCodec.Datagram datagram, Set<String> live) {
+  void sendToUnheard(PeerMessageCodec.Datagram datagram, Set<String> live) {
     turn++;
     long now = System.nanoTime();
     lastHeard
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/NoteCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerMessageCodec.java
@@ -17,11 +17,11 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** Notes between daemons as MessagePack. */
-final class NoteCodec {
+final class PeerMessageCodec {
 
   private static final int FORMAT = 9;
 
-  private NoteCodec() {}
+  private PeerMessageCodec() {}
 
   /**
    * What a datagram holds.
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -118,7 +118,7 @@
     return peers;
   }
 
-  private void hear(NoteCodec.Datagram datagram) {
+  private void hear(PeerMessageCodec.Datagram datagram) {
     long now = System.nanoTime();
     everHeard.add(datagram.note().name());
     servedElsewhere |= datagram.note().served();
@@ -227,12 +227,12 @@
     List<LimitUpdate> limits = shared.limits(relays);
     List<String> addresses = link.addresses();
     link.send(
-        new NoteCodec.Datagram(
+        new PeerMessageCodec.Datagram(
             note, places, addresses, relays ? heardDigests() : List.of(), records, limits),
         intersection(targets, near));
     targets.removeAll(near);
     link.send(
-        new NoteCodec.Datagram(
+        new PeerMessageCodec.Datagram(
             note,
             places,
             addresses,
@@ -241,7 +241,7 @@
             limits),
         targets);
     link.sendToUnheard(
-        new NoteCodec.Datagram(note, places, addresses, List.of(), records, limits), known);
+        new PeerMessageCodec.Datagram(note, places, addresses, List.of(), records, limits), known);
   }
 
   private static Set<String> intersection(Set<String> targets, Set<String> near) {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/NoteCodecTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/PeerMessageCodecTest.java
@@ -20,10 +20,10 @@
 import org.junit.jupiter.api.Test;
 
 /** A note comes out as it went in. */
-class NoteCodecTest {
+class PeerMessageCodecTest {
 
-  private static final NoteCodec.Datagram DATAGRAM =
-      new NoteCodec.Datagram(
+  private static final PeerMessageCodec.Datagram DATAGRAM =
+      new PeerMessageCodec.Datagram(
           new PeerMessage(
               "edge-1",
               "127.0.0.1",
@@ -66,23 +66,23 @@
 
   @Test
   void whatIsWrittenIsRead() throws IOException {
-    byte[] bytes = NoteCodec.write(DATAGRAM);
-    assertThat(NoteCodec.read(bytes, bytes.length)).isEqualTo(DATAGRAM);
+    byte[] bytes = PeerMessageCodec.write(DATAGRAM);
+    assertThat(PeerMessageCodec.read(bytes, bytes.length)).isEqualTo(DATAGRAM);
   }
 
   @Test
   void anUnknownFormatIsRefused() throws IOException {
-    byte[] bytes = NoteCodec.write(DATAGRAM);
+    byte[] bytes = PeerMessageCodec.write(DATAGRAM);
     bytes[0] = 10;
-    assertThatThrownBy(() -> NoteCodec.read(bytes, bytes.length)).hasMessageContaining("Format 10");
+    assertThatThrownBy(() -> PeerMessageCodec.read(bytes, bytes.length)).hasMessageContaining("Format 10");
   }
 
   @Test
   void everyShortenedNoteIsRefused() throws IOException {
-    byte[] bytes = NoteCodec.write(DATAGRAM);
+    byte[] bytes = PeerMessageCodec.write(DATAGRAM);
     for (int length = 0; length < bytes.length; length++) {
       int cut = length;
-      assertThatThrownBy(() -> NoteCodec.read(bytes, cut)).isInstanceOf(Exception.class);
+      assertThatThrownBy(() -> PeerMessageCodec.read(bytes, cut)).isInstanceOf(Exception.class);
     }
   }
 }
