--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerMessageCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerMessageCodec.java
@@ -72,7 +72,7 @@
       for (DataCentreDigest digest : datagram.digests()) {
         DigestCodec.write(packer, digest);
       }
-      RecordCodec.write(packer, datagram.records());
+      QuarantineRecordCodec.write(packer, datagram.records());
       LimitNoteCodec.write(packer, datagram.limits());
       return packer.toByteArray();
     }
@@ -167,7 +167,7 @@
       for (int index = 0; index < told; index++) {
         digests.add(DigestCodec.read(in));
       }
-      List<QuarantineRecord> records = RecordCodec.read(in);
+      List<QuarantineRecord> records = QuarantineRecordCodec.read(in);
       return new Datagram(note, places, addresses, digests, records, LimitNoteCodec.read(in));
     }
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/RecordCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/QuarantineRecordCodec.java
@@ -12,9 +12,9 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** Records of requests under which nodes ended, within the datagrams of notes. */
-final class RecordCodec {
+final class QuarantineRecordCodec {
 
-  private RecordCodec() {}
+  private QuarantineRecordCodec() {}
 
   static void write(MessageBufferPacker packer, List<QuarantineRecord> records) throws IOException {
     packer.packArrayHeader(records.size());
