--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PlaceCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/CopyPositionsCodec.java
@@ -8,9 +8,9 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** What a daemon's copies of the store's objects show, as MessagePack. */
-final class PlaceCodec {
+final class CopyPositionsCodec {
 
-  private PlaceCodec() {}
+  private CopyPositionsCodec() {}
 
   static void write(MessageBufferPacker packer, CopyPositions places) throws IOException {
     write(packer, places.configuration());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerMessageCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerMessageCodec.java
@@ -66,7 +66,7 @@
         packer.packString(group.model());
       }
       writeStrings(packer, note.closed());
-      PlaceCodec.write(packer, datagram.places());
+      CopyPositionsCodec.write(packer, datagram.places());
       writeStrings(packer, datagram.addresses());
       packer.packArrayHeader(datagram.digests().size());
       for (DataCentreDigest digest : datagram.digests()) {
@@ -143,7 +143,7 @@
       List<String> refusing = readStrings(in);
       List<PeerMessage.ServingGroup> groups = readGroups(in);
       List<String> closed = readStrings(in);
-      CopyPositions places = PlaceCodec.read(in);
+      CopyPositions places = CopyPositionsCodec.read(in);
       PeerMessage note =
           new PeerMessage(
               name,
