--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
@@ -156,14 +156,14 @@
   /** Tells the gate what an answer says before its receiver decides anything. */
   private final class Hearing implements ClientListener {
     private final NodeIncarnation life;
-    private final AnswerListener receiver;
+    private final ResponseListener receiver;
     private final BiConsumer<HttpResponse, NodeResponse> headReceiver;
     private final boolean isCallers;
     private final int limitStamp;
 
     Hearing(
         NodeIncarnation life,
-        AnswerListener receiver,
+        ResponseListener receiver,
         BiConsumer<HttpResponse, NodeResponse> headReceiver,
         boolean isCallers) {
       this.life = life;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/AnswerListener.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/ResponseListener.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 
 /** Told of the answer to one request but for its head; called while holding the guard. */
-public interface AnswerListener {
+public interface ResponseListener {
 
   /** How a request failed. */
   enum Failure {
