--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
@@ -21,7 +21,7 @@
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.http.ClientExchange;
 import org.fawnvale.serving.http.ClientListener;
-import org.fawnvale.serving.http.NodeListener;
+import org.fawnvale.serving.http.NodeResponseListener;
 import org.fawnvale.serving.spi.HeaderNames;
 import org.jspecify.annotations.Nullable;
 
@@ -364,7 +364,7 @@
   }
 
   /** One sending of the request to one upstream. */
-  private final class Attempt implements NodeListener {
+  private final class Attempt implements NodeResponseListener {
     private final Node node;
     private final UpstreamState state;
     private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeListener.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeResponseListener.java
@@ -4,7 +4,7 @@
 import org.fawnvale.serving.core.model.NodeResponse;
 
 /** Told of a node's answer to one request; called while holding the guard. */
-public interface NodeListener extends ResponseListener {
+public interface NodeResponseListener extends ResponseListener {
 
   /**
    * The head of the answer has come.
