--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/OrderSender.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/OrderSender.java
@@ -10,7 +10,7 @@
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.http.ClientListener;
 import org.fawnvale.serving.http.NodeClient;
-import org.fawnvale.serving.http.WholeCall;
+import org.fawnvale.serving.http.BufferedCall;
 import org.fawnvale.serving.spi.Platform;
 import org.jspecify.annotations.Nullable;
 
@@ -97,8 +97,8 @@
         place == null ? "" : place.state());
   }
 
-  private @Nullable NodeReport read(WholeCall.Reply reply) {
-    if (!(reply instanceof WholeCall.Answered answer) || answer.status() != OK) {
+  private @Nullable NodeReport read(BufferedCall.Reply reply) {
+    if (!(reply instanceof BufferedCall.Answered answer) || answer.status() != OK) {
       return null;
     }
     try {
@@ -109,19 +109,19 @@
     }
   }
 
-  private GroupOrder.Outcome outcome(WholeCall.Reply reply) {
-    if (reply instanceof WholeCall.Answered answer) {
+  private GroupOrder.Outcome outcome(BufferedCall.Reply reply) {
+    if (reply instanceof BufferedCall.Answered answer) {
       return platform.outcome(answer.status());
     }
-    return switch (((WholeCall.Missing) reply).failure()) {
+    return switch (((BufferedCall.Missing) reply).failure()) {
       case REFUSED -> GroupOrder.Outcome.GONE;
       case HELD -> GroupOrder.Outcome.HELD;
       case UNREACHABLE, BROKEN -> GroupOrder.Outcome.UNKNOWN;
     };
   }
 
-  private static boolean isHeld(WholeCall.Reply reply) {
-    return reply instanceof WholeCall.Missing missing
+  private static boolean isHeld(BufferedCall.Reply reply) {
+    return reply instanceof BufferedCall.Missing missing
         && missing.failure() == ClientListener.Failure.HELD;
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/WholeCall.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/BufferedCall.java
@@ -12,7 +12,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** A call whose answer is read as a whole, or not at all within its time. */
-public final class WholeCall implements ClientListener {
+public final class BufferedCall implements ClientListener {
 
   private final Runnable noAnswer;
   private final Consumer<Reply> done;
@@ -50,7 +50,7 @@
    */
   public record Missing(ClientListener.Failure failure) implements Reply {}
 
-  private WholeCall(Runnable noAnswer, Consumer<Reply> done) {
+  private BufferedCall(Runnable noAnswer, Consumer<Reply> done) {
     this.noAnswer = noAnswer;
     this.done = done;
   }
@@ -103,7 +103,7 @@
     BasicHttpRequest request = new BasicHttpRequest(call.method(), call.target());
     request.addHeader(HttpHeaders.HOST, endpoint.toString());
     call.headers().forEach(request::addHeader);
-    WholeCall whole = new WholeCall(() -> client.distrust(endpoint), done);
+    BufferedCall whole = new BufferedCall(() -> client.distrust(endpoint), done);
     whole.timeout = timers.after(timeoutMillis, whole::expire);
     whole.exchange = sender.send(request, call.body(), whole);
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
@@ -102,11 +102,11 @@
    * @param timeoutMillis its time, in milliseconds
    * @param done told once what came of it, while the guard is held
    */
-  public void call(Node node, Call call, long timeoutMillis, Consumer<WholeCall.Reply> done) {
+  public void call(Node node, Call call, long timeoutMillis, Consumer<BufferedCall.Reply> done) {
     NodeIncarnation life = node.incarnation();
     Endpoint endpoint = node.endpoint();
     BooleanSupplier mayWrite = () -> !gate.isPaused(life, System.nanoTime());
-    WholeCall.Sender sender =
+    BufferedCall.Sender sender =
         (request, body, whole) ->
             client.send(
                 endpoint,
@@ -114,7 +114,7 @@
                 body,
                 mayWrite,
                 new Hearing(life, whole, (head, said) -> whole.head(head), false));
-    WholeCall.send(sender, client, timers, endpoint, call, timeoutMillis, done);
+    BufferedCall.send(sender, client, timers, endpoint, call, timeoutMillis, done);
   }
 
   /**
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/OwnerClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/OwnerClient.java
@@ -5,7 +5,7 @@
 import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
-import org.fawnvale.serving.http.WholeCall;
+import org.fawnvale.serving.http.BufferedCall;
 import org.fawnvale.serving.spi.Call;
 
 /** Asks the daemon that decides on a matter for all. */
@@ -42,12 +42,12 @@
    */
   void ask(RendezvousOwners.Daemon owner, String target, Consumer<byte[]> told) {
     Endpoint endpoint = new Endpoint(owner.address(), port);
-    WholeCall.send(
+    BufferedCall.send(
         client, timers, endpoint, Call.get(target), ASK_MILLIS, reply -> told.accept(body(reply)));
   }
 
-  private static byte[] body(WholeCall.Reply reply) {
-    boolean given = reply instanceof WholeCall.Answered answered && answered.status() == OK;
-    return given ? ((WholeCall.Answered) reply).body() : new byte[0];
+  private static byte[] body(BufferedCall.Reply reply) {
+    boolean given = reply instanceof BufferedCall.Answered answered && answered.status() == OK;
+    return given ? ((BufferedCall.Answered) reply).body() : new byte[0];
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
@@ -14,7 +14,7 @@
 import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
-import org.fawnvale.serving.http.WholeCall;
+import org.fawnvale.serving.http.BufferedCall;
 import org.fawnvale.serving.spi.Call;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
@@ -140,18 +140,18 @@
       Endpoint peer = new Endpoint(told.address(), port);
       StorePosition since = told.goesBefore() ? StorePosition.NONE : watch.place();
       Call question = Call.get(path + SINCE + StorePositionText.write(since));
-      WholeCall.send(client, timers, peer, question, FETCH_MILLIS, this::take);
+      BufferedCall.send(client, timers, peer, question, FETCH_MILLIS, this::take);
     }
   }
 
-  private void take(WholeCall.Reply reply) {
-    boolean answered = reply instanceof WholeCall.Answered answer && answer.status() == OK;
+  private void take(BufferedCall.Reply reply) {
+    boolean answered = reply instanceof BufferedCall.Answered answer && answer.status() == OK;
     if (!answered) {
       LOG.info("path={} outcome=no_copy_from_peer", path);
       return;
     }
     try {
-      CopyUpdate<T> copy = Codec.MAPPER.readValue(((WholeCall.Answered) reply).body(), type());
+      CopyUpdate<T> copy = Codec.MAPPER.readValue(((BufferedCall.Answered) reply).body(), type());
       watch.adopt(copy);
     } catch (IOException e) {
       LOG.warn("path={} outcome=unreadable_copy cause={}", path, e.toString());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
@@ -15,7 +15,7 @@
 import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
-import org.fawnvale.serving.http.WholeCall;
+import org.fawnvale.serving.http.BufferedCall;
 import org.fawnvale.serving.spi.Page;
 import org.fawnvale.serving.spi.Platform;
 
@@ -80,14 +80,14 @@
   }
 
   private void learnAfter(String name) {
-    WholeCall.send(
+    BufferedCall.send(
         client,
         timers,
         store,
         platform.list(Platform.Kind.QUARANTINE, name, true),
         CALL_MILLIS,
         reply -> {
-          if (reply instanceof WholeCall.Answered answer && answer.status() == OK) {
+          if (reply instanceof BufferedCall.Answered answer && answer.status() == OK) {
             take(answer);
           } else if (!isAbsent(reply)) {
             timers.after(AGAIN_MILLIS, () -> learnAfter(name));
@@ -96,11 +96,11 @@
   }
 
   /** Before the first object of a kind is kept there may be no such kind. */
-  private static boolean isAbsent(WholeCall.Reply reply) {
-    return reply instanceof WholeCall.Answered answer && answer.status() == NOT_FOUND;
+  private static boolean isAbsent(BufferedCall.Reply reply) {
+    return reply instanceof BufferedCall.Answered answer && answer.status() == NOT_FOUND;
   }
 
-  private void take(WholeCall.Answered answer) {
+  private void take(BufferedCall.Answered answer) {
     try {
       Page<StoredQuarantineRecord> page =
           platform.keptRecords(platform.era(answer.head()), answer.body());
@@ -124,7 +124,7 @@
   }
 
   private void remove(String name) {
-    WholeCall.send(
+    BufferedCall.send(
         client,
         timers,
         store,
@@ -166,14 +166,14 @@
     QuarantineRecord next = waiting.values().iterator().next();
     StoredQuarantineRecord kept =
         new StoredQuarantineRecord(next, clockMillis.getAsLong() + KEPT_MILLIS);
-    WholeCall.send(
+    BufferedCall.send(
         client, timers, store, platform.create(kept), CALL_MILLIS, reply -> called(next, reply));
   }
 
-  private void called(QuarantineRecord told, WholeCall.Reply reply) {
+  private void called(QuarantineRecord told, BufferedCall.Reply reply) {
     calling = false;
     boolean isKept =
-        reply instanceof WholeCall.Answered answer
+        reply instanceof BufferedCall.Answered answer
             && (answer.status() < REDIRECT || answer.status() == CONFLICT);
     LOG.info("fingerprint={} outcome={}", told.fingerprint(), isKept ? "kept" : "not_kept_yet");
     if (isKept) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
@@ -14,7 +14,7 @@
 import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
-import org.fawnvale.serving.http.WholeCall;
+import org.fawnvale.serving.http.BufferedCall;
 import org.fawnvale.serving.spi.Call;
 import org.fawnvale.serving.spi.Page;
 import org.fawnvale.serving.spi.Platform;
@@ -329,7 +329,7 @@
       int timeoutMillis,
       int ofRound,
       Consumer<Page<T>> good) {
-    WholeCall.send(
+    BufferedCall.send(
         client,
         timers,
         store,
@@ -343,11 +343,11 @@
   }
 
   private void replied(
-      WholeCall.Reply reply,
+      BufferedCall.Reply reply,
       StorePosition asked,
       StoreCallMetrics.Reason reason,
       Consumer<Page<T>> good) {
-    if (!(reply instanceof WholeCall.Answered answer) || answer.status() != OK) {
+    if (!(reply instanceof BufferedCall.Answered answer) || answer.status() != OK) {
       failed(reply, reason);
       return;
     }
@@ -405,11 +405,11 @@
     later(nextPauseMillis(), () -> list("", round));
   }
 
-  private void failed(WholeCall.Reply reply, StoreCallMetrics.Reason reason) {
+  private void failed(BufferedCall.Reply reply, StoreCallMetrics.Reason reason) {
     count(reason, StoreCallMetrics.Outcome.FAILED);
-    boolean forgotten = reply instanceof WholeCall.Answered answer && answer.status() == GONE;
+    boolean forgotten = reply instanceof BufferedCall.Answered answer && answer.status() == GONE;
     if (forgotten) {
-      forgotten(((WholeCall.Answered) reply).head());
+      forgotten(((BufferedCall.Answered) reply).head());
       return;
     }
     failedAtNanos = System.nanoTime();
@@ -477,10 +477,10 @@
     figures.count(kind, reason, outcome);
   }
 
-  private static String describe(WholeCall.Reply reply) {
-    return reply instanceof WholeCall.Answered answer
+  private static String describe(BufferedCall.Reply reply) {
+    return reply instanceof BufferedCall.Answered answer
         ? "status_" + answer.status()
-        : String.valueOf(((WholeCall.Missing) reply).failure());
+        : String.valueOf(((BufferedCall.Missing) reply).failure());
   }
 
   private void listed(Page<T> page, int ofRound) {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/http/SilentConnectionsTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/http/SilentConnectionsTest.java
@@ -27,7 +27,7 @@
   private static final long LONG_MILLIS = 60_000;
 
   private final Timers timers = new Timers(new Object());
-  private final BlockingQueue<WholeCall.Reply> replies = new LinkedBlockingQueue<>();
+  private final BlockingQueue<BufferedCall.Reply> replies = new LinkedBlockingQueue<>();
   private final CountDownLatch bothAreOpen = new CountDownLatch(2);
   private final AtomicInteger accepted = new AtomicInteger();
   private ServerSocket server;
@@ -95,7 +95,7 @@
   private void call(long timeoutMillis) {
     Endpoint endpoint = new Endpoint("127.0.0.1", server.getLocalPort());
     synchronized (timers.guard()) {
-      WholeCall.send(client, timers, endpoint, Call.get("/"), timeoutMillis, replies::add);
+      BufferedCall.send(client, timers, endpoint, Call.get("/"), timeoutMillis, replies::add);
     }
   }
 
@@ -103,14 +103,14 @@
   void afterOneCallWithoutAnAnswerTheNextGoesOutOnANewConnection() throws Exception {
     call(LONG_MILLIS);
     call(LONG_MILLIS);
-    assertThat(replies.take()).isInstanceOf(WholeCall.Answered.class);
-    assertThat(replies.take()).isInstanceOf(WholeCall.Answered.class);
+    assertThat(replies.take()).isInstanceOf(BufferedCall.Answered.class);
+    assertThat(replies.take()).isInstanceOf(BufferedCall.Answered.class);
     silentUpTo = 2;
 
     call(SHORT_MILLIS);
-    assertThat(replies.take()).isInstanceOf(WholeCall.Missing.class);
+    assertThat(replies.take()).isInstanceOf(BufferedCall.Missing.class);
     call(LONG_MILLIS);
-    assertThat(replies.take()).isInstanceOf(WholeCall.Answered.class);
+    assertThat(replies.take()).isInstanceOf(BufferedCall.Answered.class);
     assertThat(accepted).hasValue(3);
   }
 }
