--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/http/SilentConnectionsTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/http/UnresponsiveConnectionsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Open connections go silent together, without a reset, while new ones work. */
-class SilentConnectionsTest {
+class UnresponsiveConnectionsTest {
 
   private static final int MAX_HEADER_BYTES = 8_192;
   private static final long SHORT_MILLIS = 300;
