--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/http/ConnectLimitTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/http/ConnectTimeoutTest.java
@@ -18,7 +18,7 @@
  * A machine that is gone or behind a cut answers nothing when a connection is opened. The reactor
  * looks at the times of its attempts once a second, so the client holds them itself.
  */
-class ConnectLimitTest {
+class ConnectTimeoutTest {
 
   private static final long LONG_SECONDS = 20;
   private static final Endpoint GONE = new Endpoint("10.0.0.1", 1);
