--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
@@ -13,7 +13,7 @@
 import org.fawnvale.serving.peer.Peers;
 
 /** What all daemons come to know together: requests that end nodes, and limits that nodes name. */
-final class SharedStateUpdates implements Peers.SharedNews {
+final class SharedStateUpdates implements Peers.SharedState {
 
   private final RendezvousOwners owners;
   private final RequestQuarantine repeats;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -34,7 +34,7 @@
   private final DataCentreDigests digests;
   private final MessageRouting routing;
   private final PlacesListener placesHeard;
-  private final SharedNews shared;
+  private final SharedState shared;
   private final Set<String> everHeard = new HashSet<>();
   private Set<String> aliveBefore = Set.of();
   private String leaderBefore = "";
@@ -43,7 +43,7 @@
   private PeerLink link;
 
   private Peers(
-      Settings settings, long incarnation, PlacesListener placesHeard, SharedNews shared) {
+      Settings settings, long incarnation, PlacesListener placesHeard, SharedState shared) {
     this.settings = settings;
     this.incarnation = incarnation;
     this.leadership = new LeaderElection(settings.name(), settings.dataCentre());
@@ -54,7 +54,7 @@
   }
 
   /** What all daemons come to know together, told with the notes. */
-  public interface SharedNews {
+  public interface SharedState {
 
     /**
      * Requests under which nodes ended.
@@ -111,7 +111,7 @@
       Object guard,
       long incarnation,
       PlacesListener placesHeard,
-      SharedNews shared)
+      SharedState shared)
       throws IOException {
     Peers peers = new Peers(settings, incarnation, placesHeard, shared);
     peers.link = PeerLink.open(settings, guard, peers::hear);
