--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
@@ -38,17 +38,17 @@
   }
 
   @Override
-  public List<QuarantineRecord> records(boolean forOthers) {
-    return repeats.recordsToSend(forOthers);
+  public List<QuarantineRecord> records(boolean asRelay) {
+    return repeats.recordsToSend(asRelay);
   }
 
   @Override
-  public List<LimitUpdate> limits(boolean forOthers) {
-    return limits.updatesToSend(forOthers, System.nanoTime());
+  public List<LimitUpdate> limits(boolean asRelay) {
+    return limits.updatesToSend(asRelay, System.nanoTime());
   }
 
   @Override
-  public void hear(List<QuarantineRecord> records, List<LimitUpdate> notes) {
+  public void receive(List<QuarantineRecord> records, List<LimitUpdate> notes) {
     if (!records.isEmpty()) {
       repeats.receive(records);
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -59,18 +59,18 @@
     /**
      * Requests under which nodes ended.
      *
-     * @param forOthers whether what others have told is told on, as the relay of a large fleet does
+     * @param asRelay whether what others have told is told on, as the relay of a large fleet does
      * @return the records that go out with the next note
      */
-    List<QuarantineRecord> records(boolean forOthers);
+    List<QuarantineRecord> records(boolean asRelay);
 
     /**
      * Limits that nodes name.
      *
-     * @param forOthers whether what others have told is told on
+     * @param asRelay whether what others have told is told on
      * @return the notes on limits that go out with the next note
      */
-    List<LimitUpdate> limits(boolean forOthers);
+    List<LimitUpdate> limits(boolean asRelay);
 
     /**
      * Takes in what a peer tells.
@@ -78,7 +78,7 @@
      * @param records what it knows of requests under which nodes ended
      * @param limits what it knows of limits
      */
-    void hear(List<QuarantineRecord> records, List<LimitUpdate> limits);
+    void receive(List<QuarantineRecord> records, List<LimitUpdate> limits);
   }
 
   /** Told what a peer's copies of the store's objects show. */
@@ -132,7 +132,7 @@
     boolean isNear = datagram.note().dataCentre().equals(settings.dataCentre());
     placesHeard.heard(datagram.note().address(), isNear, datagram.places());
     if (!datagram.records().isEmpty() || !datagram.limits().isEmpty()) {
-      shared.hear(datagram.records(), datagram.limits());
+      shared.receive(datagram.records(), datagram.limits());
     }
   }
 
