--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -33,7 +33,7 @@
   private final LeaderElection leadership;
   private final DataCentreDigests digests;
   private final MessageRouting routing;
-  private final PlacesListener placesHeard;
+  private final CopyPositionsListener copyPositionsListener;
   private final SharedState shared;
   private final Set<String> everHeard = new HashSet<>();
   private Set<String> aliveBefore = Set.of();
@@ -43,13 +43,13 @@
   private PeerLink link;
 
   private Peers(
-      Settings settings, long incarnation, PlacesListener placesHeard, SharedState shared) {
+      Settings settings, long incarnation, CopyPositionsListener copyPositionsListener, SharedState shared) {
     this.settings = settings;
     this.incarnation = incarnation;
     this.leadership = new LeaderElection(settings.name(), settings.dataCentre());
     this.digests = new DataCentreDigests(settings.dataCentre());
     this.routing = new MessageRouting(settings.name(), settings.dataCentre());
-    this.placesHeard = placesHeard;
+    this.copyPositionsListener = copyPositionsListener;
     this.shared = shared;
   }
 
@@ -83,7 +83,7 @@
 
   /** Told what a peer's copies of the store's objects show. */
   @FunctionalInterface
-  public interface PlacesListener {
+  public interface CopyPositionsListener {
 
     /**
      * Hears of a peer's copies.
@@ -92,7 +92,7 @@
      * @param isNear whether it is of the same data centre
      * @param places what they show
      */
-    void heard(String address, boolean isNear, CopyPositions places);
+    void received(String address, boolean isNear, CopyPositions places);
   }
 
   /**
@@ -101,7 +101,7 @@
    * @param settings the daemon's settings
    * @param guard held while notes are taken in
    * @param incarnation the number of this start
-   * @param placesHeard told what a peer's copies of the store's objects show
+   * @param copyPositionsListener told what a peer's copies of the store's objects show
    * @param shared what all daemons come to know together
    * @return the peers
    * @throws IOException when the port can't be bound
@@ -110,10 +110,10 @@
       Settings settings,
       Object guard,
       long incarnation,
-      PlacesListener placesHeard,
+      CopyPositionsListener copyPositionsListener,
       SharedState shared)
       throws IOException {
-    Peers peers = new Peers(settings, incarnation, placesHeard, shared);
+    Peers peers = new Peers(settings, incarnation, copyPositionsListener, shared);
     peers.link = PeerLink.open(settings, guard, peers::hear);
     return peers;
   }
@@ -130,7 +130,7 @@
       }
     }
     boolean isNear = datagram.note().dataCentre().equals(settings.dataCentre());
-    placesHeard.heard(datagram.note().address(), isNear, datagram.places());
+    copyPositionsListener.received(datagram.note().address(), isNear, datagram.places());
     if (!datagram.records().isEmpty() || !datagram.limits().isEmpty()) {
       shared.receive(datagram.records(), datagram.limits());
     }
