--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -506,9 +506,9 @@
       upstreamsAreOld = true;
     }
     groupsAreNews |= isNews && leads;
-    Peers.OfUpstreams told = peers.ofUpstreams();
+    Peers.UpstreamReports told = peers.upstreamReports();
     dispatcher.setPeersInFlight(told.inFlight());
-    dispatcher.setReportedRejecting(told.refusing());
+    dispatcher.setReportedRejecting(told.rejecting());
     gateway.setDaemonCount(peers.daemons());
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -271,14 +271,14 @@
    * @param inFlight their requests by node id, summed
    * @param refusing ids of heads that turn requests of any of them away, or have asked one for rest
    */
-  public record OfUpstreams(Map<String, Integer> inFlight, Set<String> refusing) {}
+  public record UpstreamReports(Map<String, Integer> inFlight, Set<String> rejecting) {}
 
   /**
    * Gathers what the others tell of upstreams, in one pass.
    *
    * @return what their last notes and digests tell
    */
-  public OfUpstreams ofUpstreams() {
+  public UpstreamReports upstreamReports() {
     Map<String, Integer> sum = new HashMap<>();
     Set<String> refusing = new HashSet<>();
     for (PeerMessage note : withoutDigest()) {
@@ -289,7 +289,7 @@
       digest.inFlight().forEach((node, count) -> sum.merge(node, count, Integer::sum));
       refusing.addAll(digest.refusing());
     }
-    return new OfUpstreams(sum, refusing);
+    return new UpstreamReports(sum, refusing);
   }
 
   /**
