--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -565,7 +565,7 @@
             leads ? formation.recentlyClosed() : List.of());
     CopyPositions places =
         new CopyPositions(configurations.newest(), versionInForce(), nodes.newest());
-    peers.tell(state, places, isNews);
+    peers.send(state, places, isNews);
   }
 
   private boolean refusesAndIsBusy(boolean refuse) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -184,7 +184,7 @@
    * @param places what its copies of the store's objects show
    * @param news whether it holds what all daemons should know at once
    */
-  public void tell(DaemonState state, CopyPositions places, boolean news) {
+  public void send(DaemonState state, CopyPositions places, boolean news) {
     PeerMessage note =
         new PeerMessage(
             settings.name(),
@@ -202,10 +202,10 @@
             state.refusing(),
             state.groups(),
             state.closed());
-    send(note, places, news);
+    route(note, places, news);
   }
 
-  private void send(PeerMessage note, CopyPositions places, boolean news) {
+  private void route(PeerMessage note, CopyPositions places, boolean news) {
     turn++;
     Map<String, PeerMessage> live = live();
     List<MessageRouting.Peer> others = new ArrayList<>();
