--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
@@ -105,7 +105,7 @@
   /** Takes note of who has the store; asks it once a near daemon has lost it. */
   void learnFromPeers() {
     lookForOutage();
-    if (doubt.updatePeers(peers.nearPeerLostStore(), System.nanoTime())) {
+    if (doubt.updatePeers(peers.peerInDataCentreLostStore(), System.nanoTime())) {
       configurations.probe();
     }
   }
@@ -113,7 +113,7 @@
   private void lookForOutage() {
     boolean here = configurations.reachable() && (!nodes.isActive() || nodes.reachable());
     long lastAnswer = Math.max(configurations.answeredAtNanos(), nodes.answeredAtNanos());
-    outages.observe(here, peers.storeAnswersAny(), lastAnswer, System.nanoTime());
+    outages.observe(here, peers.storeAnswersAnyPeer(), lastAnswer, System.nanoTime());
   }
 
   /** A daemon that rests after a failed call may find the store again, but not at once. */
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/HeadSuspicions.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/HeadSuspicions.java
@@ -76,11 +76,11 @@
 
   /** Ids of heads that peers suspect who see them; behind a cut they would say so of any head. */
   Set<String> ofPeers() {
-    if (!peers.tellOfSuspects()) {
+    if (!peers.anySuspects()) {
       return Set.of();
     }
     Set<String> shared = new HashSet<>();
-    for (StallEvidence.Observation witness : peers.witnesses()) {
+    for (StallEvidence.Observation witness : peers.stallObservations()) {
       for (String mark : witness.suspects()) {
         String id = suspectSeenBy(witness, mark);
         if (id != null) {
@@ -103,7 +103,7 @@
   }
 
   /** What all live daemons tell of heads, this one included. */
-  List<StallEvidence.Observation> witnesses() {
+  List<StallEvidence.Observation> stallObservations() {
     Set<String> busy = new HashSet<>();
     dispatcher
         .states()
@@ -115,7 +115,7 @@
             });
     List<StallEvidence.Observation> witnesses = new ArrayList<>();
     witnesses.add(new StallEvidence.Observation(dataCentre, own(), busy));
-    witnesses.addAll(peers.witnesses());
+    witnesses.addAll(peers.stallObservations());
     return witnesses;
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -288,7 +288,7 @@
 
   /** One daemon of each data centre asks often, and its notes tell the others what is new. */
   private int configurationWaitMillis() {
-    return peers.watchesForDataCentre(standing()) ? SHORT_WAIT_MILLIS : LONG_WAIT_MILLIS;
+    return peers.isDataCentreWatcher(standing()) ? SHORT_WAIT_MILLIS : LONG_WAIT_MILLIS;
   }
 
   private void logCosts() {
@@ -447,7 +447,7 @@
 
   private void seeWhoIsInTouch() {
     Map<String, PeerMessage> live = peers.live();
-    news.see(live.values(), peers.heardLately());
+    news.see(live.values(), peers.recentlySeenCount());
     dispatcher.setDaemonCount(live.size() + 1);
   }
 
@@ -455,7 +455,7 @@
     boolean led = leads;
     leads = peers.decide(standing());
     LeaderEligibility standing = standing();
-    nodes.active(leads || !nodes.place().isKnown() || peers.watchesForDataCentre(standing));
+    nodes.active(leads || !nodes.place().isKnown() || peers.isDataCentreWatcher(standing));
     if (leads && !led) {
       tellPeers(true);
     }
@@ -509,7 +509,7 @@
     Peers.UpstreamReports told = peers.upstreamReports();
     dispatcher.setPeersInFlight(told.inFlight());
     dispatcher.setReportedRejecting(told.rejecting());
-    gateway.setDaemonCount(peers.daemons());
+    gateway.setDaemonCount(peers.knownDaemonCount());
   }
 
   /**
@@ -539,7 +539,7 @@
     if (sight.storeAnswers()) {
       return LeaderEligibility.ELIGIBLE;
     }
-    boolean alone = peers.daemons() > 1 && peers.live().isEmpty();
+    boolean alone = peers.knownDaemonCount() > 1 && peers.live().isEmpty();
     return alone ? LeaderEligibility.INELIGIBLE : LeaderEligibility.WITHOUT_STORE;
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -173,7 +173,7 @@
    * @param standing how fit it is
    * @return true when no fitter or earlier one lives there
    */
-  public boolean watchesForDataCentre(LeaderEligibility standing) {
+  public boolean isDataCentreWatcher(LeaderEligibility standing) {
     return leadership.rankInDataCentre(standing, System.nanoTime()) == 0;
   }
 
@@ -313,7 +313,7 @@
    *
    * @return a witness for each live daemon, or for each data centre that has a digest
    */
-  public List<StallEvidence.Observation> witnesses() {
+  public List<StallEvidence.Observation> stallObservations() {
     List<StallEvidence.Observation> witnesses = new ArrayList<>();
     for (PeerMessage note : withoutDigest()) {
       witnesses.add(
@@ -333,7 +333,7 @@
    *
    * @return false when the last notes and digests name no suspect
    */
-  public boolean tellOfSuspects() {
+  public boolean anySuspects() {
     return leadership.anySuspects() || digests.anySuspects();
   }
 
@@ -358,7 +358,7 @@
    *
    * @return true when one of them says so
    */
-  public boolean nearPeerLostStore() {
+  public boolean peerInDataCentreLostStore() {
     return live().values().stream()
         .anyMatch(
             note ->
@@ -371,7 +371,7 @@
    *
    * @return true when one of them says so
    */
-  public boolean storeAnswersAny() {
+  public boolean storeAnswersAnyPeer() {
     return live().values().stream()
         .anyMatch(note -> note.eligibility() == LeaderEligibility.ELIGIBLE);
   }
@@ -390,7 +390,7 @@
    *
    * @return their number
    */
-  public int heardLately() {
+  public int recentlySeenCount() {
     return leadership.recentlySeenCount(System.nanoTime());
   }
 
@@ -399,7 +399,7 @@
    *
    * @return their number
    */
-  public int daemons() {
+  public int knownDaemonCount() {
     return everHeard.size() + 1;
   }
 
