--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
@@ -125,7 +125,7 @@
   /** Data centres of daemons that are heard, and of upstreams that answered a moment ago. */
   Set<String> dataCentres(Dispatcher dispatcher) {
     long now = System.nanoTime();
-    Set<String> inSight = peers.leadership().reachableDataCentres(now);
+    Set<String> inSight = peers.election().reachableDataCentres(now);
     inSight.add(settings.dataCentre());
     dispatcher
         .states()
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -358,7 +358,7 @@
     if (leads) {
       return new GroupAnnouncements(formation.recentlyOpened(), formation.recentlyClosed());
     }
-    PeerMessage leader = peers.leadership().leaderMessage();
+    PeerMessage leader = peers.election().leaderMessage();
     return leader == null
         ? GroupAnnouncements.NOTHING
         : new GroupAnnouncements(leader.groups(), leader.closed());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
@@ -118,7 +118,7 @@
     Set<String> stalled = evidence.confirmed(witnesses, dataCentres, inSight, now);
     GroupPlanner.Input input =
         new GroupPlanner.Input(
-            nodes, engine, demand, stalled, inSight, resting, peers.leadership().fence());
+            nodes, engine, demand, stalled, inSight, resting, peers.election().fence());
     List<GroupOrder> orders = current.plan(input, now);
     current.drainLogLines().forEach(LOG::info);
     for (GroupOrder order : orders) {
@@ -140,7 +140,7 @@
 
   /** A new claim starts from what the nodes tell; it remembers nothing of the one before. */
   private GroupPlanner planner() {
-    long fence = peers.leadership().fence();
+    long fence = peers.election().fence();
     GroupPlanner current = planner;
     if (current == null || plannerFence != fence) {
       current =
@@ -151,7 +151,7 @@
               settings.policy());
       planner = current;
       plannerFence = fence;
-      LOG.info("term={} fence={} outcome=leads", peers.leadership().term(), fence);
+      LOG.info("term={} fence={} outcome=leads", peers.election().term(), fence);
     }
     return current;
   }
@@ -172,10 +172,10 @@
     pacing.answered();
     current.outcome(order, outcome, now);
     boolean fencedByOther =
-        outcome == GroupOrder.Outcome.FENCED && order.fence() == peers.leadership().fence();
+        outcome == GroupOrder.Outcome.FENCED && order.fence() == peers.election().fence();
     if (fencedByOther) {
       LOG.warn("fence={} node={} outcome=refused_as_too_low", order.fence(), order.node().id());
-      peers.leadership().fenceRejected(now);
+      peers.election().fenceRejected(now);
     }
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -30,7 +30,7 @@
 
   private final Settings settings;
   private final long incarnation;
-  private final LeaderElection leadership;
+  private final LeaderElection election;
   private final DataCentreDigests digests;
   private final MessageRouting routing;
   private final CopyPositionsListener copyPositionsListener;
@@ -46,7 +46,7 @@
       Settings settings, long incarnation, CopyPositionsListener copyPositionsListener, SharedState shared) {
     this.settings = settings;
     this.incarnation = incarnation;
-    this.leadership = new LeaderElection(settings.name(), settings.dataCentre());
+    this.election = new LeaderElection(settings.name(), settings.dataCentre());
     this.digests = new DataCentreDigests(settings.dataCentre());
     this.routing = new MessageRouting(settings.name(), settings.dataCentre());
     this.copyPositionsListener = copyPositionsListener;
@@ -122,7 +122,7 @@
     long now = System.nanoTime();
     everHeard.add(datagram.note().name());
     servedElsewhere |= datagram.note().served();
-    leadership.receive(datagram.note(), now);
+    election.receive(datagram.note(), now);
     for (DataCentreDigest digest : datagram.digests()) {
       if (digests.receive(digest, now)) {
         servedElsewhere |= digest.served();
@@ -138,7 +138,7 @@
 
   private void hearOf(DataCentreDigest.Member member, String dataCentre, long now) {
     everHeard.add(member.name());
-    leadership.receiveMember(member, dataCentre, now);
+    election.receiveMember(member, dataCentre, now);
     link.learn(member.address());
   }
 
@@ -150,16 +150,16 @@
    */
   public boolean decide(LeaderEligibility standing) {
     long now = System.nanoTime();
-    boolean leads = leadership.decide(standing, now);
-    if (!leadership.leader().equals(leaderBefore)) {
-      leaderBefore = leadership.leader();
+    boolean leads = election.decide(standing, now);
+    if (!election.leader().equals(leaderBefore)) {
+      leaderBefore = election.leader();
       LOG.info(
           "leader={} term={} claim={} outcome=follows",
           leaderBefore,
-          leadership.term(),
-          leadership.highestClaim());
+          election.term(),
+          election.highestClaim());
     }
-    Set<String> alive = Set.copyOf(leadership.live(now).keySet());
+    Set<String> alive = Set.copyOf(election.live(now).keySet());
     if (!alive.equals(aliveBefore)) {
       LOG.info("alive={} before={} outcome=members_changed", alive.size(), aliveBefore.size());
       aliveBefore = alive;
@@ -174,7 +174,7 @@
    * @return true when no fitter or earlier one lives there
    */
   public boolean isDataCentreWatcher(LeaderEligibility standing) {
-    return leadership.rankInDataCentre(standing, System.nanoTime()) == 0;
+    return election.rankInDataCentre(standing, System.nanoTime()) == 0;
   }
 
   /**
@@ -191,9 +191,9 @@
             settings.address(),
             settings.dataCentre(),
             incarnation,
-            leadership.term(),
-            leadership.leader(),
-            leadership.highestClaim(),
+            election.term(),
+            election.leader(),
+            election.highestClaim(),
             state.eligibility(),
             state.served() || servedElsewhere,
             state.inFlight(),
@@ -218,10 +218,10 @@
         near.add(other.address());
       }
     }
-    boolean leads = leadership.leader().equals(settings.name());
+    boolean leads = election.leader().equals(settings.name());
     Set<String> targets =
         routing.targets(
-            others, new MessageRouting.SendContext(turn, leads, leadership.leader(), news));
+            others, new MessageRouting.SendContext(turn, leads, election.leader(), news));
     boolean relays = MessageRouting.hasRelays(others.size() + 1) && routing.isRelay(others);
     List<QuarantineRecord> records = shared.records(relays);
     List<LimitUpdate> limits = shared.limits(relays);
@@ -334,7 +334,7 @@
    * @return false when the last notes and digests name no suspect
    */
   public boolean anySuspects() {
-    return leadership.anySuspects() || digests.anySuspects();
+    return election.anySuspects() || digests.anySuspects();
   }
 
   private Collection<DataCentreDigest> freshDigests() {
@@ -382,7 +382,7 @@
    * @return notes by daemon
    */
   public Map<String, PeerMessage> live() {
-    return leadership.live(System.nanoTime());
+    return election.live(System.nanoTime());
   }
 
   /**
@@ -391,7 +391,7 @@
    * @return their number
    */
   public int recentlySeenCount() {
-    return leadership.recentlySeenCount(System.nanoTime());
+    return election.recentlySeenCount(System.nanoTime());
   }
 
   /**
@@ -415,10 +415,10 @@
   /**
    * Who leads.
    *
-   * @return the view of leadership
+   * @return the view of election
    */
-  public LeaderElection leadership() {
-    return leadership;
+  public LeaderElection election() {
+    return election;
   }
 
   /**
