--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -153,7 +153,7 @@
         new OwnerClient(client, timers, settings.peerPort() + COPY_PORT_OFFSET);
     this.limitDesk = new LimitPermitService(ownerCalls, limits, registry);
     this.dispatcher = new Dispatcher(settings.dataCentre(), gate, System::nanoTime);
-    dispatcher.setConnected(client::hasRested);
+    dispatcher.setConnected(client::hasIdle);
     NodeClient toNodes = new NodeClient(client, timers, gate, platform::answer, registry);
     toNodes.onLeaving(() -> upstreamsAreOld = true);
     this.cadence = new PollIntervals(settings.bounds().leavingMillis());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
@@ -342,7 +342,7 @@
     Attempt running = attempt;
     if (running != null) {
       if (running.head == null) {
-        gateway.client().distrust(running.node.endpoint());
+        gateway.client().closeIdle(running.node.endpoint());
       }
       running.giveUp(false);
       mayHaveRun = true;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/NodeExitProbe.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/NodeExitProbe.java
@@ -36,13 +36,13 @@
 
   private void look(Endpoint endpoint, List<Consumer<Boolean>> asked) {
     waiting.put(endpoint, new ArrayList<>());
-    client.look(endpoint, listening -> tell(endpoint, asked, listening));
+    client.probe(endpoint, listening -> tell(endpoint, asked, listening));
   }
 
   /** Whoever came while the look was under way may have seen a break that is later than it. */
   private void tell(
-      Endpoint endpoint, List<Consumer<Boolean>> asked, HttpClient.Listening listening) {
-    boolean ended = listening == HttpClient.Listening.NO;
+      Endpoint endpoint, List<Consumer<Boolean>> asked, HttpClient.ProbeResult listening) {
+    boolean ended = listening == HttpClient.ProbeResult.REFUSED;
     List<Consumer<Boolean>> later = waiting.remove(endpoint);
     asked.forEach(told -> told.accept(ended));
     if (later == null || later.isEmpty()) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/BufferedCall.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/BufferedCall.java
@@ -103,7 +103,7 @@
     BasicHttpRequest request = new BasicHttpRequest(call.method(), call.target());
     request.addHeader(HttpHeaders.HOST, endpoint.toString());
     call.headers().forEach(request::addHeader);
-    BufferedCall whole = new BufferedCall(() -> client.distrust(endpoint), done);
+    BufferedCall whole = new BufferedCall(() -> client.closeIdle(endpoint), done);
     whole.timeout = timers.after(timeoutMillis, whole::expire);
     whole.exchange = sender.send(request, call.body(), whole);
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/HttpClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/HttpClient.java
@@ -145,18 +145,18 @@
    * @param endpoint the address
    * @return true when there is one
    */
-  public boolean hasRested(Endpoint endpoint) {
+  public boolean hasIdle(Endpoint endpoint) {
     Deque<Idle> connections = idle.get(endpoint);
     Idle last = connections == null ? null : connections.peekLast();
     return last != null && last.session().isOpen() && System.nanoTime() < last.untilNanos();
   }
 
   /** What an attempt to connect shows of an address. */
-  public enum Listening {
+  public enum ProbeResult {
     /** A process listens there; the connection rests and can be used. */
-    YES,
+    LISTENING,
     /** None does. */
-    NO,
+    REFUSED,
     /** Nothing came back in time. */
     UNKNOWN
   }
@@ -167,7 +167,7 @@
    * @param endpoint the address
    * @param told told once, while the guard is held
    */
-  public void look(Endpoint endpoint, Consumer<Listening> told) {
+  public void probe(Endpoint endpoint, Consumer<ProbeResult> told) {
     opened++;
     connector.connect(
         endpoint,
@@ -177,7 +177,7 @@
           public void completed(IOSession session) {
             synchronized (timers.guard()) {
               keep(endpoint, session, LOOKED_KEEP_MILLIS);
-              told.accept(Listening.YES);
+              told.accept(ProbeResult.LISTENING);
             }
           }
 
@@ -185,14 +185,14 @@
           public void failed(Exception cause) {
             synchronized (timers.guard()) {
               boolean refused = cause instanceof ConnectException;
-              told.accept(refused ? Listening.NO : Listening.UNKNOWN);
+              told.accept(refused ? ProbeResult.REFUSED : ProbeResult.UNKNOWN);
             }
           }
 
           @Override
           public void cancelled() {
             synchronized (timers.guard()) {
-              told.accept(Listening.UNKNOWN);
+              told.accept(ProbeResult.UNKNOWN);
             }
           }
         });
@@ -227,7 +227,7 @@
    *
    * @param endpoint the address
    */
-  public void distrust(Endpoint endpoint) {
+  public void closeIdle(Endpoint endpoint) {
     Deque<Idle> connections = idle.remove(endpoint);
     if (connections != null) {
       connections.forEach(connection -> connection.session().close(CloseMode.IMMEDIATE));
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
@@ -123,8 +123,8 @@
    * @param endpoint the address
    * @param told told once, while the guard is held
    */
-  public void look(Endpoint endpoint, Consumer<HttpClient.Listening> told) {
-    client.look(endpoint, told);
+  public void probe(Endpoint endpoint, Consumer<HttpClient.ProbeResult> told) {
+    client.probe(endpoint, told);
   }
 
   /**
@@ -132,8 +132,8 @@
    *
    * @param endpoint the address
    */
-  public void distrust(Endpoint endpoint) {
-    client.distrust(endpoint);
+  public void closeIdle(Endpoint endpoint) {
+    client.closeIdle(endpoint);
   }
 
   private void hear(NodeIncarnation life, NodeResponse said) {
