--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/CallerExchange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/CallerExchange.java
@@ -229,7 +229,7 @@
   }
 
   @Override
-  public boolean owesAnswer() {
+  public boolean isResponsePending() {
     synchronized (gateway.guard()) {
       return !over && started && !ended;
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/ServerExchange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/ServerExchange.java
@@ -14,7 +14,7 @@
    *
    * @return true while an answer is owed
    */
-  boolean owesAnswer();
+  boolean isResponsePending();
 
   /** The caller has closed the connection. */
   void callerClosed();
