--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
@@ -51,7 +51,7 @@
    * @param change what was new
    * @param said the limit that the answer names; null when it names none
    */
-  public void answered(
+  public void responseReceived(
       NodeIncarnation life, KnownLimits.Change change, @Nullable AdvertisedLimit said) {
     if (change == KnownLimits.Change.NONE) {
       return;
@@ -77,7 +77,7 @@
    * @param told the word
    * @param change what was new
    */
-  public void told(LimitUpdate told, KnownLimits.Change change) {
+  public void updateReceived(LimitUpdate told, KnownLimits.Change change) {
     if (change == KnownLimits.Change.NONE) {
       return;
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
@@ -184,7 +184,7 @@
     private void hearLimit(NodeResponse said) {
       KnownLimits.Change change =
           gate.limits().recordResponse(life, said, limitStamp, isCallers, System.nanoTime());
-      limitLog.answered(life, change, said.limit());
+      limitLog.responseReceived(life, change, said.limit());
     }
 
     @Override
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
@@ -55,7 +55,7 @@
     long now = System.nanoTime();
     for (LimitUpdate note : notes) {
       KnownLimits.Change change = limits.merge(note, now);
-      log.told(note, change);
+      log.updateReceived(note, change);
     }
   }
 
