--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -211,7 +211,7 @@
   }
 
   Object guard() {
-    return timers.guard();
+    return timers.lock();
   }
 
   Timers timers() {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/HttpClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/HttpClient.java
@@ -112,7 +112,7 @@
       BooleanSupplier mayWrite,
       ClientListener listener) {
     ClientExchange exchange =
-        new ClientExchange(timers.guard(), request, body, listener, this, endpoint);
+        new ClientExchange(timers.lock(), request, body, listener, this, endpoint);
     IOSession session = takeIdle(endpoint);
     if (session == null) {
       opened++;
@@ -175,7 +175,7 @@
         new FutureCallback<>() {
           @Override
           public void completed(IOSession session) {
-            synchronized (timers.guard()) {
+            synchronized (timers.lock()) {
               keep(endpoint, session, LOOKED_KEEP_MILLIS);
               told.accept(ProbeResult.LISTENING);
             }
@@ -183,7 +183,7 @@
 
           @Override
           public void failed(Exception cause) {
-            synchronized (timers.guard()) {
+            synchronized (timers.lock()) {
               boolean refused = cause instanceof ConnectException;
               told.accept(refused ? ProbeResult.REFUSED : ProbeResult.UNKNOWN);
             }
@@ -191,7 +191,7 @@
 
           @Override
           public void cancelled() {
-            synchronized (timers.guard()) {
+            synchronized (timers.lock()) {
               told.accept(ProbeResult.UNKNOWN);
             }
           }
@@ -324,7 +324,7 @@
 
     @Override
     public void completed(IOSession session) {
-      synchronized (timers.guard()) {
+      synchronized (timers.lock()) {
         end();
         if (exchange.isOver()) {
           session.close(CloseMode.IMMEDIATE);
@@ -336,14 +336,14 @@
 
     @Override
     public void failed(Exception cause) {
-      synchronized (timers.guard()) {
+      synchronized (timers.lock()) {
         notReached(cause);
       }
     }
 
     @Override
     public void cancelled() {
-      synchronized (timers.guard()) {
+      synchronized (timers.lock()) {
         notReached(new SocketTimeoutException("The attempt was cancelled."));
       }
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/Timers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/Timers.java
@@ -8,7 +8,7 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Delayed and repeated tasks. Each runs while holding the guard that all state of the daemon is
+ * Delayed and repeated tasks. Each runs while holding the lock that all state of the daemon is
  * read and written under, as do the callbacks of connections.
  */
 public final class Timers {
@@ -16,27 +16,27 @@
   private static final Logger LOG = LogManager.getLogger("timers");
 
   private final ScheduledThreadPoolExecutor executor;
-  private final Object guard;
+  private final Object lock;
 
   /**
    * Creates timers.
    *
-   * @param guard held by every task
+   * @param lock held by every task
    */
-  public Timers(Object guard) {
-    this.guard = guard;
+  public Timers(Object lock) {
+    this.lock = lock;
     this.executor = new ScheduledThreadPoolExecutor(1, task -> new Thread(task, "timers"));
     executor.setRemoveOnCancelPolicy(true);
     executor.setRejectedExecutionHandler(new ThreadPoolExecutor.DiscardPolicy());
   }
 
   /**
-   * The guard.
+   * The lock.
    *
    * @return the object to synchronize on
    */
-  public Object guard() {
-    return guard;
+  public Object lock() {
+    return lock;
   }
 
   /**
@@ -71,7 +71,7 @@
 
   private void run(Runnable task) {
     try {
-      synchronized (guard) {
+      synchronized (lock) {
         task.run();
       }
     } catch (RuntimeException e) {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
@@ -64,7 +64,7 @@
   }
 
   Object guard() {
-    return timers.guard();
+    return timers.lock();
   }
 
   int port() {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/http/ConnectTimeoutTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/http/ConnectTimeoutTest.java
@@ -60,12 +60,12 @@
   @Test
   void anAttemptThatTheReactorForgetsIsGivenUpAndCancelled() throws InterruptedException {
     Listener listener = new Listener();
-    synchronized (timers.guard()) {
+    synchronized (timers.lock()) {
       client.send(GONE, new BasicHttpRequest("GET", "/"), new byte[0], listener);
     }
     assertThat(listener.failures.poll(LONG_SECONDS, TimeUnit.SECONDS))
         .isEqualTo(ClientListener.Failure.UNREACHABLE);
-    synchronized (timers.guard()) {
+    synchronized (timers.lock()) {
       assertThat(attempt.isCancelled()).isTrue();
     }
     assertThat(listener.failures).isEmpty();
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/http/UnresponsiveConnectionsTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/http/UnresponsiveConnectionsTest.java
@@ -94,7 +94,7 @@
 
   private void call(long timeoutMillis) {
     Endpoint endpoint = new Endpoint("127.0.0.1", server.getLocalPort());
-    synchronized (timers.guard()) {
+    synchronized (timers.lock()) {
       BufferedCall.send(client, timers, endpoint, Call.get("/"), timeoutMillis, replies::add);
     }
   }
