--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/OrderSender.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/OrderSender.java
@@ -113,7 +113,7 @@
     if (reply instanceof BufferedCall.Answered answer) {
       return platform.outcome(answer.status());
     }
-    return switch (((BufferedCall.Missing) reply).failure()) {
+    return switch (((BufferedCall.Failed) reply).failure()) {
       case REFUSED -> GroupOrder.Outcome.GONE;
       case HELD -> GroupOrder.Outcome.HELD;
       case UNREACHABLE, BROKEN -> GroupOrder.Outcome.UNKNOWN;
@@ -121,7 +121,7 @@
   }
 
   private static boolean isHeld(BufferedCall.Reply reply) {
-    return reply instanceof BufferedCall.Missing missing
+    return reply instanceof BufferedCall.Failed missing
         && missing.failure() == ClientListener.Failure.HELD;
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/BufferedCall.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/BufferedCall.java
@@ -48,7 +48,7 @@
    *
    * @param failure how it failed; {@link ClientListener.Failure#BROKEN} also when time ran out
    */
-  public record Missing(ClientListener.Failure failure) implements Reply {}
+  public record Failed(ClientListener.Failure failure) implements Reply {}
 
   private BufferedCall(Runnable noAnswer, Consumer<Reply> done) {
     this.noAnswer = noAnswer;
@@ -113,7 +113,7 @@
     if (!over && running != null) {
       running.cancel();
       noAnswer.run();
-      conclude(new Missing(Failure.BROKEN));
+      conclude(new Failed(Failure.BROKEN));
     }
   }
 
@@ -151,6 +151,6 @@
 
   @Override
   public void failed(Failure failure, Exception cause) {
-    conclude(new Missing(failure));
+    conclude(new Failed(failure));
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
@@ -480,7 +480,7 @@
   private static String describe(BufferedCall.Reply reply) {
     return reply instanceof BufferedCall.Answered answer
         ? "status_" + answer.status()
-        : String.valueOf(((BufferedCall.Missing) reply).failure());
+        : String.valueOf(((BufferedCall.Failed) reply).failure());
   }
 
   private void listed(Page<T> page, int ofRound) {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/http/UnresponsiveConnectionsTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/http/UnresponsiveConnectionsTest.java
@@ -108,7 +108,7 @@
     silentUpTo = 2;
 
     call(SHORT_MILLIS);
-    assertThat(replies.take()).isInstanceOf(BufferedCall.Missing.class);
+    assertThat(replies.take()).isInstanceOf(BufferedCall.Failed.class);
     call(LONG_MILLIS);
     assertThat(replies.take()).isInstanceOf(BufferedCall.Answered.class);
     assertThat(accepted).hasValue(3);
