--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/HeadSuspicions.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/HeadSuspicions.java
@@ -103,7 +103,7 @@
   }
 
   /** What all live daemons tell of heads, this one included. */
-  List<StallEvidence.Observation> stallObservations() {
+  List<StallEvidence.Observation> witnesses() {
     Set<String> busy = new HashSet<>();
     dispatcher
         .states()
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
@@ -82,7 +82,8 @@
    * @param listener told of the answer
    * @return the exchange, which can be cancelled
    */
-  public ClientExchange send(Node node, HttpRequest request, byte[] body, NodeResponseListener listener) {
+  public ClientExchange send(
+      Node node, HttpRequest request, byte[] body, NodeResponseListener listener) {
     NodeIncarnation life = node.incarnation();
     BooleanSupplier mayWrite = () -> gate.tryAcquire(node, System.nanoTime());
     return client.send(
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/ServerConnection.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/ServerConnection.java
@@ -54,7 +54,9 @@
   public void inputReady(IOSession session, ByteBuffer source) throws IOException {
     super.inputReady(session, source);
     boolean closing = !duplexer.isOpen();
-    if (closing && exchanges.last instanceof ServerExchange exchange && exchange.isResponsePending()) {
+    if (closing
+        && exchanges.last instanceof ServerExchange exchange
+        && exchange.isResponsePending()) {
       exchange.callerClosed();
       session.close(CloseMode.IMMEDIATE);
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/Timers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/Timers.java
@@ -8,8 +8,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Delayed and repeated tasks. Each runs while holding the lock that all state of the daemon is
- * read and written under, as do the callbacks of connections.
+ * Delayed and repeated tasks. Each runs while holding the lock that all state of the daemon is read
+ * and written under, as do the callbacks of connections.
  */
 public final class Timers {
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/OwnerClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/OwnerClient.java
@@ -3,9 +3,9 @@
 import java.util.function.Consumer;
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.peer.RendezvousOwners;
+import org.fawnvale.serving.http.BufferedCall;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
-import org.fawnvale.serving.http.BufferedCall;
 import org.fawnvale.serving.spi.Call;
 
 /** Asks the daemon that decides on a matter for all. */
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerLink.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerLink.java
@@ -35,7 +35,10 @@
   private long sent;
 
   private PeerLink(
-      Settings settings, Object guard, DatagramSocket socket, Consumer<PeerMessageCodec.Datagram> heard) {
+      Settings settings,
+      Object guard,
+      DatagramSocket socket,
+      Consumer<PeerMessageCodec.Datagram> heard) {
     this.settings = settings;
     this.guard = guard;
     this.socket = socket;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -43,7 +43,10 @@
   private PeerLink link;
 
   private Peers(
-      Settings settings, long incarnation, CopyPositionsListener copyPositionsListener, SharedState shared) {
+      Settings settings,
+      long incarnation,
+      CopyPositionsListener copyPositionsListener,
+      SharedState shared) {
     this.settings = settings;
     this.incarnation = incarnation;
     this.election = new LeaderElection(settings.name(), settings.dataCentre());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
@@ -12,9 +12,9 @@
 import org.fawnvale.serving.core.watch.CopyDelays;
 import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePosition;
+import org.fawnvale.serving.http.BufferedCall;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
-import org.fawnvale.serving.http.BufferedCall;
 import org.fawnvale.serving.spi.Call;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
@@ -13,9 +13,9 @@
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
+import org.fawnvale.serving.http.BufferedCall;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
-import org.fawnvale.serving.http.BufferedCall;
 import org.fawnvale.serving.spi.Page;
 import org.fawnvale.serving.spi.Platform;
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/PeerMessageCodecTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/PeerMessageCodecTest.java
@@ -74,7 +74,8 @@
   void anUnknownFormatIsRefused() throws IOException {
     byte[] bytes = PeerMessageCodec.write(DATAGRAM);
     bytes[0] = 10;
-    assertThatThrownBy(() -> PeerMessageCodec.read(bytes, bytes.length)).hasMessageContaining("Format 10");
+    assertThatThrownBy(() -> PeerMessageCodec.read(bytes, bytes.length))
+        .hasMessageContaining("Format 10");
   }
 
   @Test
