--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/CopyPositionsCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/CopyPositionsCodec.java
@@ -7,29 +7,29 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** What a daemon's copies of the store's objects show, as MessagePack. */
+/** Encodes the positions of a daemon's copies of the store's objects as MessagePack. */
 final class CopyPositionsCodec {
 
   private CopyPositionsCodec() {}
 
-  static void write(MessageBufferPacker packer, CopyPositions places) throws IOException {
-    write(packer, places.configuration());
-    packer.packLong(places.version());
-    write(packer, places.nodes());
+  static void write(MessageBufferPacker packer, CopyPositions positions) throws IOException {
+    write(packer, positions.configuration());
+    packer.packLong(positions.version());
+    write(packer, positions.nodes());
   }
 
-  private static void write(MessageBufferPacker packer, StorePosition place) throws IOException {
-    packer.packLong(place.era().number());
-    packer.packLong(place.revision());
+  private static void write(MessageBufferPacker packer, StorePosition position) throws IOException {
+    packer.packLong(position.era().number());
+    packer.packLong(position.revision());
   }
 
   static CopyPositions read(MessageUnpacker in) throws IOException {
-    StorePosition configuration = readPlace(in);
+    StorePosition configuration = readPosition(in);
     long version = in.unpackLong();
-    return new CopyPositions(configuration, version, readPlace(in));
+    return new CopyPositions(configuration, version, readPosition(in));
   }
 
-  private static StorePosition readPlace(MessageUnpacker in) throws IOException {
+  private static StorePosition readPosition(MessageUnpacker in) throws IOException {
     StoreEra era = new StoreEra(in.unpackLong());
     return new StorePosition(era, in.unpackLong());
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/DigestCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/DigestCodec.java
@@ -9,7 +9,7 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Digests of data centres as MessagePack, within the datagrams of notes. */
+/** Encodes data centre digests as MessagePack, as a part of the datagrams between daemons. */
 final class DigestCodec {
 
   private DigestCodec() {}
@@ -47,8 +47,8 @@
       String name = in.unpackString();
       String address = in.unpackString();
       long incarnation = in.unpackLong();
-      LeaderEligibility standing = LeaderEligibility.values()[in.unpackInt()];
-      members.add(new DataCentreDigest.Member(name, address, incarnation, standing));
+      LeaderEligibility eligibility = LeaderEligibility.values()[in.unpackInt()];
+      members.add(new DataCentreDigest.Member(name, address, incarnation, eligibility));
     }
     return new DataCentreDigest(
         dataCentre, relay, sequence, inFlight, offeredWork, suspects, refusing, served, members);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerLink.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerLink.java
@@ -18,51 +18,51 @@
 import org.fawnvale.serving.core.model.Settings;
 import org.fawnvale.serving.core.peer.MessageSpacing;
 
-/** Sends this daemon's note to all known daemons and hears theirs. */
+/** The UDP socket over which this daemon exchanges messages with the other daemons. */
 public final class PeerLink {
 
   private static final Logger LOG = LogManager.getLogger("peer");
-  private static final int DATAGRAM_BYTES = 16_384;
-  private static final long FORGET_NANOS = 40_000_000_000L;
-  private static final int ADDRESSES_A_NOTE = 4;
+  private static final int MAX_DATAGRAM_BYTES = 16_384;
+  private static final long ADDRESS_TTL_NANOS = 40_000_000_000L;
+  private static final int ADDRESSES_PER_MESSAGE = 4;
 
   private final DatagramSocket socket;
   private final Settings settings;
-  private final Object guard;
-  private final Consumer<PeerMessageCodec.Datagram> heard;
-  private final Map<String, Long> lastHeard = new LinkedHashMap<>();
-  private int turn;
+  private final Object lock;
+  private final Consumer<PeerMessageCodec.Datagram> receiver;
+  private final Map<String, Long> lastSeenNanos = new LinkedHashMap<>();
+  private int sequence;
   private long sent;
 
   private PeerLink(
       Settings settings,
-      Object guard,
+      Object lock,
       DatagramSocket socket,
-      Consumer<PeerMessageCodec.Datagram> heard) {
+      Consumer<PeerMessageCodec.Datagram> receiver) {
     this.settings = settings;
-    this.guard = guard;
+    this.lock = lock;
     this.socket = socket;
-    this.heard = heard;
+    this.receiver = receiver;
   }
 
   /**
-   * Opens the link and begins to hear.
+   * Opens the socket and starts the thread that receives datagrams.
    *
    * @param settings the daemon's settings
-   * @param guard held while a note is handed over
-   * @param heard told of each note
-   * @return the link
-   * @throws IOException when the port can't be bound
+   * @param lock held while a received datagram is processed
+   * @param receiver called with each datagram from another daemon, while the lock is held
+   * @return the open link
+   * @throws IOException if the port can't be bound
    */
-  static PeerLink open(Settings settings, Object guard, Consumer<PeerMessageCodec.Datagram> heard)
+  static PeerLink open(Settings settings, Object lock, Consumer<PeerMessageCodec.Datagram> receiver)
       throws IOException {
     InetSocketAddress address = new InetSocketAddress(settings.address(), settings.peerPort());
     DatagramSocket socket = new DatagramSocket(address);
-    PeerLink link = new PeerLink(settings, guard, socket, heard);
+    PeerLink link = new PeerLink(settings, lock, socket, receiver);
     long now = System.nanoTime();
     for (String seed : settings.seedHosts()) {
       if (!seed.equals(settings.address())) {
-        link.lastHeard.put(seed, now);
+        link.lastSeenNanos.put(seed, now);
       }
     }
     Thread listener = new Thread(link::listen, "peers");
@@ -72,69 +72,68 @@
   }
 
   private void listen() {
-    byte[] buffer = new byte[DATAGRAM_BYTES];
+    byte[] buffer = new byte[MAX_DATAGRAM_BYTES];
     while (!socket.isClosed()) {
       DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
       try {
         socket.receive(packet);
         PeerMessageCodec.Datagram datagram = PeerMessageCodec.read(buffer, packet.getLength());
-        synchronized (guard) {
-          take(datagram);
+        synchronized (lock) {
+          receive(datagram);
         }
       } catch (IOException e) {
         if (!socket.isClosed()) {
-          LOG.debug("A datagram could not be read: {}.", e.toString());
+          LOG.debug("Could not read a datagram: {}.", e.toString());
         }
       } catch (RuntimeException e) {
-        LOG.warn("A datagram is malformed and ignored: {}.", e.toString());
+        LOG.warn("Ignored a malformed datagram: {}.", e.toString());
       }
     }
   }
 
-  private void take(PeerMessageCodec.Datagram datagram) {
-    String address = datagram.note().address();
+  private void receive(PeerMessageCodec.Datagram datagram) {
+    String address = datagram.message().address();
     if (address.equals(settings.address())) {
       return;
     }
     long now = System.nanoTime();
-    lastHeard.put(address, now);
+    lastSeenNanos.put(address, now);
     for (String other : datagram.addresses()) {
       if (!other.equals(settings.address())) {
-        lastHeard.putIfAbsent(other, now - FORGET_NANOS / 2);
+        lastSeenNanos.putIfAbsent(other, now - ADDRESS_TTL_NANOS / 2);
       }
     }
-    heard.accept(datagram);
+    receiver.accept(datagram);
   }
 
   /**
-   * Some addresses of daemons heard of, not long ago; all of them in turn.
-   *
-   * @return the addresses
+   * Returns a few known addresses of daemons. Successive messages carry different ones, so that all
+   * known addresses are sent in turn.
    */
   List<String> addresses() {
-    List<String> all = new ArrayList<>(lastHeard.keySet());
+    List<String> all = new ArrayList<>(lastSeenNanos.keySet());
     if (!all.isEmpty()) {
-      Collections.rotate(all, -Math.floorMod(turn * ADDRESSES_A_NOTE, all.size()));
+      Collections.rotate(all, -Math.floorMod(sequence * ADDRESSES_PER_MESSAGE, all.size()));
     }
-    return List.copyOf(all.subList(0, Math.min(ADDRESSES_A_NOTE, all.size())));
+    return List.copyOf(all.subList(0, Math.min(ADDRESSES_PER_MESSAGE, all.size())));
   }
 
   /**
-   * Learns of a daemon that a digest tells of.
+   * Adds the address of a daemon that a digest lists as live.
    *
-   * @param address its IP address
+   * @param address the daemon's IP address
    */
-  void learn(String address) {
+  void addAddress(String address) {
     if (!address.equals(settings.address())) {
-      lastHeard.put(address, System.nanoTime());
+      lastSeenNanos.put(address, System.nanoTime());
     }
   }
 
   /**
-   * Sends a note to some daemons.
+   * Sends a datagram to some daemons.
    *
-   * @param datagram the note
-   * @param targets their addresses
+   * @param datagram the content of the datagram
+   * @param targets the IP addresses to send to
    */
   void send(PeerMessageCodec.Datagram datagram, Set<String> targets) {
     if (targets.isEmpty()) {
@@ -144,33 +143,34 @@
       byte[] bytes = PeerMessageCodec.write(datagram);
       targets.forEach(address -> sendTo(address, bytes));
     } catch (IOException e) {
-      LOG.warn("The note could not be written: {}.", e.toString());
+      LOG.warn("Could not encode a peer message: {}.", e.toString());
     }
   }
 
   /**
-   * Sends a note, now and then, to addresses that were told of but not heard, and forgets old ones.
+   * Sends a datagram to the known addresses whose daemons are not live, to each at the interval of
+   * {@link MessageSpacing}, and drops addresses that have expired. Seed hosts never expire.
    *
-   * @param datagram the note
-   * @param live addresses of the daemons that are alive
+   * @param datagram the content of the datagram
+   * @param live the addresses of the live daemons
    */
-  void sendToUnheard(PeerMessageCodec.Datagram datagram, Set<String> live) {
-    turn++;
+  void sendToUnreachable(PeerMessageCodec.Datagram datagram, Set<String> live) {
+    sequence++;
     long now = System.nanoTime();
-    lastHeard
+    lastSeenNanos
         .entrySet()
         .removeIf(
             entry ->
-                now - entry.getValue() > FORGET_NANOS
+                now - entry.getValue() > ADDRESS_TTL_NANOS
                     && !settings.seedHosts().contains(entry.getKey()));
-    Set<String> unheard = new HashSet<>(lastHeard.keySet());
-    unheard.removeAll(live);
-    unheard.removeIf(address -> !isDue(address));
-    send(datagram, unheard);
+    Set<String> unreachable = new HashSet<>(lastSeenNanos.keySet());
+    unreachable.removeAll(live);
+    unreachable.removeIf(address -> !isDue(address));
+    send(datagram, unreachable);
   }
 
   private boolean isDue(String address) {
-    return MessageSpacing.isDue(turn, address, lastHeard.size() + 1);
+    return MessageSpacing.isDue(sequence, address, lastSeenNanos.size() + 1);
   }
 
   private void sendTo(String address, byte[] bytes) {
@@ -179,20 +179,16 @@
       socket.send(new DatagramPacket(bytes, bytes.length, target, settings.peerPort()));
       sent++;
     } catch (IOException e) {
-      LOG.debug("No datagram to {}: {}.", address, e.toString());
+      LOG.debug("Could not send a datagram to {}: {}.", address, e.toString());
     }
   }
 
-  /**
-   * Datagrams sent so far.
-   *
-   * @return their number
-   */
+  /** Returns the number of datagrams sent since the start. */
   long sent() {
     return sent;
   }
 
-  /** Closes the link. */
+  /** Closes the socket; the receiving thread ends. */
   void close() {
     socket.close();
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerMessageCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerMessageCodec.java
@@ -16,7 +16,10 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** Notes between daemons as MessagePack. */
+/**
+ * Encodes the messages between daemons as MessagePack. The order of the fields is the wire format;
+ * a change to it needs a new {@link #FORMAT}.
+ */
 final class PeerMessageCodec {
 
   private static final int FORMAT = 9;
@@ -24,56 +27,56 @@
   private PeerMessageCodec() {}
 
   /**
-   * What a datagram holds.
+   * The content of one datagram.
    *
-   * @param note the sender's note
-   * @param places what its copies of the store's objects show
-   * @param addresses addresses of daemons that the sender knows
-   * @param digests what whole data centres tell
-   * @param records what is known of requests under which nodes ended
-   * @param limits what is known of limits that nodes name
+   * @param message the sender's own state
+   * @param positions the positions of the sender's copies of the store's objects
+   * @param addresses addresses of some daemons that the sender knows
+   * @param digests digests of whole data centres; empty unless the sender is a relay
+   * @param quarantineRecords node failures that the sender attributes to requests
+   * @param limitUpdates request limits that nodes have advertised
    */
   record Datagram(
-      PeerMessage note,
-      CopyPositions places,
+      PeerMessage message,
+      CopyPositions positions,
       List<String> addresses,
       List<DataCentreDigest> digests,
-      List<QuarantineRecord> records,
-      List<LimitUpdate> limits) {}
+      List<QuarantineRecord> quarantineRecords,
+      List<LimitUpdate> limitUpdates) {}
 
   static byte[] write(Datagram datagram) throws IOException {
-    PeerMessage note = datagram.note();
+    PeerMessage message = datagram.message();
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       packer.packInt(FORMAT);
-      packer.packString(note.name());
-      packer.packString(note.address());
-      packer.packString(note.dataCentre());
-      packer.packLong(note.incarnation());
-      packer.packLong(note.term());
-      packer.packString(note.leader());
-      packer.packLong(note.claim());
-      packer.packInt(note.eligibility().ordinal());
-      packer.packBoolean(note.served());
-      writeCounts(packer, note.inFlight());
-      writeWork(packer, note.offeredWork());
-      writeStrings(packer, note.suspects());
-      writeStrings(packer, note.refusing());
-      packer.packArrayHeader(note.groups().size());
-      for (PeerMessage.ServingGroup group : note.groups()) {
+      packer.packString(message.name());
+      packer.packString(message.address());
+      packer.packString(message.dataCentre());
+      packer.packLong(message.incarnation());
+      packer.packLong(message.term());
+      packer.packString(message.leader());
+      packer.packLong(message.claim());
+      packer.packInt(message.eligibility().ordinal());
+      packer.packBoolean(message.served());
+      writeCounts(packer, message.inFlight());
+      writeWork(packer, message.offeredWork());
+      writeStrings(packer, message.suspects());
+      writeStrings(packer, message.refusing());
+      packer.packArrayHeader(message.groups().size());
+      for (PeerMessage.ServingGroup group : message.groups()) {
         packer.packString(group.head());
         packer.packString(group.group());
         packer.packLong(group.epoch());
         packer.packString(group.model());
       }
-      writeStrings(packer, note.closed());
-      CopyPositionsCodec.write(packer, datagram.places());
+      writeStrings(packer, message.closed());
+      CopyPositionsCodec.write(packer, datagram.positions());
       writeStrings(packer, datagram.addresses());
       packer.packArrayHeader(datagram.digests().size());
       for (DataCentreDigest digest : datagram.digests()) {
         DigestCodec.write(packer, digest);
       }
-      QuarantineRecordCodec.write(packer, datagram.records());
-      LimitNoteCodec.write(packer, datagram.limits());
+      QuarantineRecordCodec.write(packer, datagram.quarantineRecords());
+      LimitNoteCodec.write(packer, datagram.limitUpdates());
       return packer.toByteArray();
     }
   }
@@ -126,7 +129,8 @@
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes, 0, length)) {
       int format = in.unpackInt();
       if (format != FORMAT) {
-        throw new IOException("Format " + format + " of a note is unknown; use one version.");
+        throw new IOException(
+            "Format " + format + " of a peer message is unknown; run one version everywhere.");
       }
       String name = in.unpackString();
       String address = in.unpackString();
@@ -135,7 +139,7 @@
       long term = in.unpackLong();
       String leader = in.unpackString();
       long claim = in.unpackLong();
-      LeaderEligibility standing = LeaderEligibility.values()[in.unpackInt()];
+      LeaderEligibility eligibility = LeaderEligibility.values()[in.unpackInt()];
       boolean served = in.unpackBoolean();
       Map<String, Integer> inFlight = readCounts(in);
       Map<String, Double> offeredWork = readWork(in);
@@ -143,8 +147,8 @@
       List<String> refusing = readStrings(in);
       List<PeerMessage.ServingGroup> groups = readGroups(in);
       List<String> closed = readStrings(in);
-      CopyPositions places = CopyPositionsCodec.read(in);
-      PeerMessage note =
+      CopyPositions positions = CopyPositionsCodec.read(in);
+      PeerMessage message =
           new PeerMessage(
               name,
               address,
@@ -153,7 +157,7 @@
               term,
               leader,
               claim,
-              standing,
+              eligibility,
               served,
               inFlight,
               offeredWork,
@@ -163,12 +167,13 @@
               closed);
       List<String> addresses = readStrings(in);
       List<DataCentreDigest> digests = new ArrayList<>();
-      int told = in.unpackArrayHeader();
-      for (int index = 0; index < told; index++) {
+      int digestCount = in.unpackArrayHeader();
+      for (int index = 0; index < digestCount; index++) {
         digests.add(DigestCodec.read(in));
       }
-      List<QuarantineRecord> records = QuarantineRecordCodec.read(in);
-      return new Datagram(note, places, addresses, digests, records, LimitNoteCodec.read(in));
+      List<QuarantineRecord> quarantineRecords = QuarantineRecordCodec.read(in);
+      return new Datagram(
+          message, positions, addresses, digests, quarantineRecords, LimitNoteCodec.read(in));
     }
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -23,7 +23,10 @@
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.core.watch.CopyPositions;
 
-/** What the other daemons told last, and who leads. All calls hold the guard. */
+/**
+ * This daemon's view of the other daemons: the last message of each, the digests of other data
+ * centres, and the elected leader. Callers hold the daemon's lock.
+ */
 public final class Peers {
 
   private static final Logger LOG = LogManager.getLogger("peer");
@@ -34,161 +37,161 @@
   private final DataCentreDigests digests;
   private final MessageRouting routing;
   private final CopyPositionsListener copyPositionsListener;
-  private final SharedState shared;
-  private final Set<String> everHeard = new HashSet<>();
-  private Set<String> aliveBefore = Set.of();
-  private String leaderBefore = "";
+  private final SharedState sharedState;
+  private final Set<String> everSeen = new HashSet<>();
+  private Set<String> previousAlive = Set.of();
+  private String previousLeader = "";
   private boolean servedElsewhere;
-  private int turn;
+  private int sequence;
   private PeerLink link;
 
   private Peers(
       Settings settings,
       long incarnation,
       CopyPositionsListener copyPositionsListener,
-      SharedState shared) {
+      SharedState sharedState) {
     this.settings = settings;
     this.incarnation = incarnation;
     this.election = new LeaderElection(settings.name(), settings.dataCentre());
     this.digests = new DataCentreDigests(settings.dataCentre());
     this.routing = new MessageRouting(settings.name(), settings.dataCentre());
     this.copyPositionsListener = copyPositionsListener;
-    this.shared = shared;
+    this.sharedState = sharedState;
   }
 
-  /** What all daemons come to know together, told with the notes. */
+  /** State that all daemons share and exchange with their messages. */
   public interface SharedState {
 
     /**
-     * Requests under which nodes ended.
+     * Returns the quarantine records to send with the next message.
      *
-     * @param asRelay whether what others have told is told on, as the relay of a large fleet does
-     * @return the records that go out with the next note
+     * @param asRelay whether to include records received from other daemons, as a relay does
      */
     List<QuarantineRecord> records(boolean asRelay);
 
     /**
-     * Limits that nodes name.
+     * Returns the limit updates to send with the next message.
      *
-     * @param asRelay whether what others have told is told on
-     * @return the notes on limits that go out with the next note
+     * @param asRelay whether to include updates received from other daemons, as a relay does
      */
     List<LimitUpdate> limits(boolean asRelay);
 
     /**
-     * Takes in what a peer tells.
+     * Merges the shared state of a received message.
      *
-     * @param records what it knows of requests under which nodes ended
-     * @param limits what it knows of limits
+     * @param quarantineRecords the peer's node failures attributed to requests
+     * @param limitUpdates limits that the peer knows
      */
-    void receive(List<QuarantineRecord> records, List<LimitUpdate> limits);
+    void receive(List<QuarantineRecord> quarantineRecords, List<LimitUpdate> limitUpdates);
   }
 
-  /** Told what a peer's copies of the store's objects show. */
+  /** Receives the positions of other daemons' copies of the store's objects. */
   @FunctionalInterface
   public interface CopyPositionsListener {
 
     /**
-     * Hears of a peer's copies.
+     * Called for each received message.
      *
-     * @param address the peer's address
-     * @param isNear whether it is of the same data centre
-     * @param places what they show
+     * @param address the peer's IP address
+     * @param isSameDataCentre whether the peer is in this daemon's data centre
+     * @param positions the positions of the peer's copies
      */
-    void received(String address, boolean isNear, CopyPositions places);
+    void received(String address, boolean isSameDataCentre, CopyPositions positions);
   }
 
   /**
-   * Begins to hear other daemons.
+   * Binds the peer port and starts to receive messages of other daemons.
    *
    * @param settings the daemon's settings
-   * @param guard held while notes are taken in
-   * @param incarnation the number of this start
-   * @param copyPositionsListener told what a peer's copies of the store's objects show
-   * @param shared what all daemons come to know together
+   * @param lock held while a received message is processed
+   * @param incarnation the number of this start of the daemon; rises with each start
+   * @param copyPositionsListener called for each received message
+   * @param sharedState the state to send with messages and to merge from them
    * @return the peers
-   * @throws IOException when the port can't be bound
+   * @throws IOException if the port can't be bound
    */
   public static Peers open(
       Settings settings,
-      Object guard,
+      Object lock,
       long incarnation,
       CopyPositionsListener copyPositionsListener,
-      SharedState shared)
+      SharedState sharedState)
       throws IOException {
-    Peers peers = new Peers(settings, incarnation, copyPositionsListener, shared);
-    peers.link = PeerLink.open(settings, guard, peers::hear);
+    Peers peers = new Peers(settings, incarnation, copyPositionsListener, sharedState);
+    peers.link = PeerLink.open(settings, lock, peers::receive);
     return peers;
   }
 
-  private void hear(PeerMessageCodec.Datagram datagram) {
+  private void receive(PeerMessageCodec.Datagram datagram) {
     long now = System.nanoTime();
-    everHeard.add(datagram.note().name());
-    servedElsewhere |= datagram.note().served();
-    election.receive(datagram.note(), now);
+    everSeen.add(datagram.message().name());
+    servedElsewhere |= datagram.message().served();
+    election.receive(datagram.message(), now);
     for (DataCentreDigest digest : datagram.digests()) {
       if (digests.receive(digest, now)) {
         servedElsewhere |= digest.served();
-        digest.members().forEach(member -> hearOf(member, digest.dataCentre(), now));
+        digest.members().forEach(member -> receiveMember(member, digest.dataCentre(), now));
       }
     }
-    boolean isNear = datagram.note().dataCentre().equals(settings.dataCentre());
-    copyPositionsListener.received(datagram.note().address(), isNear, datagram.places());
-    if (!datagram.records().isEmpty() || !datagram.limits().isEmpty()) {
-      shared.receive(datagram.records(), datagram.limits());
+    boolean isSameDataCentre = datagram.message().dataCentre().equals(settings.dataCentre());
+    copyPositionsListener.received(
+        datagram.message().address(), isSameDataCentre, datagram.positions());
+    if (!datagram.quarantineRecords().isEmpty() || !datagram.limitUpdates().isEmpty()) {
+      sharedState.receive(datagram.quarantineRecords(), datagram.limitUpdates());
     }
   }
 
-  private void hearOf(DataCentreDigest.Member member, String dataCentre, long now) {
-    everHeard.add(member.name());
+  private void receiveMember(DataCentreDigest.Member member, String dataCentre, long now) {
+    everSeen.add(member.name());
     election.receiveMember(member, dataCentre, now);
-    link.learn(member.address());
+    link.addAddress(member.address());
   }
 
   /**
-   * Decides who leads, and logs what has changed.
+   * Runs the leader election, and logs changes of the leader and of the live daemons.
    *
-   * @param standing how fit this daemon is to lead
-   * @return true when this daemon leads
+   * @param eligibility this daemon's eligibility to lead
+   * @return true if this daemon leads
    */
-  public boolean decide(LeaderEligibility standing) {
+  public boolean decide(LeaderEligibility eligibility) {
     long now = System.nanoTime();
-    boolean leads = election.decide(standing, now);
-    if (!election.leader().equals(leaderBefore)) {
-      leaderBefore = election.leader();
+    boolean leads = election.decide(eligibility, now);
+    if (!election.leader().equals(previousLeader)) {
+      previousLeader = election.leader();
       LOG.info(
           "leader={} term={} claim={} outcome=follows",
-          leaderBefore,
+          previousLeader,
           election.term(),
           election.highestClaim());
     }
     Set<String> alive = Set.copyOf(election.live(now).keySet());
-    if (!alive.equals(aliveBefore)) {
-      LOG.info("alive={} before={} outcome=members_changed", alive.size(), aliveBefore.size());
-      aliveBefore = alive;
+    if (!alive.equals(previousAlive)) {
+      LOG.info("alive={} before={} outcome=members_changed", alive.size(), previousAlive.size());
+      previousAlive = alive;
     }
     return leads;
   }
 
   /**
-   * Tells whether this daemon is to watch the store for its data centre.
+   * Returns whether this daemon watches the store on behalf of its data centre.
    *
-   * @param standing how fit it is
-   * @return true when no fitter or earlier one lives there
+   * @param eligibility this daemon's eligibility to lead
+   * @return true if no live daemon of the data centre has a higher eligibility, or the same one and
+   *     a smaller name
    */
-  public boolean isDataCentreWatcher(LeaderEligibility standing) {
-    return election.rankInDataCentre(standing, System.nanoTime()) == 0;
+  public boolean isDataCentreWatcher(LeaderEligibility eligibility) {
+    return election.rankInDataCentre(eligibility, System.nanoTime()) == 0;
   }
 
   /**
-   * Tells the others about this daemon.
+   * Sends this daemon's state to the other daemons.
    *
-   * @param state what it tells
-   * @param places what its copies of the store's objects show
-   * @param news whether it holds what all daemons should know at once
+   * @param state the state to send
+   * @param positions the positions of this daemon's copies of the store's objects
+   * @param urgent whether the leader and the relays should receive the message at once
    */
-  public void send(DaemonState state, CopyPositions places, boolean news) {
-    PeerMessage note =
+  public void send(DaemonState state, CopyPositions positions, boolean urgent) {
+    PeerMessage message =
         new PeerMessage(
             settings.name(),
             settings.address(),
@@ -205,105 +208,111 @@
             state.refusing(),
             state.groups(),
             state.closed());
-    route(note, places, news);
+    route(message, positions, urgent);
   }
 
-  private void route(PeerMessage note, CopyPositions places, boolean news) {
-    turn++;
+  private void route(PeerMessage message, CopyPositions positions, boolean urgent) {
+    sequence++;
     Map<String, PeerMessage> live = live();
     List<MessageRouting.Peer> others = new ArrayList<>();
-    Set<String> near = new HashSet<>();
+    Set<String> local = new HashSet<>();
     Set<String> known = new HashSet<>();
     for (PeerMessage other : live.values()) {
       others.add(new MessageRouting.Peer(other.name(), other.address(), other.dataCentre()));
       known.add(other.address());
       if (other.dataCentre().equals(settings.dataCentre())) {
-        near.add(other.address());
+        local.add(other.address());
       }
     }
     boolean leads = election.leader().equals(settings.name());
     Set<String> targets =
         routing.targets(
-            others, new MessageRouting.SendContext(turn, leads, election.leader(), news));
+            others, new MessageRouting.SendContext(sequence, leads, election.leader(), urgent));
     boolean relays = MessageRouting.hasRelays(others.size() + 1) && routing.isRelay(others);
-    List<QuarantineRecord> records = shared.records(relays);
-    List<LimitUpdate> limits = shared.limits(relays);
+    List<QuarantineRecord> quarantineRecords = sharedState.records(relays);
+    List<LimitUpdate> limitUpdates = sharedState.limits(relays);
     List<String> addresses = link.addresses();
     link.send(
         new PeerMessageCodec.Datagram(
-            note, places, addresses, relays ? heardDigests() : List.of(), records, limits),
-        intersection(targets, near));
-    targets.removeAll(near);
+            message,
+            positions,
+            addresses,
+            relays ? digestsToForward() : List.of(),
+            quarantineRecords,
+            limitUpdates),
+        intersection(targets, local));
+    targets.removeAll(local);
     link.send(
         new PeerMessageCodec.Datagram(
-            note,
-            places,
+            message,
+            positions,
             addresses,
-            relays ? List.of(ownDigest(note, live.values())) : List.of(),
-            records,
-            limits),
+            relays ? List.of(ownDigest(message, live.values())) : List.of(),
+            quarantineRecords,
+            limitUpdates),
         targets);
-    link.sendToUnheard(
-        new PeerMessageCodec.Datagram(note, places, addresses, List.of(), records, limits), known);
+    link.sendToUnreachable(
+        new PeerMessageCodec.Datagram(
+            message, positions, addresses, List.of(), quarantineRecords, limitUpdates),
+        known);
   }
 
-  private static Set<String> intersection(Set<String> targets, Set<String> near) {
+  private static Set<String> intersection(Set<String> targets, Set<String> local) {
     Set<String> both = new HashSet<>(targets);
-    both.retainAll(near);
+    both.retainAll(local);
     return both;
   }
 
-  /** What a relay hands on to its own daemons, every other note: links may be narrow. */
-  private List<DataCentreDigest> heardDigests() {
-    return turn % 2 == 0 ? List.copyOf(freshDigests()) : List.of();
+  /**
+   * Digests that a relay forwards to its own data centre: with every second message, to save
+   * bandwidth.
+   */
+  private List<DataCentreDigest> digestsToForward() {
+    return sequence % 2 == 0 ? List.copyOf(freshDigests()) : List.of();
   }
 
-  /** What a relay tells the other relays. */
+  /** The digest of this data centre, which a relay sends to the relays of the others. */
   private DataCentreDigest ownDigest(PeerMessage own, Collection<PeerMessage> live) {
-    List<PeerMessage> near = new ArrayList<>();
-    near.add(own);
+    List<PeerMessage> local = new ArrayList<>();
+    local.add(own);
     live.stream()
-        .filter(note -> note.dataCentre().equals(settings.dataCentre()))
-        .forEach(near::add);
-    return digests.summarize(near, settings.name(), System.nanoTime());
+        .filter(message -> message.dataCentre().equals(settings.dataCentre()))
+        .forEach(local::add);
+    return digests.summarize(local, settings.name(), System.nanoTime());
   }
 
   /**
-   * What the others tell of upstreams.
+   * What the other daemons report of upstreams.
    *
-   * @param inFlight their requests by node id, summed
-   * @param refusing ids of heads that turn requests of any of them away, or have asked one for rest
+   * @param inFlight the other daemons' requests in flight, summed by node id
+   * @param rejecting ids of heads that reject requests of any other daemon, or have asked one to
+   *     pause with Retry-After
    */
   public record UpstreamReports(Map<String, Integer> inFlight, Set<String> rejecting) {}
 
-  /**
-   * Gathers what the others tell of upstreams, in one pass.
-   *
-   * @return what their last notes and digests tell
-   */
+  /** Aggregates the upstream reports of the other daemons' last messages and digests. */
   public UpstreamReports upstreamReports() {
     Map<String, Integer> sum = new HashMap<>();
-    Set<String> refusing = new HashSet<>();
-    for (PeerMessage note : withoutDigest()) {
-      note.inFlight().forEach((node, count) -> sum.merge(node, count, Integer::sum));
-      refusing.addAll(note.refusing());
+    Set<String> rejecting = new HashSet<>();
+    for (PeerMessage message : messagesOutsideDigests()) {
+      message.inFlight().forEach((node, count) -> sum.merge(node, count, Integer::sum));
+      rejecting.addAll(message.refusing());
     }
     for (DataCentreDigest digest : freshDigests()) {
       digest.inFlight().forEach((node, count) -> sum.merge(node, count, Integer::sum));
-      refusing.addAll(digest.refusing());
+      rejecting.addAll(digest.refusing());
     }
-    return new UpstreamReports(sum, refusing);
+    return new UpstreamReports(sum, rejecting);
   }
 
   /**
-   * The work that callers of all other daemons ask for, summed.
-   *
-   * @return by model, how many groups it would keep busy
+   * Returns the load offered by the callers of all other daemons, summed: by model, how many groups
+   * it would keep busy.
    */
   public Map<String, Double> offeredWork() {
     Map<String, Double> sum = new HashMap<>();
-    for (PeerMessage note : withoutDigest()) {
-      note.offeredWork().forEach((model, groups) -> sum.merge(model, groups, Double::sum));
+    for (PeerMessage message : messagesOutsideDigests()) {
+      message.offeredWork().forEach((model, groups) -> sum.merge(model, groups, Double::sum));
     }
     for (DataCentreDigest digest : freshDigests()) {
       digest.offeredWork().forEach((model, groups) -> sum.merge(model, groups, Double::sum));
@@ -312,29 +321,29 @@
   }
 
   /**
-   * What the others tell of heads.
+   * Returns what the other daemons observe of heads.
    *
-   * @return a witness for each live daemon, or for each data centre that has a digest
+   * @return one observation for each data centre that has a fresh digest, and one for each live
+   *     daemon of the other data centres
    */
   public List<StallEvidence.Observation> stallObservations() {
-    List<StallEvidence.Observation> witnesses = new ArrayList<>();
-    for (PeerMessage note : withoutDigest()) {
-      witnesses.add(
+    List<StallEvidence.Observation> observations = new ArrayList<>();
+    for (PeerMessage message : messagesOutsideDigests()) {
+      observations.add(
           new StallEvidence.Observation(
-              note.dataCentre(), note.suspects(), note.inFlight().keySet()));
+              message.dataCentre(), message.suspects(), message.inFlight().keySet()));
     }
     for (DataCentreDigest digest : freshDigests()) {
-      witnesses.add(
+      observations.add(
           new StallEvidence.Observation(
               digest.dataCentre(), digest.suspects(), digest.inFlight().keySet()));
     }
-    return witnesses;
+    return observations;
   }
 
   /**
-   * Tells cheaply whether any daemon suspects a head, so that nothing need be gathered otherwise.
-   *
-   * @return false when the last notes and digests name no suspect
+   * Returns whether the last message of any daemon or any digest names a suspected head. Cheaper
+   * than {@link #stallObservations()}, which is needed only if this is true.
    */
   public boolean anySuspects() {
     return election.anySuspects() || digests.anySuspects();
@@ -344,96 +353,71 @@
     return digests.fresh(System.nanoTime()).values();
   }
 
-  /** The notes of live daemons that no digest sums up. */
-  private List<PeerMessage> withoutDigest() {
-    Set<String> summed = digests.fresh(System.nanoTime()).keySet();
-    List<PeerMessage> notes = new ArrayList<>();
-    for (PeerMessage note : live().values()) {
-      if (!summed.contains(note.dataCentre())) {
-        notes.add(note);
+  /** The messages of the live daemons whose data centre has no fresh digest. */
+  private List<PeerMessage> messagesOutsideDigests() {
+    Set<String> covered = digests.fresh(System.nanoTime()).keySet();
+    List<PeerMessage> messages = new ArrayList<>();
+    for (PeerMessage message : live().values()) {
+      if (!covered.contains(message.dataCentre())) {
+        messages.add(message);
       }
     }
-    return notes;
+    return messages;
   }
 
   /**
-   * Tells whether the store fails to answer a live daemon of this data centre.
-   *
-   * @return true when one of them says so
+   * Returns whether a live daemon of this data centre reports that the store does not answer it.
    */
   public boolean peerInDataCentreLostStore() {
     return live().values().stream()
         .anyMatch(
-            note ->
-                note.dataCentre().equals(settings.dataCentre())
-                    && note.eligibility() == LeaderEligibility.WITHOUT_STORE);
+            message ->
+                message.dataCentre().equals(settings.dataCentre())
+                    && message.eligibility() == LeaderEligibility.WITHOUT_STORE);
   }
 
-  /**
-   * Tells whether the store answers any other live daemon.
-   *
-   * @return true when one of them says so
-   */
+  /** Returns whether any other live daemon reports that the store answers it. */
   public boolean storeAnswersAnyPeer() {
     return live().values().stream()
-        .anyMatch(note -> note.eligibility() == LeaderEligibility.ELIGIBLE);
+        .anyMatch(message -> message.eligibility() == LeaderEligibility.ELIGIBLE);
   }
 
-  /**
-   * The notes of live daemons.
-   *
-   * @return notes by daemon
-   */
+  /** Returns the last messages of the other live daemons, by daemon name. */
   public Map<String, PeerMessage> live() {
     return election.live(System.nanoTime());
   }
 
   /**
-   * Daemons heard lately, this one included; some of them may be out of sight now.
-   *
-   * @return their number
+   * Returns the number of daemons seen recently, this one included. Some of them may be unreachable
+   * now.
    */
   public int recentlySeenCount() {
     return election.recentlySeenCount(System.nanoTime());
   }
 
-  /**
-   * Daemons heard of since the start, this one included.
-   *
-   * @return their number
-   */
+  /** Returns the number of daemons known since the start, this one included. */
   public int knownDaemonCount() {
-    return everHeard.size() + 1;
+    return everSeen.size() + 1;
   }
 
   /**
-   * Tells whether callers' requests have come to any other daemon.
-   *
-   * @return true once one has said so
+   * Returns whether any other daemon has reported that it received a caller's request. Stays true.
    */
   public boolean servedElsewhere() {
     return servedElsewhere;
   }
 
-  /**
-   * Who leads.
-   *
-   * @return the view of election
-   */
+  /** Returns this daemon's view of the leader election. */
   public LeaderElection election() {
     return election;
   }
 
-  /**
-   * Datagrams sent so far.
-   *
-   * @return their number
-   */
+  /** Returns the number of datagrams sent since the start. */
   public long sent() {
     return link.sent();
   }
 
-  /** Closes the link. */
+  /** Closes the socket. */
   public void stop() {
     link.close();
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/QuarantineRecordCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/QuarantineRecordCodec.java
@@ -11,26 +11,29 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Records of requests under which nodes ended, within the datagrams of notes. */
+/**
+ * Encodes the node failures attributed to requests as MessagePack, as a part of the datagrams
+ * between daemons.
+ */
 final class QuarantineRecordCodec {
 
   private QuarantineRecordCodec() {}
 
   static void write(MessageBufferPacker packer, List<QuarantineRecord> records) throws IOException {
     packer.packArrayHeader(records.size());
-    for (QuarantineRecord told : records) {
-      packer.packLong(told.fingerprint().value());
-      writeLives(packer, told.failures());
-      writeLives(packer, told.excused());
+    for (QuarantineRecord quarantineRecord : records) {
+      packer.packLong(quarantineRecord.fingerprint().value());
+      writeIncarnations(packer, quarantineRecord.failures());
+      writeIncarnations(packer, quarantineRecord.excused());
     }
   }
 
-  private static void writeLives(MessageBufferPacker packer, Set<NodeIncarnation> lives)
-      throws IOException {
-    packer.packArrayHeader(lives.size());
-    for (NodeIncarnation life : lives) {
-      packer.packString(life.id());
-      packer.packLong(life.startedMillis());
+  private static void writeIncarnations(
+      MessageBufferPacker packer, Set<NodeIncarnation> incarnations) throws IOException {
+    packer.packArrayHeader(incarnations.size());
+    for (NodeIncarnation incarnation : incarnations) {
+      packer.packString(incarnation.id());
+      packer.packLong(incarnation.startedMillis());
     }
   }
 
@@ -39,19 +42,19 @@
     List<QuarantineRecord> records = new ArrayList<>();
     for (int index = 0; index < count; index++) {
       Fingerprint fingerprint = new Fingerprint(in.unpackLong());
-      Set<NodeIncarnation> ended = readLives(in);
-      records.add(new QuarantineRecord(fingerprint, ended, readLives(in)));
+      Set<NodeIncarnation> failures = readIncarnations(in);
+      records.add(new QuarantineRecord(fingerprint, failures, readIncarnations(in)));
     }
     return records;
   }
 
-  private static Set<NodeIncarnation> readLives(MessageUnpacker in) throws IOException {
+  private static Set<NodeIncarnation> readIncarnations(MessageUnpacker in) throws IOException {
     int count = in.unpackArrayHeader();
-    Set<NodeIncarnation> lives = new HashSet<>();
+    Set<NodeIncarnation> incarnations = new HashSet<>();
     for (int index = 0; index < count; index++) {
       String id = in.unpackString();
-      lives.add(new NodeIncarnation(id, in.unpackLong()));
+      incarnations.add(new NodeIncarnation(id, in.unpackLong()));
     }
-    return Set.copyOf(lives);
+    return Set.copyOf(incarnations);
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/package-info.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/package-info.java
@@ -1,4 +1,4 @@
-/** Datagrams between daemons. */
+/** Messages between daemons, sent as UDP datagrams. */
 @NullMarked
 package org.fawnvale.serving.peer;
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/PeerMessageCodecTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/peer/PeerMessageCodecTest.java
@@ -19,7 +19,7 @@
 import org.fawnvale.serving.core.watch.StorePosition;
 import org.junit.jupiter.api.Test;
 
-/** A note comes out as it went in. */
+/** Encoding a datagram and decoding it gives an equal one; a damaged datagram is refused. */
 class PeerMessageCodecTest {
 
   private static final PeerMessageCodec.Datagram DATAGRAM =
@@ -65,13 +65,13 @@
               new LimitUpdate(NodeIncarnation.only("n8"), 2, LimitUpdate.UNLIMITED, 0)));
 
   @Test
-  void whatIsWrittenIsRead() throws IOException {
+  void decodingRestoresTheEncodedDatagram() throws IOException {
     byte[] bytes = PeerMessageCodec.write(DATAGRAM);
     assertThat(PeerMessageCodec.read(bytes, bytes.length)).isEqualTo(DATAGRAM);
   }
 
   @Test
-  void anUnknownFormatIsRefused() throws IOException {
+  void unknownFormatIsRefused() throws IOException {
     byte[] bytes = PeerMessageCodec.write(DATAGRAM);
     bytes[0] = 10;
     assertThatThrownBy(() -> PeerMessageCodec.read(bytes, bytes.length))
@@ -79,11 +79,12 @@
   }
 
   @Test
-  void everyShortenedNoteIsRefused() throws IOException {
+  void everyTruncatedDatagramIsRefused() throws IOException {
     byte[] bytes = PeerMessageCodec.write(DATAGRAM);
     for (int length = 0; length < bytes.length; length++) {
-      int cut = length;
-      assertThatThrownBy(() -> PeerMessageCodec.read(bytes, cut)).isInstanceOf(Exception.class);
+      int truncatedLength = length;
+      assertThatThrownBy(() -> PeerMessageCodec.read(bytes, truncatedLength))
+          .isInstanceOf(Exception.class);
     }
   }
 }
