--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/BufferedCall.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/BufferedCall.java
@@ -11,32 +11,32 @@
 import org.fawnvale.serving.spi.Call;
 import org.jspecify.annotations.Nullable;
 
-/** A call whose answer is read as a whole, or not at all within its time. */
+/** A call whose response is buffered and delivered as a whole; it fails when its timeout passes. */
 public final class BufferedCall implements ClientListener {
 
-  private final Runnable noAnswer;
+  private final Runnable onTimeout;
   private final Consumer<Reply> done;
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private @Nullable HttpResponse head;
   private @Nullable ClientExchange exchange;
   private @Nullable ScheduledFuture<?> timeout;
-  private boolean over;
+  private boolean completed;
 
-  /** What came of a call. */
+  /** The result of a call. */
   public sealed interface Reply {}
 
   /**
-   * An answer.
+   * A complete response.
    *
-   * @param head its head
-   * @param body its body
+   * @param head the status and headers
+   * @param body the body; may be empty
    */
   public record Answered(HttpResponse head, byte[] body) implements Reply {
 
     /**
-     * The status of the answer.
+     * Returns the HTTP status of the response.
      *
-     * @return the status
+     * @return the status code
      */
     public int status() {
       return head.getCode();
@@ -44,26 +44,26 @@
   }
 
   /**
-   * No answer.
+   * No complete response.
    *
-   * @param failure how it failed; {@link ClientListener.Failure#BROKEN} also when time ran out
+   * @param failure the reason; {@link ClientListener.Failure#BROKEN} also after a timeout
    */
   public record Failed(ClientListener.Failure failure) implements Reply {}
 
-  private BufferedCall(Runnable noAnswer, Consumer<Reply> done) {
-    this.noAnswer = noAnswer;
+  private BufferedCall(Runnable onTimeout, Consumer<Reply> done) {
+    this.onTimeout = onTimeout;
     this.done = done;
   }
 
   /**
    * Sends a call.
    *
-   * @param client sends it
-   * @param timers bounds its time
-   * @param endpoint where to
-   * @param call the call
-   * @param timeoutMillis its time, in milliseconds
-   * @param done told once what came of it, while the guard is held
+   * @param client sends the request
+   * @param timers runs the timeout
+   * @param endpoint the address to send to
+   * @param call the request
+   * @param timeoutMillis the timeout in milliseconds
+   * @param done called once with the result, with the daemon's lock held
    */
   public static void send(
       HttpClient client,
@@ -77,16 +77,16 @@
     send(plain, client, timers, endpoint, call, timeoutMillis, done);
   }
 
-  /** Puts a request on its way. */
+  /** Sends the request of a call. */
   @FunctionalInterface
   interface Sender {
 
     /**
      * Sends a request.
      *
-     * @param request its head
-     * @param body its body
-     * @param listener told of the answer
+     * @param request the request line and headers
+     * @param body the body; may be empty
+     * @param listener receives the response
      * @return the exchange, which can be cancelled
      */
     ClientExchange send(BasicHttpRequest request, byte[] body, ClientListener listener);
@@ -103,25 +103,25 @@
     BasicHttpRequest request = new BasicHttpRequest(call.method(), call.target());
     request.addHeader(HttpHeaders.HOST, endpoint.toString());
     call.headers().forEach(request::addHeader);
-    BufferedCall whole = new BufferedCall(() -> client.closeIdle(endpoint), done);
-    whole.timeout = timers.after(timeoutMillis, whole::expire);
-    whole.exchange = sender.send(request, call.body(), whole);
+    BufferedCall bufferedCall = new BufferedCall(() -> client.closeIdle(endpoint), done);
+    bufferedCall.timeout = timers.after(timeoutMillis, bufferedCall::timeOut);
+    bufferedCall.exchange = sender.send(request, call.body(), bufferedCall);
   }
 
-  private void expire() {
+  private void timeOut() {
     ClientExchange running = exchange;
-    if (!over && running != null) {
+    if (!completed && running != null) {
       running.cancel();
-      noAnswer.run();
-      conclude(new Failed(Failure.BROKEN));
+      onTimeout.run();
+      complete(new Failed(Failure.BROKEN));
     }
   }
 
-  private void conclude(Reply reply) {
-    if (over) {
+  private void complete(Reply reply) {
+    if (completed) {
       return;
     }
-    over = true;
+    completed = true;
     ScheduledFuture<?> timer = timeout;
     if (timer != null) {
       timer.cancel(false);
@@ -130,8 +130,8 @@
   }
 
   @Override
-  public void head(HttpResponse answer) {
-    head = answer;
+  public void head(HttpResponse response) {
+    head = response;
   }
 
   @Override
@@ -143,14 +143,14 @@
 
   @Override
   public void end() {
-    HttpResponse answer = head;
-    if (answer != null) {
-      conclude(new Answered(answer, body.toByteArray()));
+    HttpResponse response = head;
+    if (response != null) {
+      complete(new Answered(response, body.toByteArray()));
     }
   }
 
   @Override
   public void failed(Failure failure, Exception cause) {
-    conclude(new Failed(failure));
+    complete(new Failed(failure));
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/ClientExchange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/ClientExchange.java
@@ -20,10 +20,10 @@
 import org.fawnvale.serving.core.model.Endpoint;
 import org.jspecify.annotations.Nullable;
 
-/** One request on its way to an upstream or to the store, and its answer. */
+/** One request to an upstream, to the store or to another daemon, and its response. */
 public final class ClientExchange implements AsyncClientExchangeHandler {
 
-  private final Object guard;
+  private final Object lock;
   private final HttpRequest request;
   private final ByteBuffer body;
   private final ClientListener listener;
@@ -31,19 +31,19 @@
   private final Endpoint endpoint;
   private @Nullable IOSession session;
   private boolean bodySent;
-  private boolean answered;
+  private boolean responseComplete;
   private boolean over;
   private boolean reusable;
-  private long keepMillis = -1;
+  private long keepAliveMillis = -1;
 
   ClientExchange(
-      Object guard,
+      Object lock,
       HttpRequest request,
       byte[] body,
       ClientListener listener,
       HttpClient client,
       Endpoint endpoint) {
-    this.guard = guard;
+    this.lock = lock;
     this.request = request;
     this.body = ByteBuffer.wrap(body);
     this.listener = listener;
@@ -60,10 +60,10 @@
     return over;
   }
 
-  /** Gives the request up; its connection is closed and the listener hears nothing more. */
+  /** Aborts the request: closes its connection; the listener is not called again. */
   @Override
   public void cancel() {
-    synchronized (guard) {
+    synchronized (lock) {
       over = true;
       IOSession open = session;
       if (open != null) {
@@ -73,7 +73,7 @@
   }
 
   void notSent(ClientListener.Failure failure, Exception cause) {
-    synchronized (guard) {
+    synchronized (lock) {
       if (!over) {
         over = true;
         listener.failed(failure, cause);
@@ -105,17 +105,17 @@
 
   @Override
   public void consumeInformation(HttpResponse response, HttpContext context) {
-    // Interim answers carry nothing that is used.
+    // Informational (1xx) responses are ignored.
   }
 
   @Override
   public void consumeResponse(HttpResponse response, EntityDetails details, HttpContext context) {
-    synchronized (guard) {
+    synchronized (lock) {
       if (over) {
         return;
       }
       reusable = bodySent && KeepAlive.allowed(response);
-      keepMillis = KeepAlive.millis(response);
+      keepAliveMillis = KeepAlive.millis(response);
       listener.head(response);
       if (details == null) {
         finish();
@@ -130,7 +130,7 @@
 
   @Override
   public void consume(ByteBuffer data) {
-    synchronized (guard) {
+    synchronized (lock) {
       if (!over) {
         listener.data(data);
       }
@@ -139,7 +139,7 @@
 
   @Override
   public void streamEnd(@Nullable List<? extends Header> trailers) {
-    synchronized (guard) {
+    synchronized (lock) {
       if (!over) {
         finish();
       }
@@ -148,13 +148,13 @@
 
   private void finish() {
     over = true;
-    answered = true;
+    responseComplete = true;
     listener.end();
   }
 
   @Override
   public void failed(Exception cause) {
-    synchronized (guard) {
+    synchronized (lock) {
       if (!over) {
         over = true;
         boolean unsent = cause instanceof RequestNotExecutedException;
@@ -166,17 +166,18 @@
 
   @Override
   public void releaseResources() {
-    synchronized (guard) {
+    synchronized (lock) {
       IOSession used = session;
       session = null;
       if (!over) {
         over = true;
         listener.failed(
-            ClientListener.Failure.BROKEN, new IOException("The connection was given up."));
+            ClientListener.Failure.BROKEN,
+            new IOException("The connection was closed before the response was complete."));
       }
       if (used != null && used.isOpen()) {
-        if (answered && reusable) {
-          client.keep(endpoint, used, keepMillis);
+        if (responseComplete && reusable) {
+          client.addIdle(endpoint, used, keepAliveMillis);
         } else {
           used.close(CloseMode.IMMEDIATE);
         }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/ClientListener.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/ClientListener.java
@@ -2,13 +2,13 @@
 
 import org.apache.hc.core5.http.HttpResponse;
 
-/** Told of the answer to one request; called while holding the guard. */
+/** Receives the response to one request. All methods are called with the daemon's lock held. */
 public interface ClientListener extends ResponseListener {
 
   /**
-   * The head of the answer has come.
+   * Called with the status and headers of the final response.
    *
-   * @param answer the head
+   * @param response the response without its body
    */
-  void head(HttpResponse answer);
+  void head(HttpResponse response);
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/HttpClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/HttpClient.java
@@ -21,24 +21,26 @@
 import org.fawnvale.serving.core.model.Endpoint;
 import org.jspecify.annotations.Nullable;
 
-/** Sends requests over kept connections, one request at a time on each. */
+/** HTTP client with a pool of idle connections. A connection carries one request at a time. */
 public final class HttpClient {
 
   /**
-   * How long a connection may take to open, in milliseconds. Data centres are milliseconds apart; a
-   * machine behind a cut says nothing, and the request is better off elsewhere. With 120 a daemon
-   * that was itself short of processor time gave up connections that had come up
-   * (StartupRequestQueueTest beside a load of 20 on 8 cores), and held the upstream to be gone.
+   * Connect timeout in milliseconds. Short, so that a request to an unreachable upstream can soon
+   * be sent to another one, but long enough that a daemon short of processor time does not take a
+   * reachable upstream for unreachable.
    */
-  private static final long CONNECT_MILLIS = 300;
+  private static final long CONNECT_TIMEOUT_MILLIS = 300;
 
-  /** A timer that comes later than this shows that the daemon itself is late, in nanoseconds. */
-  private static final long OWN_DELAY_NANOS = 50_000_000L;
+  /** A timer that fires later than this shows that this daemon is delayed, in nanoseconds. */
+  private static final long MAX_TIMER_DELAY_NANOS = 50_000_000L;
 
-  private static final long DEFAULT_KEEP_MILLIS = 20_000;
+  private static final long DEFAULT_KEEP_ALIVE_MILLIS = 20_000;
 
-  /** Upstreams that say how long a connection may rest say 3 s at least. */
-  private static final long LOOKED_KEEP_MILLIS = 2_000;
+  /**
+   * Keep-alive of a connection that has carried no request, in milliseconds: less than the shortest
+   * keep-alive that upstreams announce, 3 s.
+   */
+  private static final long UNUSED_KEEP_ALIVE_MILLIS = 2_000;
 
   private final Connector connector;
   private final Timers timers;
@@ -46,11 +48,11 @@
   private long opened;
   private long reused;
   private long foundClosed;
-  private long restedTooLong;
+  private long idleExpired;
 
-  private record Idle(IOSession session, long untilNanos) {}
+  private record Idle(IOSession session, long expiresAtNanos) {}
 
-  /** Opens connections. */
+  /** Opens connections asynchronously. */
   @FunctionalInterface
   interface Connector {
 
@@ -58,8 +60,8 @@
      * Opens a connection.
      *
      * @param endpoint the address
-     * @param timeoutMillis how long it may take, in milliseconds; the attempt may outlast it
-     * @param callback told of the session, or of the failure
+     * @param timeoutMillis the connect timeout in milliseconds; the attempt may outlast it
+     * @param callback receives the session or the failure
      * @return the attempt, which can be cancelled
      */
     Future<IOSession> connect(
@@ -70,7 +72,7 @@
    * Creates a client.
    *
    * @param reactor runs the connections
-   * @param timers holds the guard
+   * @param timers supplies the daemon's lock, and runs the connect timeouts
    */
   public HttpClient(HttpReactor reactor, Timers timers) {
     this(reactor::connect, timers);
@@ -84,10 +86,10 @@
   /**
    * Sends a request.
    *
-   * @param endpoint where to
-   * @param request its head, without the headers that frame the body
-   * @param body its body
-   * @param listener told of the answer
+   * @param endpoint the address to send to
+   * @param request the request line and headers, without Content-Length or Transfer-Encoding
+   * @param body the body; may be empty
+   * @param listener receives the response
    * @return the exchange, which can be cancelled
    */
   public ClientExchange send(
@@ -96,13 +98,14 @@
   }
 
   /**
-   * Sends a request, unless it is not to be sent any more when its connection is there.
+   * Sends a request if it is still permitted when its connection is ready.
    *
-   * @param endpoint where to
-   * @param request its head, without the headers that frame the body
-   * @param body its body
-   * @param mayWrite asked just before the request is written; false holds it back
-   * @param listener told of the answer
+   * @param endpoint the address to send to
+   * @param request the request line and headers, without Content-Length or Transfer-Encoding
+   * @param body the body; may be empty
+   * @param mayWrite called just before the request is written; on false the request fails with
+   *     {@link ClientListener.Failure#HELD}
+   * @param listener receives the response
    * @return the exchange, which can be cancelled
    */
   public ClientExchange send(
@@ -116,7 +119,7 @@
     IOSession session = takeIdle(endpoint);
     if (session == null) {
       opened++;
-      new Connecting(exchange, endpoint, mayWrite).begin();
+      new ConnectAttempt(exchange, endpoint, mayWrite).begin();
     } else {
       start(exchange, session, endpoint, mayWrite);
     }
@@ -124,7 +127,7 @@
   }
 
   /**
-   * What connections were opened and used again since the start, for a line of the log.
+   * Returns the numbers of connections opened, reused and discarded since the start, for the log.
    *
    * @return {@code key=count} pairs
    */
@@ -136,48 +139,48 @@
         + " found_closed="
         + foundClosed
         + " rested_too_long="
-        + restedTooLong;
+        + idleExpired;
   }
 
   /**
-   * Tells whether a connection rests that can be used again.
+   * Returns whether an idle connection to an address can be reused.
    *
    * @param endpoint the address
-   * @return true when there is one
+   * @return true if there is one
    */
   public boolean hasIdle(Endpoint endpoint) {
     Deque<Idle> connections = idle.get(endpoint);
     Idle last = connections == null ? null : connections.peekLast();
-    return last != null && last.session().isOpen() && System.nanoTime() < last.untilNanos();
+    return last != null && last.session().isOpen() && System.nanoTime() < last.expiresAtNanos();
   }
 
-  /** What an attempt to connect shows of an address. */
+  /** The result of an attempt to connect to an address. */
   public enum ProbeResult {
-    /** A process listens there; the connection rests and can be used. */
+    /** A process listens there; the connection was added to the idle ones. */
     LISTENING,
-    /** None does. */
+    /** The connection was refused: no process listens there. */
     REFUSED,
-    /** Nothing came back in time. */
+    /** The attempt timed out or failed for another reason. */
     UNKNOWN
   }
 
   /**
-   * Finds out whether a process listens at an address, at the cost of one connection.
+   * Checks whether a process listens at an address by opening a connection.
    *
    * @param endpoint the address
-   * @param told told once, while the guard is held
+   * @param callback called once, with the daemon's lock held
    */
-  public void probe(Endpoint endpoint, Consumer<ProbeResult> told) {
+  public void probe(Endpoint endpoint, Consumer<ProbeResult> callback) {
     opened++;
     connector.connect(
         endpoint,
-        CONNECT_MILLIS,
+        CONNECT_TIMEOUT_MILLIS,
         new FutureCallback<>() {
           @Override
           public void completed(IOSession session) {
             synchronized (timers.lock()) {
-              keep(endpoint, session, LOOKED_KEEP_MILLIS);
-              told.accept(ProbeResult.LISTENING);
+              addIdle(endpoint, session, UNUSED_KEEP_ALIVE_MILLIS);
+              callback.accept(ProbeResult.LISTENING);
             }
           }
 
@@ -185,14 +188,14 @@
           public void failed(Exception cause) {
             synchronized (timers.lock()) {
               boolean refused = cause instanceof ConnectException;
-              told.accept(refused ? ProbeResult.REFUSED : ProbeResult.UNKNOWN);
+              callback.accept(refused ? ProbeResult.REFUSED : ProbeResult.UNKNOWN);
             }
           }
 
           @Override
           public void cancelled() {
             synchronized (timers.lock()) {
-              told.accept(ProbeResult.UNKNOWN);
+              callback.accept(ProbeResult.UNKNOWN);
             }
           }
         });
@@ -204,26 +207,26 @@
       Idle candidate = connections.pollLast();
       IOSession session = candidate.session();
       boolean open = session.isOpen();
-      if (open && System.nanoTime() < candidate.untilNanos()) {
+      if (open && System.nanoTime() < candidate.expiresAtNanos()) {
         reused++;
         return session;
       }
       foundClosed += open ? 0 : 1;
-      restedTooLong += open ? 1 : 0;
+      idleExpired += open ? 1 : 0;
       session.close(CloseMode.IMMEDIATE);
     }
     return null;
   }
 
-  void keep(Endpoint endpoint, IOSession session, long keepMillis) {
-    long millis = keepMillis < 0 ? DEFAULT_KEEP_MILLIS : keepMillis;
-    long until = System.nanoTime() + millis * 1_000_000L;
-    idle.computeIfAbsent(endpoint, key -> new ArrayDeque<>()).addLast(new Idle(session, until));
+  void addIdle(Endpoint endpoint, IOSession session, long keepAliveMillis) {
+    long millis = keepAliveMillis < 0 ? DEFAULT_KEEP_ALIVE_MILLIS : keepAliveMillis;
+    long expiresAt = System.nanoTime() + millis * 1_000_000L;
+    idle.computeIfAbsent(endpoint, key -> new ArrayDeque<>()).addLast(new Idle(session, expiresAt));
   }
 
   /**
-   * Closes the connections to an address that rest, since one gave no answer in its time: open
-   * connections may go silent together, without a reset, while new ones work.
+   * Closes the idle connections to an address after a request there timed out: a network fault may
+   * break all open connections at once without a reset, while new ones work.
    *
    * @param endpoint the address
    */
@@ -234,21 +237,21 @@
     }
   }
 
-  /** Closes connections whose time to rest has passed, and forgets addresses without any. */
+  /** Closes expired idle connections, and drops the entries of addresses that have none left. */
   public void closeExpired() {
     long now = System.nanoTime();
     for (Deque<Idle> connections : idle.values()) {
-      connections.removeIf(connection -> expired(connection, now));
+      connections.removeIf(connection -> closeIfExpired(connection, now));
     }
     idle.values().removeIf(Deque::isEmpty);
   }
 
-  private boolean expired(Idle connection, long now) {
+  private boolean closeIfExpired(Idle connection, long now) {
     boolean open = connection.session().isOpen();
-    boolean over = !open || now >= connection.untilNanos();
+    boolean over = !open || now >= connection.expiresAtNanos();
     if (over) {
       foundClosed += open ? 0 : 1;
-      restedTooLong += open ? 1 : 0;
+      idleExpired += open ? 1 : 0;
       connection.session().close(CloseMode.IMMEDIATE);
     }
     return over;
@@ -257,8 +260,10 @@
   private void start(
       ClientExchange exchange, IOSession session, Endpoint endpoint, BooleanSupplier mayWrite) {
     if (!mayWrite.getAsBoolean()) {
-      keep(endpoint, session, LOOKED_KEEP_MILLIS);
-      exchange.notSent(ClientListener.Failure.HELD, new IOException("It may not be sent now."));
+      addIdle(endpoint, session, UNUSED_KEEP_ALIVE_MILLIS);
+      exchange.notSent(
+          ClientListener.Failure.HELD,
+          new IOException("The request was withheld before it was written."));
       return;
     }
     exchange.attach(session);
@@ -267,55 +272,57 @@
   }
 
   /**
-   * One attempt to open a connection. Its time is held by a timer: the reactor looks at the times
-   * of its attempts once a second only, so that 0.3 s became 1.1 s before an upstream that was gone
-   * (27 late first events on a day with eight losses).
+   * One attempt to open a connection. It has a timer of its own, since the reactor checks connect
+   * timeouts only once a second.
    */
-  private final class Connecting implements FutureCallback<IOSession> {
+  private final class ConnectAttempt implements FutureCallback<IOSession> {
     private final ClientExchange exchange;
     private final Endpoint endpoint;
     private final BooleanSupplier mayWrite;
     private @Nullable Future<IOSession> attempt;
-    private @Nullable ScheduledFuture<?> limit;
+    private @Nullable ScheduledFuture<?> timeout;
     private boolean over;
-    private long dueNanos;
+    private long timeoutAtNanos;
 
-    Connecting(ClientExchange exchange, Endpoint endpoint, BooleanSupplier mayWrite) {
+    ConnectAttempt(ClientExchange exchange, Endpoint endpoint, BooleanSupplier mayWrite) {
       this.exchange = exchange;
       this.endpoint = endpoint;
       this.mayWrite = mayWrite;
     }
 
     void begin() {
-      attempt = connector.connect(endpoint, CONNECT_MILLIS, this);
-      setLimit();
+      attempt = connector.connect(endpoint, CONNECT_TIMEOUT_MILLIS, this);
+      startTimer();
     }
 
-    private void setLimit() {
-      dueNanos = System.nanoTime() + CONNECT_MILLIS * 1_000_000L;
-      limit = timers.after(CONNECT_MILLIS, this::giveUp);
+    private void startTimer() {
+      timeoutAtNanos = System.nanoTime() + CONNECT_TIMEOUT_MILLIS * 1_000_000L;
+      timeout = timers.after(CONNECT_TIMEOUT_MILLIS, this::onTimeout);
     }
 
-    /** Gives the attempt its time once more where the daemon is too late to tell. */
-    private void giveUp() {
+    /**
+     * Fails the attempt. If the timer fired late, this daemon was delayed and may not have seen the
+     * connection yet, so the timeout starts again.
+     */
+    private void onTimeout() {
       Future<IOSession> running = attempt;
-      if (!over && System.nanoTime() - dueNanos > OWN_DELAY_NANOS) {
-        setLimit();
+      if (!over && System.nanoTime() - timeoutAtNanos > MAX_TIMER_DELAY_NANOS) {
+        startTimer();
       } else if (!over && running != null) {
-        notReached(new SocketTimeoutException("No connection within " + CONNECT_MILLIS + " ms."));
+        fail(new SocketTimeoutException("No connection within " + CONNECT_TIMEOUT_MILLIS + " ms."));
         running.cancel(true);
       }
     }
 
     private void end() {
       over = true;
-      ScheduledFuture<?> timer = limit;
+      ScheduledFuture<?> timer = timeout;
       if (timer != null) {
         timer.cancel(false);
       }
     }
 
-    private void notReached(Exception cause) {
+    private void fail(Exception cause) {
       end();
       boolean refused = cause instanceof ConnectException;
       exchange.notSent(
@@ -337,14 +344,14 @@
     @Override
     public void failed(Exception cause) {
       synchronized (timers.lock()) {
-        notReached(cause);
+        fail(cause);
       }
     }
 
     @Override
     public void cancelled() {
       synchronized (timers.lock()) {
-        notReached(new SocketTimeoutException("The attempt was cancelled."));
+        fail(new SocketTimeoutException("The connection attempt was cancelled."));
       }
     }
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/HttpReactor.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/HttpReactor.java
@@ -33,7 +33,7 @@
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.model.Endpoint;
 
-/** HttpCore's non-blocking reactor: servers and clients share one dispatch thread. */
+/** HttpCore's non-blocking reactor. Server and client connections share one dispatch thread. */
 public final class HttpReactor {
 
   private static final int BACKLOG = 512;
@@ -48,17 +48,17 @@
           .add(new ResponseConnControl())
           .build();
 
-  /** Made with the first line: a daemon listens for callers before its log is set up. */
+  /** Created with the first log line: a daemon listens for callers before logging is configured. */
   private static final class Log {
     static final Logger LOG = LogManager.getLogger("http");
   }
 
-  /** Attachment of sessions that this daemon opens. */
+  /** Attachment of the sessions that this daemon opens. */
   private enum Outbound {
     CLIENT
   }
 
-  /** Attachment of a listener: makes the handlers of its requests. */
+  /** Attachment of a listening endpoint: creates the handlers of its requests. */
   private record Inbound(Supplier<AsyncServerExchangeHandler> handlers) {}
 
   private HttpReactor(int maxHeaderBytes) {
@@ -94,7 +94,7 @@
   /**
    * Starts a reactor.
    *
-   * @param maxHeaderBytes the longest line of a head, in bytes
+   * @param maxHeaderBytes the maximum length of a request, status or header line, in bytes
    * @return the running reactor
    */
   public static HttpReactor start(int maxHeaderBytes) {
@@ -104,7 +104,7 @@
   }
 
   private static void failed(Exception cause) {
-    Log.LOG.error("A connection's handler failed; the connection is closed.", cause);
+    Log.LOG.error("The handler of a connection failed; the connection is closed.", cause);
   }
 
   private IOEventHandler handler(ProtocolIOSession session, Object attachment) {
@@ -127,12 +127,12 @@
   }
 
   /**
-   * Listens at an address.
+   * Binds an address and accepts connections there.
    *
    * @param endpoint the address
-   * @param handlers makes the handler of each request
-   * @return the listener
-   * @throws IllegalStateException when the address can't be bound
+   * @param handlers creates the handler of each request
+   * @return the listening endpoint
+   * @throws IllegalStateException if the address can't be bound
    */
   public ListenerEndpoint listen(Endpoint endpoint, Supplier<AsyncServerExchangeHandler> handlers) {
     try {
@@ -151,9 +151,9 @@
    * Opens a connection.
    *
    * @param endpoint the address
-   * @param timeoutMillis how long it may take, in milliseconds
-   * @param callback told of the session, or of the failure
-   * @return the attempt
+   * @param timeoutMillis the connect timeout in milliseconds; checked once a second
+   * @param callback receives the session or the failure
+   * @return the attempt, which can be cancelled
    */
   public Future<IOSession> connect(
       Endpoint endpoint, long timeoutMillis, FutureCallback<IOSession> callback) {
@@ -163,7 +163,7 @@
         name, address, null, Timeout.ofMilliseconds(timeoutMillis), Outbound.CLIENT, callback);
   }
 
-  /** Ends all connections at once. */
+  /** Closes all connections immediately. */
   public void stop() {
     reactor.close(CloseMode.IMMEDIATE);
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/KeepAlive.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/KeepAlive.java
@@ -5,7 +5,7 @@
 import org.apache.hc.core5.http.HttpHeaders;
 import org.apache.hc.core5.http.HttpResponse;
 
-/** How long a connection may rest, as an answer tells. */
+/** Reads from a response whether its connection may be reused, and for how long. */
 final class KeepAlive {
 
   private static final String TIMEOUT = "timeout=";
@@ -13,18 +13,21 @@
 
   private KeepAlive() {}
 
-  static boolean allowed(HttpResponse answer) {
-    Header connection = answer.getFirstHeader(HttpHeaders.CONNECTION);
+  static boolean allowed(HttpResponse response) {
+    Header connection = response.getFirstHeader(HttpHeaders.CONNECTION);
     boolean closes = connection != null && "close".equalsIgnoreCase(connection.getValue().trim());
     boolean framed =
-        answer.containsHeader(HttpHeaders.CONTENT_LENGTH)
-            || answer.containsHeader(HttpHeaders.TRANSFER_ENCODING);
+        response.containsHeader(HttpHeaders.CONTENT_LENGTH)
+            || response.containsHeader(HttpHeaders.TRANSFER_ENCODING);
     return framed && !closes;
   }
 
-  /** Returns the time in milliseconds, less a margin; negative when the answer tells none. */
-  static long millis(HttpResponse answer) {
-    Header header = answer.getFirstHeader("Keep-Alive");
+  /**
+   * Returns the announced keep-alive in milliseconds, less a safety margin; negative if the
+   * response announces none.
+   */
+  static long millis(HttpResponse response) {
+    Header header = response.getFirstHeader("Keep-Alive");
     if (header == null) {
       return -1;
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
@@ -13,7 +13,7 @@
 import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.jspecify.annotations.Nullable;
 
-/** Tells each change of a limit in the log, and counts them. */
+/** Logs and counts the changes of advertised limits. */
 public final class LimitLog {
 
   private static final Logger LOG = LogManager.getLogger("limits");
@@ -23,7 +23,7 @@
   /**
    * Creates the log.
    *
-   * @param registry holds the figures
+   * @param registry receives the counters
    */
   public LimitLog(MeterRegistry registry) {
     for (KnownLimits.Change change : KnownLimits.Change.values()) {
@@ -45,49 +45,51 @@
   }
 
   /**
-   * Tells what an answer has brought.
+   * Records the change that a node's response caused.
    *
-   * @param life the node's life
-   * @param change what was new
-   * @param said the limit that the answer names; null when it names none
+   * @param incarnation the node
+   * @param change the change of its limit
+   * @param advertised the limit in the response; null if it has none
    */
   public void responseReceived(
-      NodeIncarnation life, KnownLimits.Change change, @Nullable AdvertisedLimit said) {
+      NodeIncarnation incarnation,
+      KnownLimits.Change change,
+      @Nullable AdvertisedLimit advertised) {
     if (change == KnownLimits.Change.NONE) {
       return;
     }
     count(change);
-    if (said != null && !said.readable()) {
+    if (advertised != null && !advertised.readable()) {
       LOG.warn(
-          "node={} written={} taken_for={} by=answer outcome={}. A decimal number of requests a"
-              + " second is read, as 4 or 0.25.",
-          life.id(),
-          said.text(),
-          said.perSecond(),
+          "node={} written={} taken_for={} by=answer outcome={}. Expected a decimal number of"
+              + " requests a second, such as 4 or 0.25.",
+          incarnation.id(),
+          advertised.text(),
+          advertised.perSecond(),
           name(change));
       return;
     }
-    Double limit = said == null ? null : said.perSecond();
-    LOG.info("node={} limit={} by=answer outcome={}", life.id(), limit, name(change));
+    Double limit = advertised == null ? null : advertised.perSecond();
+    LOG.info("node={} limit={} by=answer outcome={}", incarnation.id(), limit, name(change));
   }
 
   /**
-   * Tells what another daemon's word has brought.
+   * Records the change that another daemon's update caused.
    *
-   * @param told the word
-   * @param change what was new
+   * @param update the update
+   * @param change the change of the node's limit
    */
-  public void updateReceived(LimitUpdate told, KnownLimits.Change change) {
+  public void updateReceived(LimitUpdate update, KnownLimits.Change change) {
     if (change == KnownLimits.Change.NONE) {
       return;
     }
     count(change);
     LOG.info(
         "node={} limit={} stamp={} age_ms={} by=peer outcome={}",
-        told.incarnation().id(),
-        told.isUnlimited() ? null : told.perSecond(),
-        told.version(),
-        told.ageMillis(),
+        update.incarnation().id(),
+        update.isUnlimited() ? null : update.perSecond(),
+        update.version(),
+        update.ageMillis(),
         name(change));
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
@@ -20,9 +20,9 @@
 import org.fawnvale.serving.spi.Call;
 
 /**
- * The one way to a node: whatever is sent there, a caller's request, its repeat, an order or a
- * question, asks the gate just before it is written, and what each answer says of the node is told
- * to the gate before anything else is done with it. A wish that one sender hears holds for all.
+ * Sends all requests to nodes: callers' requests, their repeats, orders and queries. It checks the
+ * {@link UpstreamGate} just before it writes a request, and records the signals of each response in
+ * the gate before it passes the response on, so that a signal applies to all senders at once.
  */
 public final class NodeClient {
 
@@ -33,19 +33,19 @@
   private final UpstreamGate gate;
   private final Function<HttpResponse, NodeResponse> reader;
   private final LimitLog limitLog;
-  private final Counter rests;
-  private final Counter leaves;
-  private final Counter held;
+  private final Counter pauses;
+  private final Counter departures;
+  private final Counter withheld;
   private Runnable onLeaving = () -> {};
 
   /**
    * Creates a client.
    *
-   * @param client holds the connections
-   * @param timers holds the guard
-   * @param gate tells what may be sent, and learns from each answer
-   * @param reader reads what a node says with the head of an answer
-   * @param registry holds the figures
+   * @param client sends the requests
+   * @param timers runs the timeouts of orders and queries
+   * @param gate decides what may be sent, and records the signals of each response
+   * @param reader reads the signals from a response's status and headers
+   * @param registry receives the metrics
    */
   public NodeClient(
       HttpClient client,
@@ -57,79 +57,81 @@
     this.timers = timers;
     this.gate = gate;
     this.reader = reader;
-    this.rests = registry.counter("fawnvale.nodes.asked", "wish", "rest");
-    this.leaves = registry.counter("fawnvale.nodes.asked", "wish", "leaving");
-    this.held = registry.counter("fawnvale.nodes.held");
+    this.pauses = registry.counter("fawnvale.nodes.asked", "wish", "rest");
+    this.departures = registry.counter("fawnvale.nodes.asked", "wish", "leaving");
+    this.withheld = registry.counter("fawnvale.nodes.held");
     this.limitLog = new LimitLog(registry);
     registry.gauge("fawnvale.nodes.resting", gate, known -> known.pausedCount(System.nanoTime()));
   }
 
   /**
-   * Names who is told when a node has said in an answer that it leaves.
+   * Sets the action to run when a node first announces in a response that it is leaving.
    *
-   * @param listener told while the guard is held
+   * @param listener the action; runs with the daemon's lock held
    */
   public void onLeaving(Runnable listener) {
     onLeaving = listener;
   }
 
   /**
-   * Sends a caller's request.
+   * Sends a caller's request. It fails with {@link ClientListener.Failure#HELD} if the node is
+   * leaving, has asked for a pause, or has a limit that allows no request now.
    *
-   * @param node where to
-   * @param request its head, without the headers that frame the body
-   * @param body its body
-   * @param listener told of the answer
+   * @param node the node to send to
+   * @param request the request line and headers, without Content-Length or Transfer-Encoding
+   * @param body the body; may be empty
+   * @param listener receives the response
    * @return the exchange, which can be cancelled
    */
   public ClientExchange send(
       Node node, HttpRequest request, byte[] body, NodeResponseListener listener) {
-    NodeIncarnation life = node.incarnation();
+    NodeIncarnation incarnation = node.incarnation();
     BooleanSupplier mayWrite = () -> gate.tryAcquire(node, System.nanoTime());
     return client.send(
         node.endpoint(),
         request,
         body,
         mayWrite,
-        new Hearing(life, listener, listener::head, true));
+        new RecordingListener(incarnation, listener, listener::head, true));
   }
 
   /**
-   * Makes a call whose answer is read as a whole: an order, or a question. A node that leaves takes
-   * them still, one that rests does not.
+   * Sends an order or a query, and reads its response as a whole. A leaving node still accepts
+   * these; a node that has asked for a pause is sent none.
    *
-   * @param node the node
-   * @param call the call
-   * @param timeoutMillis its time, in milliseconds
-   * @param done told once what came of it, while the guard is held
+   * @param node the node to send to
+   * @param call the order or query
+   * @param timeoutMillis the timeout in milliseconds
+   * @param done called once with the result, with the daemon's lock held
    */
   public void call(Node node, Call call, long timeoutMillis, Consumer<BufferedCall.Reply> done) {
-    NodeIncarnation life = node.incarnation();
+    NodeIncarnation incarnation = node.incarnation();
     Endpoint endpoint = node.endpoint();
-    BooleanSupplier mayWrite = () -> !gate.isPaused(life, System.nanoTime());
+    BooleanSupplier mayWrite = () -> !gate.isPaused(incarnation, System.nanoTime());
     BufferedCall.Sender sender =
-        (request, body, whole) ->
+        (request, body, bufferedCall) ->
             client.send(
                 endpoint,
                 request,
                 body,
                 mayWrite,
-                new Hearing(life, whole, (head, said) -> whole.head(head), false));
+                new RecordingListener(
+                    incarnation, bufferedCall, (head, signals) -> bufferedCall.head(head), false));
     BufferedCall.send(sender, client, timers, endpoint, call, timeoutMillis, done);
   }
 
   /**
-   * Finds out whether a process listens at an address; nothing is sent there.
+   * Checks whether a process listens at an address; sends no request there.
    *
    * @param endpoint the address
-   * @param told told once, while the guard is held
+   * @param callback called once, with the daemon's lock held
    */
-  public void probe(Endpoint endpoint, Consumer<HttpClient.ProbeResult> told) {
-    client.probe(endpoint, told);
+  public void probe(Endpoint endpoint, Consumer<HttpClient.ProbeResult> callback) {
+    client.probe(endpoint, callback);
   }
 
   /**
-   * Closes the connections to an address that rest, since one gave no answer in its time.
+   * Closes the idle connections to an address after a request there timed out.
    *
    * @param endpoint the address
    */
@@ -137,74 +139,76 @@
     client.closeIdle(endpoint);
   }
 
-  private void hear(NodeIncarnation life, NodeResponse said) {
-    switch (gate.recordResponse(life, said, System.nanoTime())) {
+  private void recordSignals(NodeIncarnation incarnation, NodeResponse signals) {
+    switch (gate.recordResponse(incarnation, signals, System.nanoTime())) {
       case PAUSED -> {
-        rests.increment();
-        LOG.info("node={} rest_ms={} outcome=rests", life.id(), said.retryAfterMillis());
+        pauses.increment();
+        LOG.info("node={} rest_ms={} outcome=rests", incarnation.id(), signals.retryAfterMillis());
       }
       case LEAVING -> {
-        leaves.increment();
-        LOG.info("node={} by=answer outcome=leaves", life.id());
+        departures.increment();
+        LOG.info("node={} by=answer outcome=leaves", incarnation.id());
         onLeaving.run();
       }
       case NONE -> {
-        // It is known already.
+        // The gate knew the signals already.
       }
     }
   }
 
-  /** Tells the gate what an answer says before its receiver decides anything. */
-  private final class Hearing implements ClientListener {
-    private final NodeIncarnation life;
-    private final ResponseListener receiver;
-    private final BiConsumer<HttpResponse, NodeResponse> headReceiver;
-    private final boolean isCallers;
-    private final int limitStamp;
-
-    Hearing(
-        NodeIncarnation life,
-        ResponseListener receiver,
-        BiConsumer<HttpResponse, NodeResponse> headReceiver,
-        boolean isCallers) {
-      this.life = life;
-      this.receiver = receiver;
-      this.headReceiver = headReceiver;
-      this.isCallers = isCallers;
-      this.limitStamp = gate.limits().knownLimits().version(life);
+  /** Records the signals of a response in the gate before it passes the response on. */
+  private final class RecordingListener implements ClientListener {
+    private final NodeIncarnation incarnation;
+    private final ResponseListener listener;
+    private final BiConsumer<HttpResponse, NodeResponse> headListener;
+    private final boolean isCallerRequest;
+    private final int limitVersion;
+
+    RecordingListener(
+        NodeIncarnation incarnation,
+        ResponseListener listener,
+        BiConsumer<HttpResponse, NodeResponse> headListener,
+        boolean isCallerRequest) {
+      this.incarnation = incarnation;
+      this.listener = listener;
+      this.headListener = headListener;
+      this.isCallerRequest = isCallerRequest;
+      this.limitVersion = gate.limits().knownLimits().version(incarnation);
     }
 
     @Override
-    public void head(HttpResponse answer) {
-      NodeResponse said = reader.apply(answer);
-      hear(life, said);
-      hearLimit(said);
-      headReceiver.accept(answer, said);
+    public void head(HttpResponse response) {
+      NodeResponse signals = reader.apply(response);
+      recordSignals(incarnation, signals);
+      recordLimit(signals);
+      headListener.accept(response, signals);
     }
 
-    private void hearLimit(NodeResponse said) {
+    private void recordLimit(NodeResponse signals) {
       KnownLimits.Change change =
-          gate.limits().recordResponse(life, said, limitStamp, isCallers, System.nanoTime());
-      limitLog.responseReceived(life, change, said.limit());
+          gate.limits()
+              .recordResponse(
+                  incarnation, signals, limitVersion, isCallerRequest, System.nanoTime());
+      limitLog.responseReceived(incarnation, change, signals.limit());
     }
 
     @Override
     public void data(ByteBuffer data) {
-      receiver.data(data);
+      listener.data(data);
     }
 
     @Override
     public void end() {
-      receiver.end();
+      listener.end();
     }
 
     @Override
     public void failed(Failure failure, Exception cause) {
       if (failure == Failure.HELD) {
-        held.increment();
-        LOG.info("node={} outcome=held", life.id());
+        withheld.increment();
+        LOG.info("node={} outcome=held", incarnation.id());
       }
-      receiver.failed(failure, cause);
+      listener.failed(failure, cause);
     }
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeResponseListener.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeResponseListener.java
@@ -3,14 +3,16 @@
 import org.apache.hc.core5.http.HttpResponse;
 import org.fawnvale.serving.core.model.NodeResponse;
 
-/** Told of a node's answer to one request; called while holding the guard. */
+/**
+ * Receives a node's response to one request. All methods are called with the daemon's lock held.
+ */
 public interface NodeResponseListener extends ResponseListener {
 
   /**
-   * The head of the answer has come.
+   * Called with the status and headers of the final response.
    *
-   * @param answer the head
-   * @param said what the node says with it
+   * @param response the response without its body
+   * @param signals what the headers signal about the node and the request
    */
-  void head(HttpResponse answer, NodeResponse said);
+  void head(HttpResponse response, NodeResponse signals);
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/ResponseListener.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/ResponseListener.java
@@ -2,36 +2,39 @@
 
 import java.nio.ByteBuffer;
 
-/** Told of the answer to one request but for its head; called while holding the guard. */
+/**
+ * Receives the body and the end of the response to one request. All methods are called with the
+ * daemon's lock held; after {@link #end} or {@link #failed} there are no further calls.
+ */
 public interface ResponseListener {
 
-  /** How a request failed. */
+  /** Why a request got no complete response. */
   enum Failure {
-    /** Nothing listens at the address: the request was not sent. */
+    /** The connection was refused: the request was not sent. */
     REFUSED,
-    /** No connection came up: the request was not sent. */
+    /** No connection could be opened in time: the request was not sent. */
     UNREACHABLE,
-    /** It was not to be sent any more when its connection was there. */
+    /** The request was withheld when its connection was ready: it was not sent. */
     HELD,
-    /** The connection broke after the request was handed over: it may have run. */
+    /** The connection broke after the request was handed to it: the request may have run. */
     BROKEN
   }
 
   /**
-   * A part of the body has come.
+   * Called with each part of the body.
    *
-   * @param data the part; read it before returning
+   * @param data the part; valid only during the call
    */
   void data(ByteBuffer data);
 
-  /** The answer is whole. */
+  /** Called once the response is complete. */
   void end();
 
   /**
-   * The request failed; nothing else follows.
+   * Called once if the request fails.
    *
-   * @param failure how
-   * @param cause why
+   * @param failure whether the request may have been sent, and why it failed
+   * @param cause the underlying exception
    */
   void failed(Failure failure, Exception cause);
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/ServerConnection.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/ServerConnection.java
@@ -14,7 +14,9 @@
 import org.apache.hc.core5.reactor.IOSession;
 import org.jspecify.annotations.Nullable;
 
-/** One connection of a caller: the library's handler, and an eye on the caller's leaving. */
+/**
+ * One connection of a caller: the library's handler, which also detects that the caller closed it.
+ */
 final class ServerConnection extends ServerHttp1IOEventHandler {
 
   private final ServerHttp1StreamDuplexer duplexer;
@@ -26,7 +28,7 @@
     this.exchanges = exchanges;
   }
 
-  /** Makes the handlers of a connection's requests and remembers the last. */
+  /** Creates the handlers of a connection's requests, and keeps the last one. */
   private static final class Exchanges implements HandlerFactory<AsyncServerExchangeHandler> {
     private final Supplier<AsyncServerExchangeHandler> handlers;
     private @Nullable AsyncServerExchangeHandler last;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/ServerExchange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/ServerExchange.java
@@ -3,19 +3,19 @@
 import org.apache.hc.core5.http.nio.AsyncServerExchangeHandler;
 
 /**
- * Handler of one request that also hears when its caller closes the connection. The library goes on
- * with a request whose caller has sent its end of the connection, since it may still read; these
- * callers never do so.
+ * Handler of one request that is notified when its caller closes the connection. When a caller
+ * closes its sending side, the library continues with the request, since the caller may still read.
+ * The callers of this system never close only one side.
  */
 public interface ServerExchange extends AsyncServerExchangeHandler {
 
   /**
-   * Tells whether the request is whole and its answer is not.
+   * Returns whether the request is complete and its response is not.
    *
-   * @return true while an answer is owed
+   * @return true while the caller waits for the rest of the response
    */
   boolean isResponsePending();
 
-  /** The caller has closed the connection. */
+  /** Called when the caller has closed the connection. */
   void callerClosed();
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/Timers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/Timers.java
@@ -8,8 +8,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Delayed and repeated tasks. Each runs while holding the lock that all state of the daemon is read
- * and written under, as do the callbacks of connections.
+ * Runs delayed and periodic tasks on one thread. Each task runs with the daemon's lock held, under
+ * which all state of the daemon is read and written; the callbacks of connections hold it too.
  */
 public final class Timers {
 
@@ -21,7 +21,7 @@
   /**
    * Creates timers.
    *
-   * @param lock held by every task
+   * @param lock the daemon's lock; held while a task runs
    */
   public Timers(Object lock) {
     this.lock = lock;
@@ -31,7 +31,7 @@
   }
 
   /**
-   * The lock.
+   * Returns the daemon's lock.
    *
    * @return the object to synchronize on
    */
@@ -42,18 +42,18 @@
   /**
    * Runs a task once.
    *
-   * @param delayMillis the delay, in milliseconds
+   * @param delayMillis the delay in milliseconds; a negative one counts as 0
    * @param task the task
-   * @return its handle
+   * @return a handle that can cancel the task
    */
   public ScheduledFuture<?> after(long delayMillis, Runnable task) {
     return executor.schedule(() -> run(task), Math.max(0, delayMillis), TimeUnit.MILLISECONDS);
   }
 
   /**
-   * Runs a task again and again.
+   * Runs a task periodically.
    *
-   * @param periodMillis the pause between two runs, in milliseconds
+   * @param periodMillis the delay before the first run and between two runs, in milliseconds
    * @param task the task
    */
   public void every(long periodMillis, Runnable task) {
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Drops all tasks, and those that come later: connections that end with the daemon ask for more,
-   * which was logged as the failure of their handlers.
+   * Stops the thread, discards all waiting tasks, and silently ignores tasks that are scheduled
+   * later: connections that close while the daemon stops may still schedule some.
    */
   public void stop() {
     executor.shutdownNow();
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/package-info.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/package-info.java
@@ -1,4 +1,6 @@
-/** Non-blocking HTTP over HttpCore: one dispatch thread, kept connections, whole calls. */
+/**
+ * Non-blocking HTTP on HttpCore: reactor, client with pooled connections, buffered calls, timers.
+ */
 @NullMarked
 package org.fawnvale.serving.http;
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/http/ConnectTimeoutTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/http/ConnectTimeoutTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A machine that is gone or behind a cut answers nothing when a connection is opened. The reactor
- * looks at the times of its attempts once a second, so the client holds them itself.
+ * Guards against late connect timeouts: an unreachable machine answers nothing, and the reactor
+ * checks the timeouts of its attempts only once a second, so the client has to time out by itself.
  */
 class ConnectTimeoutTest {
 
-  private static final long LONG_SECONDS = 20;
-  private static final Endpoint GONE = new Endpoint("10.0.0.1", 1);
+  private static final long MAX_WAIT_SECONDS = 20;
+  private static final Endpoint UNREACHABLE = new Endpoint("10.0.0.1", 1);
 
   private final Timers timers = new Timers(new Object());
   private final CompletableFuture<IOSession> attempt = new CompletableFuture<>();
@@ -33,17 +33,17 @@
 
     @Override
     public void head(HttpResponse answer) {
-      throw new AssertionError("nobody answers");
+      throw new AssertionError("unexpected response");
     }
 
     @Override
     public void data(ByteBuffer data) {
-      throw new AssertionError("nobody answers");
+      throw new AssertionError("unexpected response");
     }
 
     @Override
     public void end() {
-      throw new AssertionError("nobody answers");
+      throw new AssertionError("unexpected response");
     }
 
     @Override
@@ -58,12 +58,12 @@
   }
 
   @Test
-  void anAttemptThatTheReactorForgetsIsGivenUpAndCancelled() throws InterruptedException {
+  void connectAttemptTimesOutAndIsCancelledWithoutTheReactor() throws InterruptedException {
     Listener listener = new Listener();
     synchronized (timers.lock()) {
-      client.send(GONE, new BasicHttpRequest("GET", "/"), new byte[0], listener);
+      client.send(UNREACHABLE, new BasicHttpRequest("GET", "/"), new byte[0], listener);
     }
-    assertThat(listener.failures.poll(LONG_SECONDS, TimeUnit.SECONDS))
+    assertThat(listener.failures.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS))
         .isEqualTo(ClientListener.Failure.UNREACHABLE);
     synchronized (timers.lock()) {
       assertThat(attempt.isCancelled()).isTrue();
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/http/TimersTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/http/TimersTest.java
@@ -6,11 +6,11 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
 
-/** What timers do once they have been stopped. */
+/** Timers ignore tasks that are scheduled after the stop, without an exception. */
 class TimersTest {
 
   @Test
-  void tasksThatComeAfterTheStopAreDropped() {
+  void tasksScheduledAfterTheStopAreIgnored() {
     Timers timers = new Timers(new Object());
     AtomicBoolean ran = new AtomicBoolean();
     timers.stop();
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/http/UnresponsiveConnectionsTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/http/UnresponsiveConnectionsTest.java
@@ -19,21 +19,24 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Open connections go silent together, without a reset, while new ones work. */
+/**
+ * Guards against reuse of dead connections: a network fault may break all open connections at once
+ * without a reset, while new ones work.
+ */
 class UnresponsiveConnectionsTest {
 
   private static final int MAX_HEADER_BYTES = 8_192;
-  private static final long SHORT_MILLIS = 300;
-  private static final long LONG_MILLIS = 60_000;
+  private static final long SHORT_TIMEOUT_MILLIS = 300;
+  private static final long LONG_TIMEOUT_MILLIS = 60_000;
 
   private final Timers timers = new Timers(new Object());
   private final BlockingQueue<BufferedCall.Reply> replies = new LinkedBlockingQueue<>();
-  private final CountDownLatch bothAreOpen = new CountDownLatch(2);
+  private final CountDownLatch bothRequestsReceived = new CountDownLatch(2);
   private final AtomicInteger accepted = new AtomicInteger();
   private ServerSocket server;
   private HttpReactor reactor;
   private HttpClient client;
-  private volatile int silentUpTo;
+  private volatile int unresponsiveUpTo;
 
   @BeforeEach
   void start() throws IOException {
@@ -73,10 +76,10 @@
               new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
       String line = in.readLine();
       while (line != null) {
-        boolean isEndOfHead = line.isEmpty();
-        if (isEndOfHead && number > silentUpTo) {
-          bothAreOpen.countDown();
-          bothAreOpen.await();
+        boolean isEndOfHeaders = line.isEmpty();
+        if (isEndOfHeaders && number > unresponsiveUpTo) {
+          bothRequestsReceived.countDown();
+          bothRequestsReceived.await();
           socket
               .getOutputStream()
               .write(
@@ -100,16 +103,16 @@
   }
 
   @Test
-  void afterOneCallWithoutAnAnswerTheNextGoesOutOnANewConnection() throws Exception {
-    call(LONG_MILLIS);
-    call(LONG_MILLIS);
+  void callAfterATimeoutUsesANewConnection() throws Exception {
+    call(LONG_TIMEOUT_MILLIS);
+    call(LONG_TIMEOUT_MILLIS);
     assertThat(replies.take()).isInstanceOf(BufferedCall.Answered.class);
     assertThat(replies.take()).isInstanceOf(BufferedCall.Answered.class);
-    silentUpTo = 2;
+    unresponsiveUpTo = 2;
 
-    call(SHORT_MILLIS);
+    call(SHORT_TIMEOUT_MILLIS);
     assertThat(replies.take()).isInstanceOf(BufferedCall.Failed.class);
-    call(LONG_MILLIS);
+    call(LONG_TIMEOUT_MILLIS);
     assertThat(replies.take()).isInstanceOf(BufferedCall.Answered.class);
     assertThat(accepted).hasValue(3);
   }
