--- a/fawnvale-kernel/src/main/java/org/fawnvale/kernel/Kernel.java
+++ b/fawnvale-kernel/src/main/java/org/fawnvale/kernel/Kernel.java
@@ -7,7 +7,9 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Registry of named services with an ordered start and the reverse order of stop. */
+/**
+ * Registry of named services. Starts them in the order of registration and stops them in reverse.
+ */
 public final class Kernel {
 
   private static final Logger LOG = LogManager.getLogger("kernel");
@@ -18,9 +20,9 @@
   /**
    * Registers a service under a name.
    *
-   * @param name the name other services find it by
+   * @param name the name by which other services find it
    * @param service the service
-   * @throws ServiceException when the name is taken
+   * @throws ServiceException if the name is taken
    */
   public synchronized void register(String name, Service service) throws ServiceException {
     if (services.putIfAbsent(name, service) != null) {
@@ -31,11 +33,11 @@
   /**
    * Finds a service by its name and type.
    *
-   * @param name the name it was registered under
-   * @param type the type the caller needs
-   * @param <T> the type the caller needs
+   * @param name the name under which it was registered
+   * @param type the type that the caller needs
+   * @param <T> the type that the caller needs
    * @return the service
-   * @throws ServiceException when no service of that name and type is registered
+   * @throws ServiceException if no service of that name and type is registered
    */
   public synchronized <T> T find(String name, Class<T> type) throws ServiceException {
     Service service = services.get(name);
@@ -47,9 +49,10 @@
   }
 
   /**
-   * Starts all services in the order of registration; on a failure stops those already started.
+   * Starts all services in the order of registration. If one fails to start, stops those that have
+   * started.
    *
-   * @throws ServiceException the first failure to start
+   * @throws ServiceException the exception of the service that failed to start
    */
   public synchronized void start() throws ServiceException {
     for (Map.Entry<String, Service> entry : services.entrySet()) {
@@ -63,7 +66,9 @@
     }
   }
 
-  /** Stops the started services in reverse order; a failure of one does not keep the others up. */
+  /**
+   * Stops the started services in reverse order. A failure of one is logged, and the others stop.
+   */
   public synchronized void stop() {
     while (!started.isEmpty()) {
       String name = started.pop();
--- a/fawnvale-kernel/src/main/java/org/fawnvale/kernel/Service.java
+++ b/fawnvale-kernel/src/main/java/org/fawnvale/kernel/Service.java
@@ -4,12 +4,16 @@
 public interface Service {
 
   /**
-   * Starts the service; called once, after every service registered before it has started.
+   * Starts the service. The kernel calls it once, after all services that were registered before
+   * this one have started.
    *
-   * @throws ServiceException when the service cannot start; the message names the remedy
+   * @throws ServiceException if the service can't start; the message names the remedy
    */
   void start() throws ServiceException;
 
-  /** Stops the service; called once, before every service registered before it stops. */
+  /**
+   * Stops the service. The kernel calls it once, before it stops the services that were registered
+   * before this one.
+   */
   void stop();
 }
--- a/fawnvale-kernel/src/main/java/org/fawnvale/kernel/ServiceException.java
+++ b/fawnvale-kernel/src/main/java/org/fawnvale/kernel/ServiceException.java
@@ -6,7 +6,7 @@
   private static final long serialVersionUID = 1L;
 
   /**
-   * Creates a failure.
+   * Creates an exception.
    *
    * @param message what failed and what to do about it
    */
@@ -15,7 +15,7 @@
   }
 
   /**
-   * Creates a failure with its cause.
+   * Creates an exception with a cause.
    *
    * @param message what failed and what to do about it
    * @param cause the underlying failure
--- a/fawnvale-kernel/src/main/java/org/fawnvale/kernel/package-info.java
+++ b/fawnvale-kernel/src/main/java/org/fawnvale/kernel/package-info.java
@@ -1,4 +1,6 @@
-/** Micro-kernel: services that find each other by name and start and stop in order. */
+/**
+ * Micro-kernel: a registry of named services that starts them in order and stops them in reverse.
+ */
 @NullMarked
 package org.fawnvale.kernel;
 
