--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/http/ConnectTimeoutTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/http/ConnectTimeoutTest.java
@@ -32,7 +32,7 @@
     final BlockingQueue<Failure> failures = new LinkedBlockingQueue<>();
 
     @Override
-    public void head(HttpResponse answer) {
+    public void head(HttpResponse response) {
       throw new AssertionError("unexpected response");
     }
 
