--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/ResponseListener.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/ResponseListener.java
@@ -12,7 +12,7 @@
   enum Failure {
     /** The connection was refused: the request was not sent. */
     REFUSED,
-    /** No connection could be opened in time: the request was not sent. */
+    /** No connection opened, or it closed before the request was handed to it: not sent. */
     UNREACHABLE,
     /** The request was withheld when its connection was ready: it was not sent. */
     HELD,
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/Peers.java
@@ -104,7 +104,7 @@
    *
    * @param settings the daemon's settings
    * @param lock held while a received message is processed
-   * @param incarnation the number of this start of the daemon; rises with each start
+   * @param incarnation the number of this start of the daemon
    * @param copyPositionsListener called for each received message
    * @param sharedState the state to send with messages and to merge from them
    * @return the peers
