--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
@@ -125,7 +125,7 @@
    */
   void updateStoreReachability() {
     recordOutage();
-    if (storeSuspicion.updatePeers(peers.nearPeerLostStore(), System.nanoTime())) {
+    if (storeSuspicion.updatePeers(peers.peerInDataCentreLostStore(), System.nanoTime())) {
       configurations.probe();
     }
   }
@@ -133,7 +133,7 @@
   private void recordOutage() {
     boolean answersHere = configurations.reachable() && (!nodes.isActive() || nodes.reachable());
     long lastAnswer = Math.max(configurations.lastAnswerNanos(), nodes.lastAnswerNanos());
-    outages.observe(answersHere, peers.storeAnswersAny(), lastAnswer, System.nanoTime());
+    outages.observe(answersHere, peers.storeAnswersAnyPeer(), lastAnswer, System.nanoTime());
   }
 
   /** An inactive watch makes no calls, so its last failure counts for a limited time only. */
@@ -145,7 +145,7 @@
   /** Data centres of live daemons, and of upstreams that answered a moment ago. */
   Set<String> reachableDataCentres(Dispatcher dispatcher) {
     long now = System.nanoTime();
-    Set<String> reachable = peers.leadership().reachableDataCentres(now);
+    Set<String> reachable = peers.election().reachableDataCentres(now);
     reachable.add(settings.dataCentre());
     dispatcher
         .states()
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/HeadSuspicions.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/HeadSuspicions.java
@@ -79,11 +79,11 @@
    * centre, because a peer behind a network partition suspects every head on the other side.
    */
   Set<String> peerSuspects() {
-    if (!peers.tellOfSuspects()) {
+    if (!peers.anySuspects()) {
       return Set.of();
     }
     Set<String> suspects = new HashSet<>();
-    for (StallEvidence.Observation witness : peers.witnesses()) {
+    for (StallEvidence.Observation witness : peers.stallObservations()) {
       for (String headAtEpoch : witness.suspects()) {
         String id = reachableSuspect(witness, headAtEpoch);
         if (id != null) {
@@ -119,7 +119,7 @@
             });
     List<StallEvidence.Observation> witnesses = new ArrayList<>();
     witnesses.add(new StallEvidence.Observation(dataCentre, ownSuspects(), busy));
-    witnesses.addAll(peers.witnesses());
+    witnesses.addAll(peers.stallObservations());
     return witnesses;
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -169,7 +169,7 @@
     OwnerClient ownerCalls = new OwnerClient(client, timers, settings.peerPort() + QUERY_PORT_OFFSET);
     this.limitPermits = new LimitPermitService(ownerCalls, limits, registry);
     this.dispatcher = new Dispatcher(settings.dataCentre(), gate, System::nanoTime);
-    dispatcher.setConnected(client::hasRested);
+    dispatcher.setConnected(client::hasIdle);
     NodeClient nodeClient = new NodeClient(client, timers, gate, platform::answer, registry);
     nodeClient.onLeaving(() -> upstreamsStale = true);
     this.cadence = new PollIntervals(settings.bounds().leavingMillis());
@@ -314,7 +314,7 @@
    * daemons of the data centre of a newer configuration.
    */
   private int configurationWaitMillis() {
-    return peers.watchesForDataCentre(eligibility()) ? SHORT_WAIT_MILLIS : LONG_WAIT_MILLIS;
+    return peers.isDataCentreWatcher(eligibility()) ? SHORT_WAIT_MILLIS : LONG_WAIT_MILLIS;
   }
 
   private void logSummaries() {
@@ -388,7 +388,7 @@
     if (leading) {
       return new GroupAnnouncements(formation.recentlyOpened(), formation.recentlyClosed());
     }
-    PeerMessage leader = peers.leadership().leaderMessage();
+    PeerMessage leader = peers.election().leaderMessage();
     return leader == null
         ? GroupAnnouncements.NONE
         : new GroupAnnouncements(leader.groups(), leader.closed());
@@ -482,7 +482,7 @@
 
   private void updateReachableDaemons() {
     Map<String, PeerMessage> live = peers.live();
-    sharedUpdates.updateReachableDaemons(live.values(), peers.heardLately());
+    sharedUpdates.updateReachableDaemons(live.values(), peers.recentlySeenCount());
     dispatcher.setDaemonCount(live.size() + 1);
   }
 
@@ -491,7 +491,7 @@
     leading = peers.decide(eligibility());
     LeaderEligibility eligibility = eligibility();
     nodes.setActive(
-        leading || !nodes.position().isKnown() || peers.watchesForDataCentre(eligibility));
+        leading || !nodes.position().isKnown() || peers.isDataCentreWatcher(eligibility));
     if (leading && !wasLeading) {
       sendPeerMessage(true);
     }
@@ -543,10 +543,10 @@
       upstreamsStale = true;
     }
     announcementsChanged |= hasChanged && leading;
-    Peers.OfUpstreams upstreams = peers.ofUpstreams();
+    Peers.UpstreamReports upstreams = peers.upstreamReports();
     dispatcher.setPeersInFlight(upstreams.inFlight());
-    dispatcher.setReportedRejecting(upstreams.refusing());
-    gateway.setDaemonCount(peers.daemons());
+    dispatcher.setReportedRejecting(upstreams.rejecting());
+    gateway.setDaemonCount(peers.knownDaemonCount());
   }
 
   /**
@@ -577,7 +577,7 @@
     if (clusterView.storeAnswers()) {
       return LeaderEligibility.ELIGIBLE;
     }
-    boolean isIsolated = peers.daemons() > 1 && peers.live().isEmpty();
+    boolean isIsolated = peers.knownDaemonCount() > 1 && peers.live().isEmpty();
     return isIsolated ? LeaderEligibility.INELIGIBLE : LeaderEligibility.WITHOUT_STORE;
   }
 
@@ -608,7 +608,7 @@
             leading ? formation.recentlyOpened() : List.of(),
             leading ? formation.recentlyClosed() : List.of());
     CopyPositions positions = new CopyPositions(configurations.newest(), activeVersion(), nodes.newest());
-    peers.tell(state, positions, urgent);
+    peers.send(state, positions, urgent);
   }
 
   private boolean hasRequestsInFlight(boolean refuseNew) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
@@ -22,7 +22,7 @@
  * Connects the state that all daemons share with the exchange of peer messages: records of requests
  * that crash nodes, and limits that nodes advertise.
  */
-final class SharedStateUpdates implements Peers.SharedNews {
+final class SharedStateUpdates implements Peers.SharedState {
 
   private final RendezvousOwners owners;
   private final RequestQuarantine quarantine;
@@ -44,17 +44,17 @@
   }
 
   @Override
-  public List<QuarantineRecord> records(boolean forOthers) {
-    return quarantine.recordsToSend(forOthers);
+  public List<QuarantineRecord> records(boolean asRelay) {
+    return quarantine.recordsToSend(asRelay);
   }
 
   @Override
-  public List<LimitUpdate> limits(boolean forOthers) {
-    return limits.updatesToSend(forOthers, System.nanoTime());
+  public List<LimitUpdate> limits(boolean asRelay) {
+    return limits.updatesToSend(asRelay, System.nanoTime());
   }
 
   @Override
-  public void hear(List<QuarantineRecord> records, List<LimitUpdate> limitUpdates) {
+  public void receive(List<QuarantineRecord> records, List<LimitUpdate> limitUpdates) {
     if (!records.isEmpty()) {
       quarantine.receive(records);
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
@@ -21,11 +21,12 @@
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.http.ClientExchange;
 import org.fawnvale.serving.http.ClientListener;
-import org.fawnvale.serving.http.NodeListener;
+
 import org.fawnvale.serving.spi.HeaderNames;
 import org.jspecify.annotations.Nullable;
 import org.fawnvale.serving.core.dispatch.DispatchRequest;
 import org.fawnvale.serving.core.model.NodeResponse;
+import org.fawnvale.serving.http.NodeResponseListener;
 
 /**
  * Forwards one request of a caller: chooses upstreams, retries where the route permits, resumes
@@ -362,7 +363,7 @@
     Attempt running = attempt;
     if (running != null) {
       if (running.head == null) {
-        gateway.client().distrust(running.node.endpoint());
+        gateway.client().closeIdle(running.node.endpoint());
       }
       running.cancel(false);
       mayHaveRun = true;
@@ -384,7 +385,7 @@
   }
 
   /** One attempt to run the request at one upstream. */
-  private final class Attempt implements NodeListener {
+  private final class Attempt implements NodeResponseListener {
     private final Node node;
     private final UpstreamState state;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -216,7 +216,7 @@
   }
 
   Object lock() {
-    return timers.guard();
+    return timers.lock();
   }
 
   Timers timers() {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/NodeExitProbe.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/NodeExitProbe.java
@@ -39,7 +39,7 @@
 
   private void startProbe(Endpoint endpoint, List<Consumer<Boolean>> callbacks) {
     addedDuringProbe.put(endpoint, new ArrayList<>());
-    client.look(endpoint, listening -> complete(endpoint, callbacks, listening));
+    client.probe(endpoint, listening -> complete(endpoint, callbacks, listening));
   }
 
   /**
@@ -47,8 +47,8 @@
    * later break, so they need another probe unless the process has exited.
    */
   private void complete(
-      Endpoint endpoint, List<Consumer<Boolean>> callbacks, HttpClient.Listening listening) {
-    boolean exited = listening == HttpClient.Listening.NO;
+      Endpoint endpoint, List<Consumer<Boolean>> callbacks, HttpClient.ProbeResult listening) {
+    boolean exited = listening == HttpClient.ProbeResult.REFUSED;
     List<Consumer<Boolean>> added = addedDuringProbe.remove(endpoint);
     callbacks.forEach(result -> result.accept(exited));
     if (added == null || added.isEmpty()) {
--- /dev/null
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/ResponseListener.java
@@ -0,0 +1,40 @@
+package org.fawnvale.serving.http;
+
+import java.nio.ByteBuffer;
+
+/**
+ * Receives the body and the end of the response to one request. All methods are called with the
+ * daemon's lock held; after {@link #end} or {@link #failed} there are no further calls.
+ */
+public interface ResponseListener {
+
+  /** Why a request got no complete response. */
+  enum Failure {
+    /** The connection was refused: the request was not sent. */
+    REFUSED,
+    /** No connection opened, or it closed before the request was handed to it: not sent. */
+    UNREACHABLE,
+    /** The request was withheld when its connection was ready: it was not sent. */
+    HELD,
+    /** The connection broke after the request was handed to it: the request may have run. */
+    BROKEN
+  }
+
+  /**
+   * Called with each part of the body.
+   *
+   * @param data the part; valid only during the call
+   */
+  void data(ByteBuffer data);
+
+  /** Called once the response is complete. */
+  void end();
+
+  /**
+   * Called once if the request fails.
+   *
+   * @param failure whether the request may have been sent, and why it failed
+   * @param cause the underlying exception
+   */
+  void failed(Failure failure, Exception cause);
+}
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/OwnerClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/OwnerClient.java
@@ -5,9 +5,10 @@
 
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
-import org.fawnvale.serving.http.WholeCall;
+
 import org.fawnvale.serving.spi.Call;
 import org.fawnvale.serving.core.peer.RendezvousOwners;
+import org.fawnvale.serving.http.BufferedCall;
 
 /** Calls the daemon that owns a limit or a barred request. */
 public final class OwnerClient {
@@ -46,7 +47,7 @@
    */
   void call(RendezvousOwners.Daemon owner, String target, Consumer<byte[]> result) {
     Endpoint endpoint = new Endpoint(owner.address(), port);
-    WholeCall.send(
+    BufferedCall.send(
         client,
         timers,
         endpoint,
@@ -55,8 +56,8 @@
         reply -> result.accept(body(reply)));
   }
 
-  private static byte[] body(WholeCall.Reply reply) {
-    boolean ok = reply instanceof WholeCall.Answered answered && answered.status() == OK;
-    return ok ? ((WholeCall.Answered) reply).body() : new byte[0];
+  private static byte[] body(BufferedCall.Reply reply) {
+    boolean ok = reply instanceof BufferedCall.Answered answered && answered.status() == OK;
+    return ok ? ((BufferedCall.Answered) reply).body() : new byte[0];
   }
 }
--- /dev/null
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/CopyPositionsCodec.java
@@ -0,0 +1,36 @@
+package org.fawnvale.serving.peer;
+
+import java.io.IOException;
+import org.fawnvale.serving.core.watch.CopyPositions;
+import org.fawnvale.serving.core.watch.StoreEra;
+import org.fawnvale.serving.core.watch.StorePosition;
+import org.msgpack.core.MessageBufferPacker;
+import org.msgpack.core.MessageUnpacker;
+
+/** Encodes the positions of a daemon's copies of the store's objects as MessagePack. */
+final class CopyPositionsCodec {
+
+  private CopyPositionsCodec() {}
+
+  static void write(MessageBufferPacker packer, CopyPositions positions) throws IOException {
+    write(packer, positions.configuration());
+    packer.packLong(positions.version());
+    write(packer, positions.nodes());
+  }
+
+  private static void write(MessageBufferPacker packer, StorePosition position) throws IOException {
+    packer.packLong(position.era().number());
+    packer.packLong(position.revision());
+  }
+
+  static CopyPositions read(MessageUnpacker in) throws IOException {
+    StorePosition configuration = readPosition(in);
+    long version = in.unpackLong();
+    return new CopyPositions(configuration, version, readPosition(in));
+  }
+
+  private static StorePosition readPosition(MessageUnpacker in) throws IOException {
+    StoreEra era = new StoreEra(in.unpackLong());
+    return new StorePosition(era, in.unpackLong());
+  }
+}
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/DigestCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/DigestCodec.java
@@ -9,7 +9,7 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Digests of data centres as MessagePack, within the datagrams of notes. */
+/** Encodes data centre digests as MessagePack, as a part of the datagrams between daemons. */
 final class DigestCodec {
 
   private DigestCodec() {}
@@ -18,10 +18,10 @@
     packer.packString(digest.dataCentre());
     packer.packString(digest.relay());
     packer.packLong(digest.sequence());
-    NoteCodec.writeCounts(packer, digest.inFlight());
-    NoteCodec.writeWork(packer, digest.offeredWork());
-    NoteCodec.writeStrings(packer, digest.suspects());
-    NoteCodec.writeStrings(packer, digest.refusing());
+    PeerMessageCodec.writeCounts(packer, digest.inFlight());
+    PeerMessageCodec.writeWork(packer, digest.offeredWork());
+    PeerMessageCodec.writeStrings(packer, digest.suspects());
+    PeerMessageCodec.writeStrings(packer, digest.refusing());
     packer.packBoolean(digest.served());
     packer.packArrayHeader(digest.members().size());
     for (DataCentreDigest.Member member : digest.members()) {
@@ -36,10 +36,10 @@
     String dataCentre = in.unpackString();
     String relay = in.unpackString();
     long sequence = in.unpackLong();
-    Map<String, Integer> inFlight = NoteCodec.readCounts(in);
-    Map<String, Double> offeredWork = NoteCodec.readWork(in);
-    List<String> suspects = NoteCodec.readStrings(in);
-    List<String> refusing = NoteCodec.readStrings(in);
+    Map<String, Integer> inFlight = PeerMessageCodec.readCounts(in);
+    Map<String, Double> offeredWork = PeerMessageCodec.readWork(in);
+    List<String> suspects = PeerMessageCodec.readStrings(in);
+    List<String> refusing = PeerMessageCodec.readStrings(in);
     boolean served = in.unpackBoolean();
     List<DataCentreDigest.Member> members = new ArrayList<>();
     int count = in.unpackArrayHeader();
@@ -47,8 +47,8 @@
       String name = in.unpackString();
       String address = in.unpackString();
       long incarnation = in.unpackLong();
-      LeaderEligibility standing = LeaderEligibility.values()[in.unpackInt()];
-      members.add(new DataCentreDigest.Member(name, address, incarnation, standing));
+      LeaderEligibility eligibility = LeaderEligibility.values()[in.unpackInt()];
+      members.add(new DataCentreDigest.Member(name, address, incarnation, eligibility));
     }
     return new DataCentreDigest(
         dataCentre, relay, sequence, inFlight, offeredWork, suspects, refusing, served, members);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
@@ -14,11 +14,12 @@
 
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
-import org.fawnvale.serving.http.WholeCall;
+
 import org.fawnvale.serving.spi.Call;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 import org.fawnvale.serving.core.watch.CopyDelays;
 import org.fawnvale.serving.core.watch.StorePosition;
+import org.fawnvale.serving.http.BufferedCall;
 
 /**
  * Exchanges copies of the store's objects with peers: fetches newer objects from peers, and answers
@@ -144,18 +145,18 @@
       Endpoint peer = new Endpoint(advertised.address(), port);
       StorePosition since = advertised.takesPrecedence() ? StorePosition.NONE : watch.position();
       Call query = Call.get(path + SINCE + StorePositionText.write(since));
-      WholeCall.send(client, timers, peer, query, FETCH_TIMEOUT_MILLIS, this::handleReply);
+      BufferedCall.send(client, timers, peer, query, FETCH_TIMEOUT_MILLIS, this::handleReply);
     }
   }
 
-  private void handleReply(WholeCall.Reply reply) {
-    boolean answered = reply instanceof WholeCall.Answered answer && answer.status() == OK;
+  private void handleReply(BufferedCall.Reply reply) {
+    boolean answered = reply instanceof BufferedCall.Answered answer && answer.status() == OK;
     if (!answered) {
       LOG.info("path={} outcome=no_copy_from_peer", path);
       return;
     }
     try {
-      CopyUpdate<T> update = Codec.MAPPER.readValue(((WholeCall.Answered) reply).body(), type());
+      CopyUpdate<T> update = Codec.MAPPER.readValue(((BufferedCall.Answered) reply).body(), type());
       watch.merge(update);
     } catch (IOException e) {
       LOG.warn("path={} outcome=unreadable_copy cause={}", path, e.toString());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
@@ -15,11 +15,12 @@
 
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
-import org.fawnvale.serving.http.WholeCall;
+
 import org.fawnvale.serving.spi.Page;
 import org.fawnvale.serving.spi.Platform;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
+import org.fawnvale.serving.http.BufferedCall;
 
 /**
  * Persists the records of quarantined requests, which crash nodes, in the platform's store, so that
@@ -81,14 +82,14 @@
   }
 
   private void loadAfter(String name) {
-    WholeCall.send(
+    BufferedCall.send(
         client,
         timers,
         store,
         platform.list(Platform.Kind.QUARANTINE, name, true),
         CALL_TIMEOUT_MILLIS,
         reply -> {
-          if (reply instanceof WholeCall.Answered answer && answer.status() == OK) {
+          if (reply instanceof BufferedCall.Answered answer && answer.status() == OK) {
             acceptPage(answer);
           } else if (!isKindMissing(reply)) {
             timers.after(RETRY_DELAY_MILLIS, () -> loadAfter(name));
@@ -97,11 +98,11 @@
   }
 
   /** The store may not know the kind before the first object of that kind is saved. */
-  private static boolean isKindMissing(WholeCall.Reply reply) {
-    return reply instanceof WholeCall.Answered answer && answer.status() == NOT_FOUND;
+  private static boolean isKindMissing(BufferedCall.Reply reply) {
+    return reply instanceof BufferedCall.Answered answer && answer.status() == NOT_FOUND;
   }
 
-  private void acceptPage(WholeCall.Answered answer) {
+  private void acceptPage(BufferedCall.Answered answer) {
     try {
       Page<StoredQuarantineRecord> page = platform.keptRecords(platform.era(answer.head()), answer.body());
       List<QuarantineRecord> unexpired = new ArrayList<>();
@@ -124,7 +125,7 @@
   }
 
   private void remove(String name) {
-    WholeCall.send(
+    BufferedCall.send(
         client,
         timers,
         store,
@@ -167,7 +168,7 @@
     saving = true;
     QuarantineRecord next = pending.values().iterator().next();
     StoredQuarantineRecord kept = new StoredQuarantineRecord(next, clockMillis.getAsLong() + RETENTION_MILLIS);
-    WholeCall.send(
+    BufferedCall.send(
         client,
         timers,
         store,
@@ -176,10 +177,10 @@
         reply -> onSaveReply(next, reply));
   }
 
-  private void onSaveReply(QuarantineRecord quarantined, WholeCall.Reply reply) {
+  private void onSaveReply(QuarantineRecord quarantined, BufferedCall.Reply reply) {
     saving = false;
     boolean isSaved =
-        reply instanceof WholeCall.Answered answer
+        reply instanceof BufferedCall.Answered answer
             && (answer.status() < FIRST_REDIRECT || answer.status() == CONFLICT);
     LOG.info(
         "fingerprint={} outcome={}", quarantined.fingerprint(), isSaved ? "kept" : "not_kept_yet");
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
@@ -14,13 +14,14 @@
 
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
-import org.fawnvale.serving.http.WholeCall;
+
 import org.fawnvale.serving.spi.Call;
 import org.fawnvale.serving.spi.Page;
 import org.fawnvale.serving.spi.Platform;
 import org.jspecify.annotations.Nullable;
 import org.fawnvale.serving.core.watch.EraFilter;
 import org.fawnvale.serving.core.watch.StorePosition;
+import org.fawnvale.serving.http.BufferedCall;
 
 /**
  * Maintains a local copy of the store's objects of one kind: lists them, then waits for changes,
@@ -334,7 +335,7 @@
       int timeoutMillis,
       int ofSequence,
       Consumer<Page<T>> onPage) {
-    WholeCall.send(
+    BufferedCall.send(
         client,
         timers,
         store,
@@ -348,11 +349,11 @@
   }
 
   private void onReply(
-      WholeCall.Reply reply,
+      BufferedCall.Reply reply,
       StorePosition requested,
       StoreCallMetrics.Reason reason,
       Consumer<Page<T>> onPage) {
-    if (!(reply instanceof WholeCall.Answered answer) || answer.status() != OK) {
+    if (!(reply instanceof BufferedCall.Answered answer) || answer.status() != OK) {
       onFailure(reply, reason);
       return;
     }
@@ -410,11 +411,11 @@
     schedule(nextBackoffMillis(), () -> list("", sequence));
   }
 
-  private void onFailure(WholeCall.Reply reply, StoreCallMetrics.Reason reason) {
+  private void onFailure(BufferedCall.Reply reply, StoreCallMetrics.Reason reason) {
     count(reason, StoreCallMetrics.Outcome.FAILED);
-    boolean isHistoryGone = reply instanceof WholeCall.Answered answer && answer.status() == GONE;
+    boolean isHistoryGone = reply instanceof BufferedCall.Answered answer && answer.status() == GONE;
     if (isHistoryGone) {
-      onHistoryGone(((WholeCall.Answered) reply).head());
+      onHistoryGone(((BufferedCall.Answered) reply).head());
       return;
     }
     lastFailureNanos = System.nanoTime();
@@ -484,10 +485,10 @@
     metrics.count(kind, reason, outcome);
   }
 
-  private static String describe(WholeCall.Reply reply) {
-    return reply instanceof WholeCall.Answered answer
+  private static String describe(BufferedCall.Reply reply) {
+    return reply instanceof BufferedCall.Answered answer
         ? "status_" + answer.status()
-        : String.valueOf(((WholeCall.Missing) reply).failure());
+        : String.valueOf(((BufferedCall.Failed) reply).failure());
   }
 
   private void onListPage(Page<T> page, int ofSequence) {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
@@ -64,7 +64,7 @@
   }
 
   Object lock() {
-    return timers.guard();
+    return timers.lock();
   }
 
   int port() {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/http/ConnectLimitTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/http/ConnectTimeoutTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A machine that is gone or behind a cut answers nothing when a connection is opened. The reactor
- * looks at the times of its attempts once a second, so the client holds them itself.
+ * Guards against late connect timeouts: an unreachable machine answers nothing, and the reactor
+ * checks the timeouts of its attempts only once a second, so the client has to time out by itself.
  */
-class ConnectLimitTest {
+class ConnectTimeoutTest {
 
-  private static final long LONG_SECONDS = 20;
-  private static final Endpoint GONE = new Endpoint("10.0.0.1", 1);
+  private static final long MAX_WAIT_SECONDS = 20;
+  private static final Endpoint UNREACHABLE = new Endpoint("10.0.0.1", 1);
 
   private final Timers timers = new Timers(new Object());
   private final CompletableFuture<IOSession> attempt = new CompletableFuture<>();
@@ -32,18 +32,18 @@
     final BlockingQueue<Failure> failures = new LinkedBlockingQueue<>();
 
     @Override
-    public void head(HttpResponse answer) {
-      throw new AssertionError("nobody answers");
+    public void head(HttpResponse response) {
+      throw new AssertionError("unexpected response");
     }
 
     @Override
     public void data(ByteBuffer data) {
-      throw new AssertionError("nobody answers");
+      throw new AssertionError("unexpected response");
     }
 
     @Override
     public void end() {
-      throw new AssertionError("nobody answers");
+      throw new AssertionError("unexpected response");
     }
 
     @Override
@@ -58,14 +58,14 @@
   }
 
   @Test
-  void anAttemptThatTheReactorForgetsIsGivenUpAndCancelled() throws InterruptedException {
+  void connectAttemptTimesOutAndIsCancelledWithoutTheReactor() throws InterruptedException {
     Listener listener = new Listener();
-    synchronized (timers.guard()) {
-      client.send(GONE, new BasicHttpRequest("GET", "/"), new byte[0], listener);
+    synchronized (timers.lock()) {
+      client.send(UNREACHABLE, new BasicHttpRequest("GET", "/"), new byte[0], listener);
     }
-    assertThat(listener.failures.poll(LONG_SECONDS, TimeUnit.SECONDS))
+    assertThat(listener.failures.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS))
         .isEqualTo(ClientListener.Failure.UNREACHABLE);
-    synchronized (timers.guard()) {
+    synchronized (timers.lock()) {
       assertThat(attempt.isCancelled()).isTrue();
     }
     assertThat(listener.failures).isEmpty();
