--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -12,14 +12,13 @@
 import java.util.function.Predicate;
 import org.fawnvale.serving.core.demand.ModelDemand;
 import org.fawnvale.serving.core.model.EngineSpec;
-
+import org.fawnvale.serving.core.model.IncarnationTracker;
 import org.fawnvale.serving.core.model.MemberState;
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.ModelSpec;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.Policy;
 import org.jspecify.annotations.Nullable;
-import org.fawnvale.serving.core.model.IncarnationTracker;
 
 /**
  * Decides, as the leader, which groups are formed, opened and dissolved. The planner is a state
@@ -145,7 +144,8 @@
   /** Discards the state of nodes that restarted and marks their groups as having lost a member. */
   private void observeIncarnations(Map<String, Node> nodes, long now) {
     for (String id : incarnations.update(nodes.values())) {
-      logLines.add("node=" + id + " started_ms=" + nodes.get(id).incarnation().startedMillis() + " anew");
+      logLines.add(
+          "node=" + id + " started_ms=" + nodes.get(id).incarnation().startedMillis() + " anew");
       tracker.reset(id);
       dissolver.nodeRestarted(id, now);
       assembler.nodeRestarted(id);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LastModels.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LastModels.java
@@ -7,9 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-
-import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.IncarnationTracker;
+import org.fawnvale.serving.core.model.Node;
 
 /**
  * Remembers the model of each node's last group. A node that has left its group keeps the model's
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/NodeReport.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/NodeReport.java
@@ -3,9 +3,8 @@
 import java.util.List;
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.Node;
-
-import org.jspecify.annotations.Nullable;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.jspecify.annotations.Nullable;
 
 /**
  * A node's report on itself.
@@ -14,7 +13,8 @@
  * @param staged the models on its host
  * @param membership its membership of a group; null when it has none
  * @param orders the number of orders that it has taken in this incarnation
- * @param startedMillis when this incarnation began; {@link NodeIncarnation#UNKNOWN_START} when it is not known
+ * @param startedMillis when this incarnation began; {@link NodeIncarnation#UNKNOWN_START} when it
+ *     is not known
  */
 public record NodeReport(
     @Nullable String model,
@@ -31,7 +31,8 @@
    */
   boolean isFromIncarnationOf(Node node) {
     long known = node.incarnation().startedMillis();
-    boolean startUnknown = startedMillis == NodeIncarnation.UNKNOWN_START || known == NodeIncarnation.UNKNOWN_START;
+    boolean startUnknown =
+        startedMillis == NodeIncarnation.UNKNOWN_START || known == NodeIncarnation.UNKNOWN_START;
     return startUnknown || startedMillis == known;
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/PlanPacing.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/PlanPacing.java
@@ -1,6 +1,5 @@
 package org.fawnvale.serving.core.formation;
 
-
 import org.fawnvale.serving.core.watch.StorePosition;
 
 /**
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
@@ -6,9 +6,8 @@
 import java.util.Map;
 import java.util.Set;
 import org.fawnvale.serving.core.model.Node;
-
-import org.jspecify.annotations.Nullable;
 import org.fawnvale.serving.core.watch.StorePosition;
+import org.jspecify.annotations.Nullable;
 
 /**
  * Corrects the list of nodes after the store was rolled back to a copy, until the nodes have
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/KnownLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/KnownLimits.java
@@ -5,11 +5,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-
-
-import org.jspecify.annotations.Nullable;
 import org.fawnvale.serving.core.model.AdvertisedLimit;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.jspecify.annotations.Nullable;
 
 /**
  * The advertised limits that this daemon knows, from the responses of nodes and from the updates of
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/LimitUpdate.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/LimitUpdate.java
@@ -1,6 +1,5 @@
 package org.fawnvale.serving.core.limit;
 
-
 import org.fawnvale.serving.core.model.NodeIncarnation;
 
 /**
@@ -14,7 +13,8 @@
  * @param ageMillis the time since a daemon last received a response that confirms the limit, in
  *     milliseconds
  */
-public record LimitUpdate(NodeIncarnation incarnation, int version, double perSecond, long ageMillis) {
+public record LimitUpdate(
+    NodeIncarnation incarnation, int version, double perSecond, long ageMillis) {
 
   /** The value of {@code perSecond} for a node that advertises no limit. */
   public static final double UNLIMITED = Double.POSITIVE_INFINITY;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
@@ -4,12 +4,10 @@
 import java.util.List;
 import java.util.Map;
 import org.fawnvale.serving.core.model.Node;
-
-
-import org.fawnvale.serving.core.peer.RendezvousOwners;
-import org.jspecify.annotations.Nullable;
 import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.NodeResponse;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
+import org.jspecify.annotations.Nullable;
 
 /**
  * Enforces the rate limits that nodes advertise, across all daemons together. One daemon owns the
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/Quarantine.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/Quarantine.java
@@ -6,9 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-
-import org.jspecify.annotations.Nullable;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.jspecify.annotations.Nullable;
 
 /**
  * Tracks requests that ran on nodes that ended, as observed by all daemons. Once {@value
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/QuarantineRecord.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/quarantine/QuarantineRecord.java
@@ -2,7 +2,6 @@
 
 import java.util.HashSet;
 import java.util.Set;
-
 import org.fawnvale.serving.core.model.NodeIncarnation;
 
 /**
@@ -31,7 +30,8 @@
         fingerprint, union(failures, other.failures), union(excused, other.excused));
   }
 
-  private static Set<NodeIncarnation> union(Set<NodeIncarnation> first, Set<NodeIncarnation> second) {
+  private static Set<NodeIncarnation> union(
+      Set<NodeIncarnation> first, Set<NodeIncarnation> second) {
     if (first.containsAll(second)) {
       return first;
     }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ConnectionReuseTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/ConnectionReuseTest.java
@@ -16,9 +16,8 @@
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeIncarnation;
-
-import org.junit.jupiter.api.Test;
 import org.fawnvale.serving.core.peer.RendezvousOwners;
+import org.junit.jupiter.api.Test;
 
 /**
  * How often a daemon can reuse an idle connection when many daemons send to many heads. Runs in
@@ -53,7 +52,8 @@
         new Dispatcher(
             "here",
             new UpstreamGate(
-                new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a")))),
+                new SharedLimits(
+                    new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a")))),
             () -> 0);
     final Map<Endpoint, List<Double>> idleSince = new HashMap<>();
   }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/DispatcherTest.java
@@ -15,9 +15,8 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.NodeResponse;
-
-import org.junit.jupiter.api.Test;
 import org.fawnvale.serving.core.peer.RendezvousOwners;
+import org.junit.jupiter.api.Test;
 
 /** Which upstream a request is sent to, and which requests are admitted when capacity is short. */
 class DispatcherTest {
@@ -29,7 +28,9 @@
   private static final long MILLI = 1_000_000L;
 
   private final UpstreamGate gate =
-      new UpstreamGate(new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
+      new UpstreamGate(
+          new SharedLimits(
+              new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
   private final AtomicLong now = new AtomicLong();
   private final Dispatcher dispatcher = new Dispatcher("here", gate, now::get);
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadSimulation.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadSimulation.java
@@ -26,7 +26,6 @@
 import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.core.model.RequestSize;
-
 import org.fawnvale.serving.core.peer.RendezvousOwners;
 
 /**
@@ -137,7 +136,9 @@
 
   private static final class Daemon {
     final UpstreamGate gate =
-        new UpstreamGate(new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
+        new UpstreamGate(
+            new SharedLimits(
+                new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
     final Dispatcher dispatcher;
 
     Daemon(String dataCentre, Random random, LongSupplier steadyNanos) {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/UpstreamGateTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/UpstreamGateTest.java
@@ -8,9 +8,8 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.NodeResponse;
-
-import org.junit.jupiter.api.Test;
 import org.fawnvale.serving.core.peer.RendezvousOwners;
+import org.junit.jupiter.api.Test;
 
 /** Which signals of nodes' responses stop requests to them, and for how long. */
 class UpstreamGateTest {
@@ -25,7 +24,9 @@
   private static final NodeResponse PLAIN = new NodeResponse(200, false, false, 0, null, null);
 
   private final UpstreamGate gate =
-      new UpstreamGate(new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
+      new UpstreamGate(
+          new SharedLimits(
+              new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
 
   private static NodeResponse pauseOf(long millis) {
     return new NodeResponse(503, true, false, millis, null, null);
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/ExchangePolicyTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/ExchangePolicyTest.java
@@ -10,9 +10,8 @@
 import org.fawnvale.serving.core.model.MemberState;
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.Node;
-
-import org.junit.jupiter.api.Test;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.junit.jupiter.api.Test;
 
 /**
  * One domain with four groups of the small model, in a fleet where its 24 groups are at half of
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationSimulation.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/FormationSimulation.java
@@ -11,9 +11,8 @@
 import org.fawnvale.serving.core.demand.ModelDemand;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.Policy;
-
-import org.jspecify.annotations.Nullable;
 import org.fawnvale.serving.core.peer.FencingToken;
+import org.jspecify.annotations.Nullable;
 
 /**
  * Simulates leaders and nodes in virtual time, with failures, delayed and unanswered orders, stale
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodeRestartTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/NodeRestartTest.java
@@ -10,13 +10,11 @@
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.model.Node;
-
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.Policy;
-
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.fawnvale.serving.core.model.NodeIncarnation;
-import org.fawnvale.serving.core.peer.RendezvousOwners;
 
 /**
  * Nodes restart under their ids before their entries have lapsed. State of a former incarnation
@@ -137,7 +135,8 @@
         new Dispatcher(
             "a",
             new UpstreamGate(
-                new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a")))),
+                new SharedLimits(
+                    new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a")))),
             () -> 0);
     dispatcher.setUpstreams(List.of(node(1, "large")));
     dispatcher.state("n").markSuspect(now);
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/PlanPacingTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/PlanPacingTest.java
@@ -3,9 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.fawnvale.serving.core.watch.StoreEra;
-
-import org.junit.jupiter.api.Test;
 import org.fawnvale.serving.core.watch.StorePosition;
+import org.junit.jupiter.api.Test;
 
 /** The leader plans when something has changed, and otherwise at the maximal interval. */
 class PlanPacingTest {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
@@ -10,12 +10,10 @@
 import org.fawnvale.serving.core.model.MemberState;
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.Node;
-
-import org.fawnvale.serving.core.watch.StoreEra;
-
-import org.junit.jupiter.api.Test;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePosition;
+import org.junit.jupiter.api.Test;
 
 /** How the list is corrected after a rollback of the store until nodes write again. */
 class RestoredNodesTest {
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RollbackStore.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RollbackStore.java
@@ -12,7 +12,6 @@
 import java.util.Set;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.watch.StoreEra;
-
 import org.fawnvale.serving.core.watch.StorePosition;
 
 /**
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/SimulatedNodes.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/SimulatedNodes.java
@@ -18,7 +18,6 @@
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.ModelSpec;
 import org.fawnvale.serving.core.model.Node;
-
 import org.fawnvale.serving.core.model.NodeIncarnation;
 
 /**
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/KnownLimitsTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/KnownLimitsTest.java
@@ -7,11 +7,9 @@
 import java.util.List;
 import java.util.Random;
 import org.fawnvale.serving.core.limit.KnownLimits.Change;
-
-
-import org.junit.jupiter.api.Test;
 import org.fawnvale.serving.core.model.AdvertisedLimit;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.junit.jupiter.api.Test;
 
 class KnownLimitsTest {
 
@@ -108,7 +106,8 @@
   @Test
   void newIncarnationHasNoLimit() {
     advertise(1, KnownLimits.UNKNOWN_VERSION);
-    assertThat(limits.perSecond(new NodeIncarnation(NODE.id(), 7))).isEqualTo(LimitUpdate.UNLIMITED);
+    assertThat(limits.perSecond(new NodeIncarnation(NODE.id(), 7)))
+        .isEqualTo(LimitUpdate.UNLIMITED);
   }
 
   @Test
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulation.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulation.java
@@ -7,15 +7,12 @@
 import java.util.Queue;
 import java.util.Random;
 import java.util.Set;
+import org.fawnvale.serving.core.model.AdvertisedLimit;
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.model.Node;
-
-
-
-import org.fawnvale.serving.core.peer.RendezvousOwners;
-import org.fawnvale.serving.core.model.AdvertisedLimit;
 import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.NodeResponse;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 
 /**
  * Simulates daemons in front of one node that advertises a limit. Callers send to any daemon.
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineFalsePositiveTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineFalsePositiveTest.java
@@ -5,9 +5,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-
-import org.junit.jupiter.api.Test;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.junit.jupiter.api.Test;
 
 /**
  * Guards against harmless requests that are quarantined because they ran beside a faulty request,
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantinePropagationTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantinePropagationTest.java
@@ -6,10 +6,9 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.peer.MessageRouting;
 import org.junit.jupiter.api.Test;
-import org.fawnvale.serving.core.model.NodeIncarnation;
 
 /**
  * Guards against daemons of a large fleet that learn too late of a quarantined request. Three
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTest.java
@@ -7,9 +7,8 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-
-import org.junit.jupiter.api.Test;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.junit.jupiter.api.Test;
 
 class QuarantineTest {
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTrialTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/quarantine/QuarantineTrialTest.java
@@ -4,11 +4,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
-
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.fawnvale.serving.core.model.NodeIncarnation;
 
 /**
  * Guards against a harmless request that stays quarantined for ever because its callers use daemons
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/DepartureDetectorTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/watch/DepartureDetectorTest.java
@@ -5,9 +5,8 @@
 import java.util.List;
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.model.Node;
-
-import org.junit.jupiter.api.Test;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.junit.jupiter.api.Test;
 
 class DepartureDetectorTest {
 
@@ -15,7 +14,8 @@
 
   private static Node node(String id) {
     Endpoint endpoint = new Endpoint("127.0.0.1", 1);
-    return new Node(NodeIncarnation.only(id), "stock", endpoint, "a", 6, false, "", null, List.of(), null);
+    return new Node(
+        NodeIncarnation.only(id), "stock", endpoint, "a", 6, false, "", null, List.of(), null);
   }
 
   @Test
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
@@ -10,12 +10,11 @@
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.Settings;
-
 import org.fawnvale.serving.core.watch.StoreOutages;
+import org.fawnvale.serving.core.watch.StoreSuspicion;
 import org.fawnvale.serving.peer.Peers;
 import org.fawnvale.serving.store.EraChange;
 import org.fawnvale.serving.store.StoreWatch;
-import org.fawnvale.serving.core.watch.StoreSuspicion;
 
 /**
  * This daemon's view of the cluster: the effective list of nodes, whether the store answers, and
@@ -115,7 +114,8 @@
 
   /** Tells whether the store answers this daemon. */
   boolean storeAnswers() {
-    boolean isCertain = nodes.isActive() || storeSuspicion.isCleared(configurations.lastAnswerNanos());
+    boolean isCertain =
+        nodes.isActive() || storeSuspicion.isCleared(configurations.lastAnswerNanos());
     return isCertain && answers(configurations) && answers(nodes);
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonEndpoints.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/DaemonEndpoints.java
@@ -4,11 +4,9 @@
 import java.nio.charset.StandardCharsets;
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.Node;
-
-
-import org.fawnvale.serving.store.PeerCopyExchange;
 import org.fawnvale.serving.limit.LimitPermitService;
 import org.fawnvale.serving.limit.TrialPermitService;
+import org.fawnvale.serving.store.PeerCopyExchange;
 
 /** The daemon's HTTP endpoints for the balancer, for metrics and for queries of peers. */
 final class DaemonEndpoints {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/GroupAnnouncements.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/GroupAnnouncements.java
@@ -1,7 +1,6 @@
 package org.fawnvale.serving.daemon;
 
 import java.util.List;
-
 import org.fawnvale.serving.core.peer.PeerMessage;
 
 /**
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/QuarantinePersistence.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/QuarantinePersistence.java
@@ -1,11 +1,9 @@
 package org.fawnvale.serving.daemon;
 
-
-import org.fawnvale.serving.core.watch.StoreEra;
-
-import org.fawnvale.serving.store.QuarantineStore;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
+import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.gateway.RequestQuarantine;
+import org.fawnvale.serving.store.QuarantineStore;
 
 /**
  * Decides which daemon saves the records of quarantined requests in the platform's store, for
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -24,24 +24,24 @@
 import org.fawnvale.serving.core.model.ServiceSpec;
 import org.fawnvale.serving.core.model.Settings;
 import org.fawnvale.serving.core.peer.DaemonState;
-
-
-
+import org.fawnvale.serving.core.peer.LeaderEligibility;
+import org.fawnvale.serving.core.peer.PeerMessage;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.core.route.RouteTable;
-
-
-
-
+import org.fawnvale.serving.core.watch.CopyDelays;
+import org.fawnvale.serving.core.watch.CopyPositions;
+import org.fawnvale.serving.core.watch.DepartureDetector;
+import org.fawnvale.serving.core.watch.PollIntervals;
 import org.fawnvale.serving.formation.FormationService;
 import org.fawnvale.serving.gateway.Gateway;
-
+import org.fawnvale.serving.gateway.GatewayMetrics;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.HttpReactor;
 import org.fawnvale.serving.http.NodeClient;
 import org.fawnvale.serving.http.Timers;
-
-
-
+import org.fawnvale.serving.limit.LimitPermitService;
+import org.fawnvale.serving.limit.OwnerClient;
+import org.fawnvale.serving.limit.TrialPermitService;
 import org.fawnvale.serving.peer.Peers;
 import org.fawnvale.serving.spi.Platform;
 import org.fawnvale.serving.store.EraChange;
@@ -51,17 +51,6 @@
 import org.fawnvale.serving.store.StoreCallMetrics;
 import org.fawnvale.serving.store.StoreWatch;
 import org.jspecify.annotations.Nullable;
-import org.fawnvale.serving.core.peer.LeaderEligibility;
-import org.fawnvale.serving.core.peer.PeerMessage;
-import org.fawnvale.serving.core.peer.RendezvousOwners;
-import org.fawnvale.serving.core.watch.CopyDelays;
-import org.fawnvale.serving.core.watch.CopyPositions;
-import org.fawnvale.serving.core.watch.DepartureDetector;
-import org.fawnvale.serving.core.watch.PollIntervals;
-import org.fawnvale.serving.gateway.GatewayMetrics;
-import org.fawnvale.serving.limit.LimitPermitService;
-import org.fawnvale.serving.limit.OwnerClient;
-import org.fawnvale.serving.limit.TrialPermitService;
 
 /** An entry daemon: gateway, store copies, peers and, while it leads, the formation of groups. */
 public final class ServingDaemon {
@@ -163,10 +152,13 @@
     this.reactor = reactor;
     this.client = new HttpClient(reactor, timers);
     RendezvousOwners owners =
-        new RendezvousOwners(new RendezvousOwners.Daemon(settings.name(), settings.address(), settings.dataCentre()));
+        new RendezvousOwners(
+            new RendezvousOwners.Daemon(
+                settings.name(), settings.address(), settings.dataCentre()));
     SharedLimits limits = new SharedLimits(owners);
     this.gate = new UpstreamGate(limits);
-    OwnerClient ownerCalls = new OwnerClient(client, timers, settings.peerPort() + QUERY_PORT_OFFSET);
+    OwnerClient ownerCalls =
+        new OwnerClient(client, timers, settings.peerPort() + QUERY_PORT_OFFSET);
     this.limitPermits = new LimitPermitService(ownerCalls, limits, registry);
     this.dispatcher = new Dispatcher(settings.dataCentre(), gate, System::nanoTime);
     dispatcher.setConnected(client::hasIdle);
@@ -179,7 +171,8 @@
         new Gateway(timers, nodeClient, platform, dispatcher, settings.bounds(), metrics);
     gateway.setPermitRequester(limitPermits::requestPermit);
     registry.gauge("fawnvale.platform.names.unread", platform, Platform::unrecognizedNames);
-    this.trialPermits = new TrialPermitService(ownerCalls, owners, gateway.quarantine()::grantTrial);
+    this.trialPermits =
+        new TrialPermitService(ownerCalls, owners, gateway.quarantine()::grantTrial);
     gateway.quarantine().setTrialRequester(trialPermits::requestPermit);
     this.sharedUpdates = new SharedStateUpdates(owners, gateway.quarantine(), limits, limitPermits);
     long incarnation = System.currentTimeMillis();
@@ -607,7 +600,8 @@
             dispatcher.rejecting(),
             leading ? formation.recentlyOpened() : List.of(),
             leading ? formation.recentlyClosed() : List.of());
-    CopyPositions positions = new CopyPositions(configurations.newest(), activeVersion(), nodes.newest());
+    CopyPositions positions =
+        new CopyPositions(configurations.newest(), activeVersion(), nodes.newest());
     peers.send(state, positions, urgent);
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
@@ -3,20 +3,14 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-
-import org.fawnvale.serving.core.limit.SharedLimits;
-
-
-
-
-
-import org.fawnvale.serving.peer.Peers;
 import org.fawnvale.serving.core.limit.LimitUpdate;
+import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.gateway.RequestQuarantine;
 import org.fawnvale.serving.limit.LimitPermitService;
+import org.fawnvale.serving.peer.Peers;
 
 /**
  * Connects the state that all daemons share with the exchange of peer messages: records of requests
@@ -30,7 +24,10 @@
   private final LimitPermitService limitPermits;
 
   SharedStateUpdates(
-      RendezvousOwners owners, RequestQuarantine quarantine, SharedLimits limits, LimitPermitService limitPermits) {
+      RendezvousOwners owners,
+      RequestQuarantine quarantine,
+      SharedLimits limits,
+      LimitPermitService limitPermits) {
     this.owners = owners;
     this.quarantine = quarantine;
     this.limits = limits;
@@ -71,7 +68,9 @@
   void updateReachableDaemons(Collection<PeerMessage> live, int recentlySeenCount) {
     List<RendezvousOwners.Daemon> others = new ArrayList<>();
     live.forEach(
-        note -> others.add(new RendezvousOwners.Daemon(note.name(), note.address(), note.dataCentre())));
+        note ->
+            others.add(
+                new RendezvousOwners.Daemon(note.name(), note.address(), note.dataCentre())));
     if (owners.updateReachable(others, recentlySeenCount, System.nanoTime())) {
       limits.ownersChanged();
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/UpstreamSelector.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/UpstreamSelector.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.fawnvale.serving.core.formation.GroupKey;
-
+import org.fawnvale.serving.core.formation.ObservedGroup;
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.EngineSpec;
 import org.fawnvale.serving.core.model.MemberState;
@@ -17,8 +17,6 @@
 import org.fawnvale.serving.core.model.ModelSpec;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.ServiceSpec;
-
-import org.fawnvale.serving.core.formation.ObservedGroup;
 import org.fawnvale.serving.core.peer.PeerMessage;
 
 /**
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/FormationService.java
@@ -19,14 +19,12 @@
 import org.fawnvale.serving.core.model.EngineSpec;
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.model.Settings;
-
-
+import org.fawnvale.serving.core.peer.PeerMessage;
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.http.NodeClient;
 import org.fawnvale.serving.peer.Peers;
 import org.fawnvale.serving.spi.Platform;
 import org.jspecify.annotations.Nullable;
-import org.fawnvale.serving.core.peer.PeerMessage;
-import org.fawnvale.serving.core.watch.StorePosition;
 
 /** Runs the group planner while this daemon is the leader. Callers of the methods hold the lock. */
 public final class FormationService {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/OrderSender.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/formation/OrderSender.java
@@ -8,12 +8,11 @@
 import org.fawnvale.serving.core.formation.GroupOrder;
 import org.fawnvale.serving.core.formation.NodeReport;
 import org.fawnvale.serving.core.model.Membership;
+import org.fawnvale.serving.http.BufferedCall;
 import org.fawnvale.serving.http.ClientListener;
 import org.fawnvale.serving.http.NodeClient;
-
 import org.fawnvale.serving.spi.Platform;
 import org.jspecify.annotations.Nullable;
-import org.fawnvale.serving.http.BufferedCall;
 
 /** Sends orders to nodes and reports the outcome of each. */
 final class OrderSender {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/CallerRequest.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/CallerRequest.java
@@ -1,13 +1,12 @@
 package org.fawnvale.serving.gateway;
 
 import org.apache.hc.core5.http.HttpRequest;
-
+import org.fawnvale.serving.core.dispatch.DispatchRequest;
 import org.fawnvale.serving.core.model.RequestSize;
 import org.fawnvale.serving.core.model.Route;
 import org.fawnvale.serving.core.model.Workspace;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.jspecify.annotations.Nullable;
-import org.fawnvale.serving.core.dispatch.DispatchRequest;
 
 /**
  * A caller's request that has passed the checks and may be forwarded.
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
@@ -12,21 +12,18 @@
 import org.apache.hc.core5.http.message.BasicHeader;
 import org.apache.hc.core5.http.message.BasicHttpRequest;
 import org.fawnvale.serving.core.dispatch.Choice;
-
+import org.fawnvale.serving.core.dispatch.DispatchRequest;
 import org.fawnvale.serving.core.dispatch.UpstreamState;
 import org.fawnvale.serving.core.model.Node;
-
+import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.core.model.Route;
 import org.fawnvale.serving.core.model.RouteKind;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.http.ClientExchange;
 import org.fawnvale.serving.http.ClientListener;
-
+import org.fawnvale.serving.http.NodeResponseListener;
 import org.fawnvale.serving.spi.HeaderNames;
 import org.jspecify.annotations.Nullable;
-import org.fawnvale.serving.core.dispatch.DispatchRequest;
-import org.fawnvale.serving.core.model.NodeResponse;
-import org.fawnvale.serving.http.NodeResponseListener;
 
 /**
  * Forwards one request of a caller: chooses upstreams, retries where the route permits, resumes
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -16,13 +16,13 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.demand.EngineTimes;
-
+import org.fawnvale.serving.core.demand.OfferedLoad;
+import org.fawnvale.serving.core.dispatch.CallerRetryDetector;
 import org.fawnvale.serving.core.dispatch.Choice;
-
+import org.fawnvale.serving.core.dispatch.DispatchRequest;
 import org.fawnvale.serving.core.dispatch.Dispatcher;
+import org.fawnvale.serving.core.dispatch.RetryAfterPolicy;
 import org.fawnvale.serving.core.dispatch.RetryBudget;
-
-
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.EngineSpec;
 import org.fawnvale.serving.core.model.ModelSpec;
@@ -38,10 +38,6 @@
 import org.fawnvale.serving.spi.HeaderNames;
 import org.fawnvale.serving.spi.Platform;
 import org.jspecify.annotations.Nullable;
-import org.fawnvale.serving.core.demand.OfferedLoad;
-import org.fawnvale.serving.core.dispatch.CallerRetryDetector;
-import org.fawnvale.serving.core.dispatch.DispatchRequest;
-import org.fawnvale.serving.core.dispatch.RetryAfterPolicy;
 
 /** Accepts callers' requests and holds what they share: routes, upstreams, retry budgets. */
 public final class Gateway {
@@ -345,7 +341,9 @@
     ServiceSpec service = configuration.services().get(demand.service());
     EngineSpec engine = service == null ? null : service.engine();
     ModelSpec model = engine == null ? null : engine.model(demand.model());
-    if (engine != null && model != null && demand.admissionClass() == DispatchRequest.AdmissionClass.FIRST) {
+    if (engine != null
+        && model != null
+        && demand.admissionClass() == DispatchRequest.AdmissionClass.FIRST) {
       double work = EngineTimes.workMillis(engine, model, request.size());
       offeredWork.recordWork(model.name(), work, request.receivedNanos());
     }
@@ -376,9 +374,9 @@
 
   private DispatchRequest demand(HttpRequest head, Route route) {
     String model = Headers.value(head, headers().model());
-    boolean returning =
-        returningCallers.isRetry(route.name(), callerTimeoutMillis(head, route));
-    DispatchRequest.AdmissionClass claim = returning ? DispatchRequest.AdmissionClass.RETURNING : DispatchRequest.AdmissionClass.FIRST;
+    boolean returning = returningCallers.isRetry(route.name(), callerTimeoutMillis(head, route));
+    DispatchRequest.AdmissionClass claim =
+        returning ? DispatchRequest.AdmissionClass.RETURNING : DispatchRequest.AdmissionClass.FIRST;
     return new DispatchRequest(service(route), model == null ? "" : model, claim);
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestLog.java
@@ -5,11 +5,10 @@
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.dispatch.Dispatcher;
 import org.fawnvale.serving.core.model.Node;
-
+import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.http.ClientListener;
 import org.jspecify.annotations.Nullable;
-import org.fawnvale.serving.core.model.NodeResponse;
 
 /** Logs and counts the decisions about each request. */
 final class RequestLog {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
@@ -11,9 +11,8 @@
 import org.fawnvale.serving.core.model.Node;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.core.quarantine.Quarantine;
-
-import org.fawnvale.serving.http.NodeClient;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
+import org.fawnvale.serving.http.NodeClient;
 
 /**
  * Stops requests that crash nodes from being retried on further nodes. It identifies them by
@@ -82,7 +81,8 @@
    * suspected.
    */
   boolean isBarred(Forwarder forwarder) {
-    return !quarantine.isEmpty() && quarantine.isQuarantined(forwarder.fingerprint(), System.nanoTime());
+    return !quarantine.isEmpty()
+        && quarantine.isQuarantined(forwarder.fingerprint(), System.nanoTime());
   }
 
   /** Records that a request is sent to a node. */
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitNoteCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitNoteCodec.java
@@ -3,12 +3,10 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-
-
-import org.msgpack.core.MessageBufferPacker;
-import org.msgpack.core.MessageUnpacker;
 import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.msgpack.core.MessageBufferPacker;
+import org.msgpack.core.MessageUnpacker;
 
 /** Encodes the limit records that daemons exchange as MessagePack. */
 public final class LimitNoteCodec {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
@@ -7,13 +7,11 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.limit.KnownLimits;
-
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.model.Node;
-
-import org.fawnvale.serving.http.LimitLog;
-import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.peer.RendezvousOwners;
+import org.fawnvale.serving.http.LimitLog;
 
 /**
  * Requests permits from the daemons that own limits, and answers other daemons' permit requests.
@@ -146,7 +144,8 @@
       PermitRequest permitRequest = PermitRequest.read(target);
       receive(List.of(permitRequest.limit()));
       return PermitRequest.write(
-          limits.requestPermit(permitRequest.limit().incarnation(), permitRequest.dataCentre(), System.nanoTime()));
+          limits.requestPermit(
+              permitRequest.limit().incarnation(), permitRequest.dataCentre(), System.nanoTime()));
     } catch (IOException | RuntimeException e) {
       LOG.warn("outcome=unreadable_question cause={}", e.toString());
       return new byte[0];
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/OwnerClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/OwnerClient.java
@@ -2,13 +2,11 @@
 
 import java.util.function.Consumer;
 import org.fawnvale.serving.core.model.Endpoint;
-
+import org.fawnvale.serving.core.peer.RendezvousOwners;
+import org.fawnvale.serving.http.BufferedCall;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
-
 import org.fawnvale.serving.spi.Call;
-import org.fawnvale.serving.core.peer.RendezvousOwners;
-import org.fawnvale.serving.http.BufferedCall;
 
 /** Calls the daemon that owns a limit or a barred request. */
 public final class OwnerClient {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/PermitRequest.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/PermitRequest.java
@@ -3,12 +3,11 @@
 import java.io.IOException;
 import java.util.Base64;
 import java.util.List;
-
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
-import org.fawnvale.serving.core.limit.LimitUpdate;
 
 /**
  * A daemon's request to the owner of a node's limit for a permit to send one request to the node.
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialPermitService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialPermitService.java
@@ -4,9 +4,8 @@
 import java.util.function.Predicate;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-
-import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.core.peer.RendezvousOwners;
+import org.fawnvale.serving.core.quarantine.Fingerprint;
 
 /**
  * Requests trials of barred requests from the daemons that own them, and answers other daemons'
@@ -87,7 +86,8 @@
     String ownershipKey = target.substring(PATH.length());
     try {
       Fingerprint fingerprint = new Fingerprint(Long.parseUnsignedLong(ownershipKey, RADIX));
-      boolean granted = owners.isOwner(ownershipKey, NO_DATA_CENTRE) && grantTrial.test(fingerprint);
+      boolean granted =
+          owners.isOwner(ownershipKey, NO_DATA_CENTRE) && grantTrial.test(fingerprint);
       LOG.info("fingerprint={} given={} outcome=answered", fingerprint, granted);
       return granted ? GRANTED.clone() : DENIED.clone();
     } catch (NumberFormatException e) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Page.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Page.java
@@ -1,7 +1,6 @@
 package org.fawnvale.serving.spi;
 
 import java.util.List;
-
 import org.fawnvale.serving.core.watch.StorePosition;
 
 /**
@@ -25,5 +24,8 @@
    * @param <T> type of the content
    */
   public record Item<T>(
-      String name, StorePosition place, boolean deleted, @org.jspecify.annotations.Nullable T value) {}
+      String name,
+      StorePosition place,
+      boolean deleted,
+      @org.jspecify.annotations.Nullable T value) {}
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
@@ -7,13 +7,10 @@
 import org.fawnvale.serving.core.formation.NodeReport;
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.Node;
-
-import org.fawnvale.serving.core.model.RequestSize;
-
-import org.fawnvale.serving.core.watch.StoreEra;
-
 import org.fawnvale.serving.core.model.NodeResponse;
+import org.fawnvale.serving.core.model.RequestSize;
 import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
+import org.fawnvale.serving.core.watch.StoreEra;
 import org.fawnvale.serving.core.watch.StorePosition;
 
 /** The names, formats and HTTP calls of a platform. Adapters implement it and make no decisions. */
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/CopyPacing.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/CopyPacing.java
@@ -1,6 +1,5 @@
 package org.fawnvale.serving.store;
 
-
 import org.fawnvale.serving.core.watch.CopyDelays;
 
 /**
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/CopyUpdate.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/CopyUpdate.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.Map;
-
 import org.fawnvale.serving.core.watch.StorePosition;
 
 /**
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/EraChange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/EraChange.java
@@ -2,7 +2,6 @@
 
 import java.util.Map;
 import java.util.Set;
-
 import org.fawnvale.serving.core.watch.StorePosition;
 
 /**
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/ObjectTable.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/ObjectTable.java
@@ -8,9 +8,8 @@
 import java.util.function.Consumer;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-
-import org.fawnvale.serving.spi.Page;
 import org.fawnvale.serving.core.watch.StorePosition;
+import org.fawnvale.serving.spi.Page;
 
 /**
  * This daemon's copy of the store's objects of one kind, with the change and removal positions that
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
@@ -9,17 +9,14 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.model.Endpoint;
-
+import org.fawnvale.serving.core.watch.CopyDelays;
 import org.fawnvale.serving.core.watch.StoreEra;
-
+import org.fawnvale.serving.core.watch.StorePosition;
+import org.fawnvale.serving.http.BufferedCall;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
-
 import org.fawnvale.serving.spi.Call;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
-import org.fawnvale.serving.core.watch.CopyDelays;
-import org.fawnvale.serving.core.watch.StorePosition;
-import org.fawnvale.serving.http.BufferedCall;
 
 /**
  * Exchanges copies of the store's objects with peers: fetches newer objects from peers, and answers
@@ -188,7 +185,8 @@
       return cached.body();
     }
     try {
-      StorePosition since = StorePositionText.read(target.substring(path.length() + SINCE.length()));
+      StorePosition since =
+          StorePositionText.read(target.substring(path.length() + SINCE.length()));
       byte[] body = Codec.MAPPER.writeValueAsBytes(watch.updateSince(since));
       cached = new CachedResponse(target, watch.changeCount(), body);
       return body;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
@@ -11,16 +11,13 @@
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
-
-
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
+import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
+import org.fawnvale.serving.http.BufferedCall;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
-
 import org.fawnvale.serving.spi.Page;
 import org.fawnvale.serving.spi.Platform;
-import org.fawnvale.serving.core.quarantine.QuarantineRecord;
-import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
-import org.fawnvale.serving.http.BufferedCall;
 
 /**
  * Persists the records of quarantined requests, which crash nodes, in the platform's store, so that
@@ -104,7 +101,8 @@
 
   private void acceptPage(BufferedCall.Answered answer) {
     try {
-      Page<StoredQuarantineRecord> page = platform.keptRecords(platform.era(answer.head()), answer.body());
+      Page<StoredQuarantineRecord> page =
+          platform.keptRecords(platform.era(answer.head()), answer.body());
       List<QuarantineRecord> unexpired = new ArrayList<>();
       for (Page.Item<StoredQuarantineRecord> item : page.items()) {
         StoredQuarantineRecord kept = item.value();
@@ -167,7 +165,8 @@
     }
     saving = true;
     QuarantineRecord next = pending.values().iterator().next();
-    StoredQuarantineRecord kept = new StoredQuarantineRecord(next, clockMillis.getAsLong() + RETENTION_MILLIS);
+    StoredQuarantineRecord kept =
+        new StoredQuarantineRecord(next, clockMillis.getAsLong() + RETENTION_MILLIS);
     BufferedCall.send(
         client,
         timers,
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StorePositionText.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StorePositionText.java
@@ -1,7 +1,6 @@
 package org.fawnvale.serving.store;
 
 import org.fawnvale.serving.core.watch.StoreEra;
-
 import org.fawnvale.serving.core.watch.StorePosition;
 
 /** Text form of a store position, {@code ERA.REVISION}, in the queries that daemons send peers. */
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
@@ -9,19 +9,16 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.serving.core.model.Endpoint;
-
+import org.fawnvale.serving.core.watch.EraFilter;
 import org.fawnvale.serving.core.watch.StoreEra;
-
+import org.fawnvale.serving.core.watch.StorePosition;
+import org.fawnvale.serving.http.BufferedCall;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.Timers;
-
 import org.fawnvale.serving.spi.Call;
 import org.fawnvale.serving.spi.Page;
 import org.fawnvale.serving.spi.Platform;
 import org.jspecify.annotations.Nullable;
-import org.fawnvale.serving.core.watch.EraFilter;
-import org.fawnvale.serving.core.watch.StorePosition;
-import org.fawnvale.serving.http.BufferedCall;
 
 /**
  * Maintains a local copy of the store's objects of one kind: lists them, then waits for changes,
@@ -413,7 +410,8 @@
 
   private void onFailure(BufferedCall.Reply reply, StoreCallMetrics.Reason reason) {
     count(reason, StoreCallMetrics.Outcome.FAILED);
-    boolean isHistoryGone = reply instanceof BufferedCall.Answered answer && answer.status() == GONE;
+    boolean isHistoryGone =
+        reply instanceof BufferedCall.Answered answer && answer.status() == GONE;
     if (isHistoryGone) {
       onHistoryGone(((BufferedCall.Answered) reply).head());
       return;
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/UpstreamSelectorTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/daemon/UpstreamSelectorTest.java
@@ -11,13 +11,11 @@
 import org.fawnvale.serving.core.model.Membership;
 import org.fawnvale.serving.core.model.ModelSpec;
 import org.fawnvale.serving.core.model.Node;
-
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.RequestSize;
 import org.fawnvale.serving.core.model.ServiceSpec;
-
-import org.junit.jupiter.api.Test;
-import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.peer.PeerMessage;
+import org.junit.jupiter.api.Test;
 
 /** Selection of heads from the list of nodes and the leader's announcements. */
 class UpstreamSelectorTest {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/NodeCrashingRequestsTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/NodeCrashingRequestsTest.java
@@ -12,15 +12,13 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import org.apache.hc.core5.http.message.BasicHttpRequest;
-
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.Workspace;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
-
+import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.fawnvale.serving.core.model.NodeIncarnation;
-import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 
 /**
  * Guards against a request that crashes every node that runs it and whose caller retries it with a
@@ -112,7 +110,8 @@
           .quarantine()
           .receive(
               List.of(
-                  new QuarantineRecord(fingerprint("/safe/sheet", "rose"), incarnations(), Set.of())));
+                  new QuarantineRecord(
+                      fingerprint("/safe/sheet", "rose"), incarnations(), Set.of())));
     }
     assertThat(status.get()).isEqualTo(502);
     assertThat(silent.awaitDisconnect()).isTrue();
@@ -126,7 +125,8 @@
           .quarantine()
           .receive(
               List.of(
-                  new QuarantineRecord(fingerprint("/safe/sheet", "rose"), incarnations(), Set.of())));
+                  new QuarantineRecord(
+                      fingerprint("/safe/sheet", "rose"), incarnations(), Set.of())));
     }
     assertThat(send("/safe/sheet", "r1", "rose")).isEqualTo(503);
     assertThat(requestsReceived()).isZero();
@@ -141,7 +141,8 @@
   }
 
   private static Set<NodeIncarnation> incarnations() {
-    return Set.of(NodeIncarnation.only("x1"), NodeIncarnation.only("x2"), NodeIncarnation.only("x3"));
+    return Set.of(
+        NodeIncarnation.only("x1"), NodeIncarnation.only("x2"), NodeIncarnation.only("x3"));
   }
 
   private CompletableFuture<Integer> sendAsync(String path, String body) {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/RunningGateway.java
@@ -13,16 +13,14 @@
 import org.fawnvale.serving.core.limit.SharedLimits;
 import org.fawnvale.serving.core.model.Endpoint;
 import org.fawnvale.serving.core.model.Node;
-
+import org.fawnvale.serving.core.model.NodeIncarnation;
 import org.fawnvale.serving.core.model.Settings;
-
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.core.route.RouteTable;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.HttpReactor;
 import org.fawnvale.serving.http.NodeClient;
 import org.fawnvale.serving.http.Timers;
-import org.fawnvale.serving.core.model.NodeIncarnation;
-import org.fawnvale.serving.core.peer.RendezvousOwners;
 
 /** Runs a real gateway on loopback in front of scripted upstreams. */
 final class RunningGateway implements AutoCloseable {
@@ -32,7 +30,9 @@
   private final Timers timers = new Timers(new Object());
   private final HttpReactor reactor = HttpReactor.start(16_384);
   private final UpstreamGate gate =
-      new UpstreamGate(new SharedLimits(new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
+      new UpstreamGate(
+          new SharedLimits(
+              new RendezvousOwners(new RendezvousOwners.Daemon("d", "127.0.0.1", "a"))));
   private final Dispatcher dispatcher = new Dispatcher("a", gate, System::nanoTime);
   private final Gateway gateway;
   private final int port;
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/TestPlatform.java
@@ -5,22 +5,18 @@
 import org.apache.hc.core5.http.HttpResponse;
 import org.fawnvale.serving.core.formation.GroupOrder;
 import org.fawnvale.serving.core.formation.NodeReport;
+import org.fawnvale.serving.core.model.AdvertisedLimit;
 import org.fawnvale.serving.core.model.Configuration;
 import org.fawnvale.serving.core.model.Node;
-
+import org.fawnvale.serving.core.model.NodeResponse;
 import org.fawnvale.serving.core.model.RequestSize;
-
-
+import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
 import org.fawnvale.serving.core.watch.StoreEra;
-
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.spi.Call;
 import org.fawnvale.serving.spi.HeaderNames;
 import org.fawnvale.serving.spi.Page;
 import org.fawnvale.serving.spi.Platform;
-import org.fawnvale.serving.core.model.AdvertisedLimit;
-import org.fawnvale.serving.core.model.NodeResponse;
-import org.fawnvale.serving.core.quarantine.StoredQuarantineRecord;
-import org.fawnvale.serving.core.watch.StorePosition;
 
 /** A platform with its own header names, to show that the gateway hard-codes none. */
 final class TestPlatform implements Platform {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/PermitServicesTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/limit/PermitServicesTest.java
@@ -7,25 +7,24 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-
+import org.fawnvale.serving.core.limit.LimitUpdate;
 import org.fawnvale.serving.core.limit.SharedLimits;
-
-
+import org.fawnvale.serving.core.model.NodeIncarnation;
+import org.fawnvale.serving.core.peer.RendezvousOwners;
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 import org.fawnvale.serving.http.HttpClient;
 import org.fawnvale.serving.http.HttpReactor;
 import org.fawnvale.serving.http.Timers;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import org.fawnvale.serving.core.limit.LimitUpdate;
-import org.fawnvale.serving.core.model.NodeIncarnation;
-import org.fawnvale.serving.core.peer.RendezvousOwners;
 
 /** A daemon's answers to the permit and trial requests of other daemons. */
 class PermitServicesTest {
 
-  private static final RendezvousOwners.Daemon SELF = new RendezvousOwners.Daemon("d1", "127.0.0.1", "a");
-  private static final RendezvousOwners.Daemon OTHER = new RendezvousOwners.Daemon("d2", "127.0.0.2", "b");
+  private static final RendezvousOwners.Daemon SELF =
+      new RendezvousOwners.Daemon("d1", "127.0.0.1", "a");
+  private static final RendezvousOwners.Daemon OTHER =
+      new RendezvousOwners.Daemon("d2", "127.0.0.2", "b");
   private static final LimitUpdate LIMIT = new LimitUpdate(new NodeIncarnation("n1", 7), 2, 50, 30);
   private static final Fingerprint SHEET = new Fingerprint(-17);
 
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/CopyPacingTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/CopyPacingTest.java
@@ -2,9 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-
-import org.junit.jupiter.api.Test;
 import org.fawnvale.serving.core.watch.CopyDelays;
+import org.junit.jupiter.api.Test;
 
 /** Delay and rate of fetches while many peers advertise a newer copy. */
 class CopyPacingTest {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/ObjectTableTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/ObjectTableTest.java
@@ -8,12 +8,11 @@
 import java.util.Map;
 import java.util.Random;
 import org.fawnvale.serving.core.watch.StoreEra;
-
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.spi.Page;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.fawnvale.serving.core.watch.StorePosition;
 
 /**
  * Guards against copies that miss changes or return to an earlier state when daemons exchange
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StorePositionTextTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StorePositionTextTest.java
@@ -4,11 +4,10 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import org.fawnvale.serving.core.watch.StoreEra;
-
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.fawnvale.serving.core.watch.StorePosition;
 
 /** Round trips and rejected inputs of the text form of store positions. */
 class StorePositionTextTest {
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StoreRollbackModel.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/store/StoreRollbackModel.java
@@ -7,13 +7,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-
+import org.fawnvale.serving.core.watch.EraFilter;
 import org.fawnvale.serving.core.watch.StoreEra;
-
+import org.fawnvale.serving.core.watch.StorePosition;
 import org.fawnvale.serving.spi.Page;
 import org.jspecify.annotations.Nullable;
-import org.fawnvale.serving.core.watch.EraFilter;
-import org.fawnvale.serving.core.watch.StorePosition;
 
 /**
  * A model of a store with one configuration and one node, a daemon that watches the store, and a
@@ -83,7 +81,8 @@
    * @param requested the position since which changes were requested; none for a list
    * @param page null when the store does not have the requested position
    */
-  private record Answer(StorePosition position, StorePosition requested, @Nullable Page<Integer> page) {}
+  private record Answer(
+      StorePosition position, StorePosition requested, @Nullable Page<Integer> page) {}
 
   private final Set<Fault> faults;
   private final EraFilter rule = new EraFilter();
@@ -230,7 +229,8 @@
     boolean isList = !answer.requested().isKnown();
     boolean ignoresRequested = !isList && faults.contains(Fault.REQUESTED_POSITION_IGNORED);
     StorePosition requested = ignoresRequested ? watcher.position() : answer.requested();
-    EraFilter.Action verdict = rule.evaluate(answer.position().era(), watcher.position(), requested, 0);
+    EraFilter.Action verdict =
+        rule.evaluate(answer.position().era(), watcher.position(), requested, 0);
     if (verdict == EraFilter.Action.RELIST && !faults.contains(Fault.WATCH_CONTINUED)) {
       mustList = true;
     }
@@ -267,7 +267,8 @@
   }
 
   private CopyUpdate<Integer> asCurrentEra(CopyUpdate<Integer> old) {
-    StorePosition current = new StorePosition(follower.position().era(), old.place().revision() + 9);
+    StorePosition current =
+        new StorePosition(follower.position().era(), old.place().revision() + 9);
     Map<String, StorePosition> positions = new LinkedHashMap<>();
     old.places().keySet().forEach(name -> positions.put(name, current));
     return new CopyUpdate<>(current, current, old.whole(), old.objects(), positions, old.removed());
