--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Assembler.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Assembler.java
@@ -135,20 +135,20 @@
     for (String member : attempt.members) {
       Node node = nodes.get(member);
       if (node == null || node.draining()) {
-        return "member " + member + " is not listed or is draining";
+        return "member " + member + " is gone or leaving";
       }
       if (tracker.inConflict(member, now)) {
         return "member " + member + " is in a group that may serve";
       }
       if (tracker.failedLivenessCheck(member)) {
-        return "member " + member + " is unresponsive";
+        return "member " + member + " gives no answer";
       }
     }
     if (attempt.departedMember != null) {
-      return "member " + attempt.departedMember + " has left the group";
+      return "member " + attempt.departedMember + " has left it";
     }
     if (attempt.openedNanos < 0 && now > attempt.deadlineNanos) {
-      return "its members were not ready before the deadline";
+      return "it was not ready in time";
     }
     return stalledHeads.contains(attempt.key.headAtEpoch()) ? "its head stands still" : null;
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -239,7 +239,7 @@
   private void dissolveUnlessTooMany(ObservedGroup group, long now) {
     boolean tooMany = dissolver.pendingCount(now) >= 1 + groups.size() / GROUPS_PER_DISSOLUTION;
     if (!group.headMayServe() || !tooMany || drainingMembers.hasTimedOut(group.key(), now)) {
-      dissolve(group, Dissolution.Manner.GRACEFUL, "a member is draining", now);
+      dissolve(group, Dissolution.Manner.GRACEFUL, "a member leaves", now);
     }
   }
 
@@ -404,7 +404,7 @@
     exchanges.begin(domain, plan, now);
     for (ObservedGroup group : plan.victims()) {
       dissolve(
-          group, Dissolution.Manner.GRACEFUL, "its nodes are exchanged for another model", now);
+          group, Dissolution.Manner.GRACEFUL, "its nodes serve more as another model", now);
     }
   }
 
