--- a/fawnvale-core/src/main/java/org/fawnvale/core/claims/MadeKeys.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/claims/IssuedRequestKeys.java
@@ -10,7 +10,7 @@
  * it, so that at most once needs no write and no other daemon. One bit is kept for each key made.
  * Safe for several threads.
  */
-public final class MadeKeys {
+public final class IssuedRequestKeys {
 
   private static final String PREFIX = "made~";
   private static final String SEPARATOR = "~";
@@ -19,14 +19,14 @@
   private final String daemon;
   private final String incarnation;
   private final BitSet used = new BitSet();
-  private int made;
+  private int issuedCount;
 
   /** What becomes of a key that is used. */
-  public enum Use {
+  public enum UseResult {
     /** The first use: run the request. */
     FIRST,
     /** Used before: do not run it. */
-    AGAIN,
+    REPEATED,
     /** Not a key that this incarnation made. */
     FOREIGN
   }
@@ -37,9 +37,9 @@
    * @param daemon the daemon's name
    * @param incarnation its incarnation
    */
-  public record Maker(String daemon, String incarnation) {}
+  public record Issuer(String daemon, String incarnation) {}
 
-  private MadeKeys(String daemon, String incarnation) {
+  private IssuedRequestKeys(String daemon, String incarnation) {
     this.daemon = daemon;
     this.incarnation = incarnation;
   }
@@ -51,8 +51,8 @@
    * @param incarnation its incarnation, without tildes
    * @return the set
    */
-  public static MadeKeys create(String daemon, String incarnation) {
-    return new MadeKeys(daemon, incarnation);
+  public static IssuedRequestKeys create(String daemon, String incarnation) {
+    return new IssuedRequestKeys(daemon, incarnation);
   }
 
   /**
@@ -60,9 +60,9 @@
    *
    * @return the key, not yet used
    */
-  public synchronized String make() {
-    int number = made;
-    made++;
+  public synchronized String issue() {
+    int number = issuedCount;
+    issuedCount++;
     return PREFIX + daemon + SEPARATOR + incarnation + SEPARATOR + number;
   }
 
@@ -72,10 +72,10 @@
    * @param key the key
    * @return its maker, or nothing when no daemon made it
    */
-  public static Optional<Maker> makerOf(String key) {
+  public static Optional<Issuer> issuerOf(String key) {
     String[] parts = key.split(SEPARATOR, -1);
     return key.startsWith(PREFIX) && parts.length == PARTS
-        ? Optional.of(new Maker(parts[1], parts[2]))
+        ? Optional.of(new Issuer(parts[1], parts[2]))
         : Optional.empty();
   }
 
@@ -85,21 +85,21 @@
    * @param key the key
    * @return whether this is its first use
    */
-  public synchronized Use use(String key) {
-    Optional<Maker> maker = makerOf(key);
+  public synchronized UseResult use(String key) {
+    Optional<Issuer> issuer = issuerOf(key);
     boolean own =
-        maker.isPresent()
-            && maker.get().daemon().equals(daemon)
-            && maker.get().incarnation().equals(incarnation);
+        issuer.isPresent()
+            && issuer.get().daemon().equals(daemon)
+            && issuer.get().incarnation().equals(incarnation);
     int number = own ? number(key) : -1;
-    if (number < 0 || number >= made) {
-      return Use.FOREIGN;
+    if (number < 0 || number >= issuedCount) {
+      return UseResult.FOREIGN;
     }
     if (used.get(number)) {
-      return Use.AGAIN;
+      return UseResult.REPEATED;
     }
     used.set(number);
-    return Use.FIRST;
+    return UseResult.FIRST;
   }
 
   private static int number(String key) {
@@ -115,9 +115,9 @@
    *
    * @param key the key
    */
-  public synchronized void giveBack(String key) {
+  public synchronized void release(String key) {
     int number = number(key);
-    if (number >= 0 && number < made) {
+    if (number >= 0 && number < issuedCount) {
       used.clear(number);
     }
   }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/ForwardService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/ForwardService.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BiFunction;
-import org.fawnvale.core.claims.MadeKeys;
+import org.fawnvale.core.claims.IssuedRequestKeys;
 import org.fawnvale.core.limits.RequestClass;
 import org.fawnvale.core.outcome.Outcome;
 import org.fawnvale.daemon.Context;
@@ -98,7 +98,7 @@
   }
 
   /** Hands a request to the daemon that made its key; nothing when that one is gone. */
-  Optional<Answer> toMaker(MadeKeys.Maker maker, CallerRequest request) {
+  Optional<Answer> toMaker(IssuedRequestKeys.Issuer maker, CallerRequest request) {
     Link link = peers.linkTo(maker.daemon());
     if (link == null || !link.peer().incarnation().equals(maker.incarnation())) {
       return Optional.empty();
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/GatewayServices.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/GatewayServices.java
@@ -1,7 +1,7 @@
 package org.fawnvale.daemon.gateway;
 
 import java.util.concurrent.TimeUnit;
-import org.fawnvale.core.claims.MadeKeys;
+import org.fawnvale.core.claims.IssuedRequestKeys;
 import org.fawnvale.core.readiness.ReadinessTable;
 import org.fawnvale.core.routing.PrefixIndex;
 import org.fawnvale.core.routing.Router;
@@ -52,9 +52,9 @@
     Router router = Router.create(index, Router.Settings.DEFAULT);
     GatewayParts parts = new GatewayParts(context, table, upstream, metrics, index);
     Gateway gateway = new Gateway(context, parts, state, routing, router, forward::spill);
-    MadeKeys madeKeys =
-        MadeKeys.create(context.identity().daemon(), context.identity().incarnation());
-    OnceGuard once = new OnceGuard(context, claims, madeKeys, forward::toMaker);
+    IssuedRequestKeys issuedKeys =
+        IssuedRequestKeys.create(context.identity().daemon(), context.identity().incarnation());
+    OnceGuard once = new OnceGuard(context, claims, issuedKeys, forward::toMaker);
     forward.runWith(
         (request, purpose) ->
             purpose == ForwardService.Purpose.MAKER
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/OnceGuard.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/OnceGuard.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Function;
 import org.apache.commons.codec.digest.DigestUtils;
-import org.fawnvale.core.claims.MadeKeys;
+import org.fawnvale.core.claims.IssuedRequestKeys;
 import org.fawnvale.core.outcome.Outcome;
 import org.fawnvale.daemon.Context;
 import org.fawnvale.daemon.claim.ClaimService;
@@ -23,7 +23,7 @@
 
   private final Context context;
   private final ClaimService claims;
-  private final MadeKeys madeKeys;
+  private final IssuedRequestKeys issuedKeys;
   private final KeptAnswers kept;
   private final MakerRoute makers;
   private final AtomicLong attempts = new AtomicLong();
@@ -31,29 +31,29 @@
   /** Hands a request to the daemon that made its key. */
   @FunctionalInterface
   interface MakerRoute {
-    Optional<Answer> send(MadeKeys.Maker maker, CallerRequest request);
+    Optional<Answer> send(IssuedRequestKeys.Issuer maker, CallerRequest request);
   }
 
-  OnceGuard(Context context, ClaimService claims, MadeKeys madeKeys, MakerRoute makers) {
+  OnceGuard(Context context, ClaimService claims, IssuedRequestKeys issuedKeys, MakerRoute makers) {
     this.context = context;
     this.claims = claims;
-    this.madeKeys = madeKeys;
+    this.issuedKeys = issuedKeys;
     this.kept = new KeptAnswers(context.settings().limits().keptAnswers());
     this.makers = makers;
   }
 
   String makeKey() {
-    return madeKeys.make();
+    return issuedKeys.issue();
   }
 
   /** Runs a request under its key, unless that key was used before. */
   Answer run(CallerRequest request, Function<CallerRequest, Answer> runner) {
     String key = request.key();
     if (key == null) {
-      CallerRequest keyed = request.withKey(madeKeys.make());
+      CallerRequest keyed = request.withKey(issuedKeys.issue());
       return runMade(keyed, runner);
     }
-    Optional<MadeKeys.Maker> maker = MadeKeys.makerOf(key);
+    Optional<IssuedRequestKeys.Issuer> maker = IssuedRequestKeys.issuerOf(key);
     if (maker.isEmpty()) {
       return runClaimed(request, runner);
     }
@@ -74,17 +74,17 @@
   private Answer runMade(CallerRequest request, Function<CallerRequest, Answer> runner) {
     String key = request.key();
     String digest = digest(request);
-    MadeKeys.Use use = madeKeys.use(key);
-    if (use == MadeKeys.Use.FOREIGN) {
+    IssuedRequestKeys.UseResult use = issuedKeys.use(key);
+    if (use == IssuedRequestKeys.UseResult.FOREIGN) {
       return Refusals.badInput(
           "bad_key", "The key " + key + " was never made.", "Fetch one by POST /v1/request-keys.");
     }
-    if (use == MadeKeys.Use.AGAIN) {
+    if (use == IssuedRequestKeys.UseResult.REPEATED) {
       return repeated(digest);
     }
     Answer answer = runner.apply(request);
     if (didNotRun(answer)) {
-      madeKeys.giveBack(key);
+      issuedKeys.release(key);
     }
     keep(digest, answer);
     return answer;
