--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/RolloutWatch.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/RolloutMonitor.java
@@ -18,23 +18,23 @@
  * <p>It should when a living member of such a replica reports that it failed, or when all members
  * live and the replica is still not ready after a while. A lost member is no fault of the version.
  */
-public final class RolloutWatch {
+public final class RolloutMonitor {
 
-  private final long patienceMillis;
+  private final long readyTimeoutMillis;
   private final Map<Long, Long> unreadySince = new HashMap<>();
 
-  private RolloutWatch(long patienceMillis) {
-    this.patienceMillis = patienceMillis;
+  private RolloutMonitor(long readyTimeoutMillis) {
+    this.readyTimeoutMillis = readyTimeoutMillis;
   }
 
   /**
    * Creates a watch.
    *
-   * @param patienceMillis how long a rebuilt replica may take to be ready, milliseconds
+   * @param readyTimeoutMillis how long a rebuilt replica may take to be ready, milliseconds
    * @return the watch
    */
-  public static RolloutWatch create(long patienceMillis) {
-    return new RolloutWatch(patienceMillis);
+  public static RolloutMonitor create(long readyTimeoutMillis) {
+    return new RolloutMonitor(readyTimeoutMillis);
   }
 
   /**
@@ -46,7 +46,7 @@
    * @param nowMillis now, monotonic clock, milliseconds
    * @return why the rollout should stop, or nothing
    */
-  public Optional<String> look(
+  public Optional<String> findFailure(
       Collection<DomainState> domains, Bundle bundle, Map<String, NodeView> nodes, long nowMillis) {
     Set<Long> unready = new HashSet<>();
     for (DomainState domain : domains) {
@@ -61,7 +61,7 @@
         if (isUnready(replica, nodes)) {
           unready.add(replica.generation());
           long since = unreadySince.computeIfAbsent(replica.generation(), key -> nowMillis);
-          if (nowMillis - since > patienceMillis) {
+          if (nowMillis - since > readyTimeoutMillis) {
             return Optional.of("replica " + replica.id() + " was not ready in time");
           }
         }
--- a/fawnvale-core/src/test/java/org/fawnvale/core/planning/RolloutWatchTest.java
+++ b/fawnvale-core/src/test/java/org/fawnvale/core/planning/RolloutMonitorTest.java
@@ -12,7 +12,7 @@
 import org.fawnvale.core.model.Replica;
 import org.junit.jupiter.api.Test;
 
-class RolloutWatchTest {
+class RolloutMonitorTest {
 
   private static final Bundle BUNDLE =
       new Bundle(
@@ -21,7 +21,7 @@
       new DomainState(
           "dc", "f", 5, List.of(new Replica("r", "role", "m", "2", 5, List.of("a"), false)), "o");
 
-  private final RolloutWatch watch = RolloutWatch.create(1000);
+  private final RolloutMonitor monitor = RolloutMonitor.create(1000);
 
   private static Map<String, NodeView> node(NodeReport.State state, long silentMillis) {
     NodeReport report = new NodeReport("a", "1", "r", 5, "2", "m@2", state, 0, 0);
@@ -30,7 +30,7 @@
   }
 
   private boolean stops(NodeReport.State state, long silentMillis, long nowMillis) {
-    return watch.look(List.of(DOMAIN), BUNDLE, node(state, silentMillis), nowMillis).isPresent();
+    return monitor.findFailure(List.of(DOMAIN), BUNDLE, node(state, silentMillis), nowMillis).isPresent();
   }
 
   @Test
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/CoordinatorService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/CoordinatorService.java
@@ -25,7 +25,7 @@
 import org.fawnvale.core.planning.PlanInput;
 import org.fawnvale.core.planning.Planner;
 import org.fawnvale.core.planning.PlannerSettings;
-import org.fawnvale.core.planning.RolloutWatch;
+import org.fawnvale.core.planning.RolloutMonitor;
 import org.fawnvale.core.readiness.ReadinessTable;
 import org.fawnvale.core.result.Result;
 import org.fawnvale.daemon.Context;
@@ -59,7 +59,7 @@
   private final AtomicLong operations = new AtomicLong();
   private volatile boolean stopped;
   private volatile @Nullable Map<String, NodeView> lastViews;
-  private final RolloutWatch watch;
+  private final RolloutMonitor watch;
   private SilenceLog silence = new SilenceLog();
   private boolean wasHolder;
 
@@ -88,7 +88,7 @@
     this.store = store;
     this.lease = lease;
     this.table = table;
-    this.watch = RolloutWatch.create(context.settings().timing().rolloutPatienceMillis());
+    this.watch = RolloutMonitor.create(context.settings().timing().rolloutPatienceMillis());
     this.sender = new OrderSender(context, lease, engines);
   }
 
@@ -265,7 +265,7 @@
       return;
     }
     long nowMillis = TimeUnit.NANOSECONDS.toMillis(context.nowNanos());
-    Optional<String> cause = watch.look(domains, bundle, nodes, nowMillis);
+    Optional<String> cause = watch.findFailure(domains, bundle, nodes, nowMillis);
     StoredObject head = state.object(ObjectNames.ROLLOUT);
     if (cause.isPresent() && head != null && rollout.equals(parse(head))) {
       change(
