--- a/fawnvale-core/src/main/java/org/fawnvale/core/readiness/StampLog.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/readiness/PeerTimestampLog.java
@@ -8,7 +8,7 @@
  * process was frozen and however long a message was on its way. The rule is that of a lease whose
  * time runs from the moment the requester asked.
  */
-public final class StampLog {
+public final class PeerTimestampLog {
 
   private static final int LENGTH = 32;
 
--- a/fawnvale-core/src/test/java/org/fawnvale/core/readiness/ReadinessFuzzTest.java
+++ b/fawnvale-core/src/test/java/org/fawnvale/core/readiness/ReadinessFuzzTest.java
@@ -53,7 +53,7 @@
   private static final class Prober {
     private final String name;
     private final long offset;
-    private final StampLog stamps = new StampLog();
+    private final PeerTimestampLog stamps = new PeerTimestampLog();
     private final Deque<Long> stampsOnTheWay = new ArrayDeque<>();
     private final Deque<Runnable> toGateway = new ArrayDeque<>();
     private final Map<String, NodeReport> found = new HashMap<>();
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/evidence/EvidenceService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/evidence/EvidenceService.java
@@ -14,7 +14,7 @@
 import org.fawnvale.core.model.Node;
 import org.fawnvale.core.model.NodeReport;
 import org.fawnvale.core.readiness.ReadinessTable;
-import org.fawnvale.core.readiness.StampLog;
+import org.fawnvale.core.readiness.PeerTimestampLog;
 import org.fawnvale.core.settings.DaemonSettings;
 import org.fawnvale.daemon.Context;
 import org.fawnvale.daemon.peer.PeerService;
@@ -39,7 +39,7 @@
   private final ReadinessTable table;
   private final Prober prober;
   private final ObjIntConsumer<String> onLoad;
-  private final Map<String, StampLog> stamps = new ConcurrentHashMap<>();
+  private final Map<String, PeerTimestampLog> stamps = new ConcurrentHashMap<>();
   private final Map<String, HeardPeer> heard = new ConcurrentHashMap<>();
   private List<NodeReport> vouched = List.of();
   private long vouchVersion;
@@ -184,8 +184,8 @@
     return new Message.Vouches(vouchVersion, wire, List.copyOf(lost));
   }
 
-  private StampLog stampsOf(Link link) {
-    return stamps.computeIfAbsent(key(link), name -> new StampLog());
+  private PeerTimestampLog stampsOf(Link link) {
+    return stamps.computeIfAbsent(key(link), name -> new PeerTimestampLog());
   }
 
   private static String key(Link link) {
