--- a/fawnvale-core/src/main/java/org/fawnvale/core/limits/TurnQueue.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/limits/AdmissionQueue.java
@@ -20,7 +20,7 @@
  *
  * @param <T> the requests
  */
-public final class TurnQueue<T> {
+public final class AdmissionQueue<T> {
 
   private static final double HOPELESS_SHARE = 0.7;
   private static final double WEIGHT_OF_NEW = 0.1;
@@ -41,7 +41,7 @@
     }
   }
 
-  private TurnQueue(int maximumPerFlow) {
+  private AdmissionQueue(int maximumPerFlow) {
     this.queue = FairQueue.create(maximumPerFlow);
   }
 
@@ -52,8 +52,8 @@
    * @param <T> the requests
    * @return the queue
    */
-  public static <T> TurnQueue<T> create(int maximumPerFlow) {
-    return new TurnQueue<>(maximumPerFlow);
+  public static <T> AdmissionQueue<T> create(int maximumPerFlow) {
+    return new AdmissionQueue<>(maximumPerFlow);
   }
 
   /**
@@ -119,7 +119,7 @@
    * @param flow its flow
    * @param nanos from its turn to its end, nanoseconds
    */
-  public void served(String flow, long nanos) {
+  public void recordServiceTime(String flow, long nanos) {
     FlowEstimate estimate = estimateOf(flow);
     estimate.serviceNanos =
         estimate.serviceNanos == 0
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/RequestReplay.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/RequestReplay.java
@@ -13,7 +13,7 @@
 import java.util.random.RandomGenerator;
 import org.fawnvale.core.limits.RequestClass;
 import org.fawnvale.core.limits.RetryBudget;
-import org.fawnvale.core.limits.TurnQueue;
+import org.fawnvale.core.limits.AdmissionQueue;
 import org.fawnvale.core.routing.Candidate;
 import org.fawnvale.core.routing.Prefix;
 import org.fawnvale.core.routing.PrefixIndex;
@@ -88,7 +88,7 @@
   private final class VirtualDaemon {
     private final PrefixIndex index = RoutingPolicy.newIndex();
     private final RoutingPolicy.Picker picker;
-    private final TurnQueue<Flight> queue = TurnQueue.create(WAITING_PER_FLOW);
+    private final AdmissionQueue<Flight> queue = AdmissionQueue.create(WAITING_PER_FLOW);
     private final List<Candidate> candidates = new ArrayList<>();
     private final Map<String, VirtualReplica> byKey = new HashMap<>();
     private final Map<String, RetryBudget> budgets = new HashMap<>();
@@ -243,7 +243,7 @@
     }
     attempt.flight().endedAt = now;
     sent.candidate().load().ended(now - sent.at());
-    sent.daemon().queue.served(flow(attempt.flight().request()), nanos(now - sent.at()));
+    sent.daemon().queue.recordServiceTime(flow(attempt.flight().request()), nanos(now - sent.at()));
     VirtualReplica.Attempt next = attempt.replica().end(now);
     if (next != null) {
       schedule(next);
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Pool.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Pool.java
@@ -10,7 +10,7 @@
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
-import org.fawnvale.core.limits.TurnQueue;
+import org.fawnvale.core.limits.AdmissionQueue;
 import org.fawnvale.core.outcome.Outcome;
 import org.fawnvale.core.routing.Candidate;
 import org.fawnvale.core.routing.Prefix;
@@ -24,7 +24,7 @@
   private final Predicate<Target> mayServe;
   private final Router router;
   private final LongSupplier nanoClock;
-  private final TurnQueue<Waiter> queue;
+  private final AdmissionQueue<Waiter> queue;
 
   /** What a request asks for. */
   record Wish(String flow, double weight, Prefix prefix, Deadline deadline, Set<String> excluded) {}
@@ -41,7 +41,7 @@
     this.mayServe = mayServe;
     this.router = router;
     this.nanoClock = nanoClock;
-    this.queue = TurnQueue.create(maximumPerFlow);
+    this.queue = AdmissionQueue.create(maximumPerFlow);
   }
 
   /** Waits for a turn, or says at once that there will be none in time. */
@@ -121,7 +121,7 @@
 
   /** Notes how long a request of a flow ran. */
   synchronized void served(String flow, long nanos) {
-    queue.served(flow, nanos);
+    queue.recordServiceTime(flow, nanos);
   }
 
   synchronized int waiting() {
