--- a/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/PlanningTime.java
+++ b/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/PlanningTime.java
@@ -68,7 +68,7 @@
             List.of(),
             new Policy(1, 1, 5));
     PlannerSettings settings =
-        new PlannerSettings(5000, PlannerSettings.DEFAULT.parts(), 100_000, 0.5);
+        new PlannerSettings(5000, PlannerSettings.DEFAULT.features(), 100_000, 0.5);
     return new PlanInput("dc", bundle, true, List.of(state), views, settings, "o");
   }
 
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/Orders.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/Orders.java
@@ -68,7 +68,7 @@
     boolean busy =
         nodes.values().stream()
             .anyMatch(view -> view.isAlive() && view.report().state() == NodeReport.State.LOADING);
-    if (busy || !settings.uses(PlannerSettings.Part.WARM_SPARES)) {
+    if (busy || !settings.uses(PlannerSettings.Feature.WARM_SPARES)) {
       return List.of();
     }
     for (DomainState state : states) {
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/Planner.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/Planner.java
@@ -16,7 +16,7 @@
 import org.fawnvale.core.model.Policy;
 import org.fawnvale.core.model.Replica;
 import org.fawnvale.core.model.Role;
-import org.fawnvale.core.planning.PlannerSettings.Part;
+import org.fawnvale.core.planning.PlannerSettings.Feature;
 
 /**
  * Makes a plan: a pure function of the domains, the evidence on their nodes and the bundle.
@@ -59,16 +59,16 @@
    */
   public static Plan plan(PlanInput input) {
     Planner planner = new Planner(input);
-    if (planner.doubtsItsSight()) {
+    if (planner.tooManySilent()) {
       return new Plan(List.of(), List.of(), false);
     }
     return planner.make();
   }
 
-  private boolean doubtsItsSight() {
+  private boolean tooManySilent() {
     Collection<NodeView> views = input.nodes().values();
     long silent = views.stream().filter(view -> !view.isAlive()).count();
-    return views.isEmpty() || silent > views.size() * settings.suspectShare();
+    return views.isEmpty() || silent > views.size() * settings.maximumSilentShare();
   }
 
   private Plan make() {
@@ -126,7 +126,7 @@
     if (lost.stream().noneMatch(facts::isGivenUp)) {
       return;
     }
-    if (!settings.uses(Part.REBUILD_IN_PLACE)) {
+    if (!settings.uses(Feature.REBUILD_IN_PLACE)) {
       draft.remove(replica);
       note("Replica " + replica.id() + " is disbanded, since " + lost + " are lost.");
       return;
@@ -136,7 +136,7 @@
       retireBrokenExtra(draft, replica, extra);
       return;
     }
-    if (!raid(draft, role, replica.members().size() - lost.size())) {
+    if (!preemptExtras(draft, role, replica.members().size() - lost.size())) {
       consolidate(draft);
     }
   }
@@ -179,24 +179,24 @@
    * <p>It does so when the weighted cost of staying broken is higher than that of the nodes that
    * would be left over. True when nodes are on their way.
    */
-  private boolean raid(DomainDraft draft, Role role, int present) {
-    if (!settings.uses(Part.RAID)) {
+  private boolean preemptExtras(DomainDraft draft, Role role, int present) {
+    if (!settings.uses(Feature.PREEMPT_EXTRAS)) {
       return false;
     }
     if (draft.replicas().stream().anyMatch(Replica::draining)) {
       return true;
     }
     int lacking = role.nodesPerReplica() - present - spares(draft, "").size();
-    List<Replica> victims = victims(draft, lacking);
+    List<Replica> victims = extrasToPreempt(draft, lacking);
     int gained = victims.stream().mapToInt(each -> each.members().size()).sum();
-    if (gained < lacking || !isRaidWorthIt(role, present, gained - lacking)) {
+    if (gained < lacking || !isPreemptionWorthwhile(role, present, gained - lacking)) {
       return false;
     }
     victims.forEach(each -> drain(draft, each, "a replica of " + role.name() + " lacks nodes"));
     return true;
   }
 
-  private List<Replica> victims(DomainDraft draft, int lacking) {
+  private List<Replica> extrasToPreempt(DomainDraft draft, int lacking) {
     List<Replica> extras =
         draft.replicas().stream()
             .filter(this::isExtra)
@@ -213,7 +213,7 @@
     return victims;
   }
 
-  private boolean isRaidWorthIt(Role role, int present, int leftOver) {
+  private boolean isPreemptionWorthwhile(Role role, int present, int leftOver) {
     Policy weights = bundle.policy();
     double staying =
         weights.downtimeWeight() * role.nodesPerReplica() + weights.strandedWeight() * present;
@@ -250,7 +250,7 @@
   }
 
   private int most(Role role) {
-    int extra = settings.uses(Part.EXTRAS) ? role.extraReplicas() : 0;
+    int extra = settings.uses(Feature.EXTRAS) ? role.extraReplicas() : 0;
     return role.replicasPerDataCentre() + extra;
   }
 
@@ -317,7 +317,7 @@
       Optional<DomainDraft> draft = domainFor(role);
       if (draft.isEmpty()) {
         if (standing(role) < role.replicasPerDataCentre()) {
-          raidForMissing(role);
+          preemptForMissing(role);
         }
         return;
       }
@@ -329,9 +329,9 @@
     }
   }
 
-  private void raidForMissing(Role role) {
+  private void preemptForMissing(Role role) {
     for (DomainDraft draft : drafts) {
-      if (raid(draft, role, 0)) {
+      if (preemptExtras(draft, role, 0)) {
         return;
       }
     }
@@ -341,7 +341,7 @@
   private Optional<DomainDraft> domainFor(Role role) {
     String wanted = weights(role.model(), versionOf(role));
     Comparator<DomainDraft> order =
-        settings.uses(Part.PREFER_LOADED)
+        settings.uses(Feature.PREFER_LOADED)
             ? Comparator.comparingInt((DomainDraft draft) -> loads(draft, role, wanted))
                 .thenComparingInt(draft -> spares(draft, wanted).size())
             : Comparator.comparingInt(drafts::indexOf);
@@ -379,7 +379,7 @@
         free.add(view);
       }
     }
-    if (settings.uses(Part.PREFER_LOADED)) {
+    if (settings.uses(Feature.PREFER_LOADED)) {
       free.sort(order);
     }
     return free.stream().map(view -> view.node().name()).toList();
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/PlannerSettings.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/PlannerSettings.java
@@ -7,16 +7,16 @@
  * What the planner may do; each part can be left out to measure what it adds.
  *
  * @param graceMillis how long a silent member is waited for, milliseconds
- * @param parts the parts that are used
+ * @param features the features that are used
  * @param maximumRebuilding replicas of a data centre that may be rebuilt at once
- * @param suspectShare part of the data centre's nodes that may be silent before the planner doubts
+ * @param maximumSilentShare part of the data centre's nodes that may be silent before the planner doubts
  *     its own sight and changes nothing
  */
 public record PlannerSettings(
-    long graceMillis, Set<Part> parts, int maximumRebuilding, double suspectShare) {
+    long graceMillis, Set<Feature> features, int maximumRebuilding, double maximumSilentShare) {
 
   /** A part of the planner. */
-  public enum Part {
+  public enum Feature {
     /** Put spares in the place of lost members, and keep the survivors' weights. */
     REBUILD_IN_PLACE,
     /** Take nodes that hold the weights first, and nodes that fail often last. */
@@ -26,30 +26,30 @@
     /** Form extra replicas, as far as the roles allow, from nodes that would be idle. */
     EXTRAS,
     /** Break up an extra replica when a wanted one lacks nodes. */
-    RAID
+    PREEMPT_EXTRAS
   }
 
   /** What measurement speaks for; see docs/MEASUREMENTS.md. */
   public static final PlannerSettings DEFAULT =
-      new PlannerSettings(5000, EnumSet.allOf(Part.class), 4, 0.5);
+      new PlannerSettings(5000, EnumSet.allOf(Feature.class), 4, 0.5);
 
   /** The baseline: disband at once, first fit, no spares. */
   public static final PlannerSettings BASELINE =
-      new PlannerSettings(0, EnumSet.noneOf(Part.class), Integer.MAX_VALUE, 1);
+      new PlannerSettings(0, EnumSet.noneOf(Feature.class), Integer.MAX_VALUE, 1);
 
   /** Copies the set. */
   public PlannerSettings {
-    parts = Set.copyOf(parts);
+    features = Set.copyOf(features);
   }
 
   /**
    * Tells whether a part is used.
    *
-   * @param part the part
+   * @param feature the feature
    * @return true when it is
    */
-  public boolean uses(Part part) {
-    return parts.contains(part);
+  public boolean uses(Feature feature) {
+    return features.contains(feature);
   }
 
   /**
@@ -59,18 +59,18 @@
    * @return the changed copy
    */
   public PlannerSettings withGrace(long millis) {
-    return new PlannerSettings(millis, parts, maximumRebuilding, suspectShare);
+    return new PlannerSettings(millis, features, maximumRebuilding, maximumSilentShare);
   }
 
   /**
    * The same settings without a part.
    *
-   * @param part the part to leave out
+   * @param feature the feature to leave out
    * @return the changed copy
    */
-  public PlannerSettings without(Part part) {
-    Set<Part> left = EnumSet.copyOf(parts);
-    left.remove(part);
-    return new PlannerSettings(graceMillis, left, maximumRebuilding, suspectShare);
+  public PlannerSettings without(Feature feature) {
+    Set<Feature> left = EnumSet.copyOf(features);
+    left.remove(feature);
+    return new PlannerSettings(graceMillis, left, maximumRebuilding, maximumSilentShare);
   }
 }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationPolicy.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationPolicy.java
@@ -26,11 +26,11 @@
     add(policies, OWN, own);
     add(policies, "without-grace", own.withGrace(0));
     add(policies, "grace-of-30-s", own.withGrace(30_000));
-    add(policies, "without-warm-spares", own.without(PlannerSettings.Part.WARM_SPARES));
-    add(policies, "without-raiding", own.without(PlannerSettings.Part.RAID));
-    add(policies, "without-extras", own.without(PlannerSettings.Part.EXTRAS));
-    add(policies, "without-preference", own.without(PlannerSettings.Part.PREFER_LOADED));
-    add(policies, "without-rebuilding", own.without(PlannerSettings.Part.REBUILD_IN_PLACE));
+    add(policies, "without-warm-spares", own.without(PlannerSettings.Feature.WARM_SPARES));
+    add(policies, "without-raiding", own.without(PlannerSettings.Feature.PREEMPT_EXTRAS));
+    add(policies, "without-extras", own.without(PlannerSettings.Feature.EXTRAS));
+    add(policies, "without-preference", own.without(PlannerSettings.Feature.PREFER_LOADED));
+    add(policies, "without-rebuilding", own.without(PlannerSettings.Feature.REBUILD_IN_PLACE));
     add(policies, "baseline", PlannerSettings.BASELINE);
     return policies;
   }
--- a/fawnvale-daemon/src/test/java/org/fawnvale/daemon/coordinate/MembershipFuzzTest.java
+++ b/fawnvale-daemon/src/test/java/org/fawnvale/daemon/coordinate/MembershipFuzzTest.java
@@ -181,7 +181,7 @@
                 true,
                 List.of(coordinator.copy),
                 coordinator.views,
-                new PlannerSettings(0, Set.of(PlannerSettings.Part.values()), 9, 1),
+                new PlannerSettings(0, Set.of(PlannerSettings.Feature.values()), 9, 1),
                 "operation"));
     for (DomainState changed : plan.changed()) {
       var result = store.put(DOMAIN, coordinator.version, Documents.write(changed));
