--- a/fawnvale-core/src/main/java/org/fawnvale/core/readiness/ReadinessTable.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/readiness/ReadinessTable.java
@@ -24,7 +24,7 @@
   private final Map<String, Prober> probers = new ConcurrentHashMap<>();
   private final Map<String, List<Entry>> entries = new ConcurrentHashMap<>();
   private final Map<String, Long> suspectedAt = new ConcurrentHashMap<>();
-  private volatile Set<String> distrusted = Set.of();
+  private volatile Set<String> excludedNodes = Set.of();
 
   private ReadinessTable(long freshNanos) {
     this.freshNanos = freshNanos;
@@ -47,7 +47,7 @@
    * @param version the version of the vouches
    * @param members what it found at each node that answers
    */
-  public synchronized void vouch(String prober, long version, List<NodeReport> members) {
+  public synchronized void setReports(String prober, long version, List<NodeReport> members) {
     Prober source = probers.computeIfAbsent(prober, name -> new Prober());
     Set<String> nodes = new HashSet<>(source.nodes);
     Map<String, NodeReport> byNode = new HashMap<>();
@@ -91,7 +91,7 @@
    * @param evidenceNanos a moment that is older than all probes behind the vouches
    * @param loads running and waiting requests of each vouched node, in the order of the vouches
    */
-  public synchronized void renew(String prober, long version, long evidenceNanos, int[] loads) {
+  public synchronized void renewReports(String prober, long version, long evidenceNanos, int[] loads) {
     Prober source = probers.get(prober);
     if (source != null && source.version == version) {
       source.evidenceNanos = Math.max(source.evidenceNanos, evidenceNanos);
@@ -104,8 +104,8 @@
    *
    * @param prober the prober's name and incarnation
    */
-  public synchronized void forget(String prober) {
-    vouch(prober, -1, List.of());
+  public synchronized void removeProber(String prober) {
+    setReports(prober, -1, List.of());
     probers.remove(prober);
   }
 
@@ -124,8 +124,8 @@
    *
    * @param nodes their names
    */
-  public void distrust(Set<String> nodes) {
-    distrusted = Set.copyOf(nodes);
+  public void setExcludedNodes(Set<String> nodes) {
+    excludedNodes = Set.copyOf(nodes);
   }
 
   /**
@@ -147,9 +147,9 @@
    * @return the member's name, or null when none is missing
    */
   public @Nullable String missingMember(Replica replica, long nowNanos) {
-    Set<String> gone = distrusted;
+    Set<String> excluded = excludedNodes;
     for (String node : replica.members()) {
-      if (gone.contains(node) || !isVouched(node, replica, nowNanos)) {
+      if (excluded.contains(node) || !isConfirmedReady(node, replica, nowNanos)) {
         return node;
       }
     }
@@ -183,7 +183,7 @@
    * @return true when a prober has seen it lately and nothing speaks against it
    */
   public boolean isAlive(String node, long nowNanos) {
-    if (distrusted.contains(node)) {
+    if (excludedNodes.contains(node)) {
       return false;
     }
     long suspected = suspectedAt.getOrDefault(node, Long.MIN_VALUE);
@@ -197,7 +197,7 @@
     return false;
   }
 
-  private boolean isVouched(String node, Replica replica, long nowNanos) {
+  private boolean isConfirmedReady(String node, Replica replica, long nowNanos) {
     long suspected = suspectedAt.getOrDefault(node, Long.MIN_VALUE);
     for (Entry entry : entries.getOrDefault(node, List.of())) {
       long evidence = entry.source().evidenceNanos;
--- a/fawnvale-core/src/test/java/org/fawnvale/core/readiness/ReadinessFuzzTest.java
+++ b/fawnvale-core/src/test/java/org/fawnvale/core/readiness/ReadinessFuzzTest.java
@@ -70,9 +70,9 @@
       long sentVersion = version;
       List<NodeReport> reports = new ArrayList<>(found.values());
       long echo = stamps.newestAt(probedAt);
-      toGateway.add(() -> table.vouch(name, sentVersion, reports));
+      toGateway.add(() -> table.setReports(name, sentVersion, reports));
       if (echo != 0) {
-        toGateway.add(() -> table.renew(name, sentVersion, echo, new int[0]));
+        toGateway.add(() -> table.renewReports(name, sentVersion, echo, new int[0]));
       }
     }
   }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/evidence/EvidenceService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/evidence/EvidenceService.java
@@ -141,9 +141,9 @@
       vouchVersion++;
       lost = prober.takeLost();
       lost.forEach(node -> table.suspect(node, now));
-      table.vouch(context.holder(), vouchVersion, reports);
+      table.setReports(context.holder(), vouchVersion, reports);
     }
-    table.renew(context.holder(), vouchVersion, oldest, loads);
+    table.renewReports(context.holder(), vouchVersion, oldest, loads);
     passLoads(reports, loads);
     for (Link link : peers.linksTo(context.identity().dataCentre())) {
       if (changed) {
@@ -200,7 +200,7 @@
     stampsOf(link).add(beat.stamp(), now);
     List<String> nodes = hear(link, now);
     if (beat.echo() != 0) {
-      table.renew(key(link), beat.vouchVersion(), beat.echo(), beat.loads());
+      table.renewReports(key(link), beat.vouchVersion(), beat.echo(), beat.loads());
     }
     int known = Math.min(nodes.size(), beat.loads().length);
     for (int i = 0; i < known; i++) {
@@ -216,7 +216,7 @@
             (name, before) -> {
               boolean same = before != null && before.incarnation().equals(incarnation);
               if (before != null && !same) {
-                table.forget(name + "/" + before.incarnation());
+                table.removeProber(name + "/" + before.incarnation());
                 stamps.remove(name + "/" + before.incarnation());
               }
               return new HeardPeer(incarnation, now, same ? before.nodes() : List.of());
@@ -237,7 +237,7 @@
       nodes.add(vouch.node());
     }
     vouches.lost().forEach(node -> table.suspect(node, now));
-    table.vouch(key(link), vouches.version(), reports);
+    table.setReports(key(link), vouches.version(), reports);
     heard.put(
         link.peer().daemon(), new HeardPeer(link.peer().incarnation(), now, List.copyOf(nodes)));
   }
@@ -268,6 +268,6 @@
         leaving.add(node.name());
       }
     }
-    table.distrust(leaving);
+    table.setExcludedNodes(leaving);
   }
 }
--- a/fawnvale-daemon/src/test/java/org/fawnvale/daemon/coordinate/MembershipFuzzTest.java
+++ b/fawnvale-daemon/src/test/java/org/fawnvale/daemon/coordinate/MembershipFuzzTest.java
@@ -238,8 +238,8 @@
     ReadinessTable table = ReadinessTable.create(FRESH);
     List<NodeReport> reports = new ArrayList<>();
     engines.stream().filter(each -> each.alive).forEach(each -> reports.add(each.report()));
-    table.vouch("prober", 1, reports);
-    table.renew("prober", 1, 0, new int[0]);
+    table.setReports("prober", 1, reports);
+    table.renewReports("prober", 1, 0, new int[0]);
     Map<String, Replica> serving = new HashMap<>();
     for (Replica replica : everDecided) {
       if (table.mayServe(replica, 0)) {
