--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Replica.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Replica.java
@@ -34,7 +34,7 @@
    * @return its name
    */
   @JsonIgnore
-  public String leader() {
+  public String head() {
     return members.get(0);
   }
 
@@ -43,7 +43,7 @@
    *
    * @return a copy that gets no new work
    */
-  public Replica drained() {
+  public Replica asDraining() {
     return new Replica(id, role, model, version, generation, members, true);
   }
 }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/DomainDraft.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/DomainDraft.java
@@ -41,7 +41,7 @@
   }
 
   void drain(Replica replica) {
-    replicas.replaceAll(each -> each.equals(replica) ? replica.drained() : each);
+    replicas.replaceAll(each -> each.equals(replica) ? replica.asDraining() : each);
     changed = true;
   }
 
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/NodeFacts.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/NodeFacts.java
@@ -56,7 +56,7 @@
     if (replica.members().stream().anyMatch(this::isGivenUp)) {
       return true;
     }
-    NodeReport report = reportOf(replica.leader());
+    NodeReport report = reportOf(replica.head());
     return report != null
         && report.generation() == replica.generation()
         && report.state() == NodeReport.State.DRAINING
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/RoutingTable.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/RoutingTable.java
@@ -94,7 +94,7 @@
       FleetView view, Bundle bundle, Map<String, Node> nodes, Map<String, List<Target>> next) {
     for (DomainState domain : view.domainsOf(dataCentre).values()) {
       for (Replica replica : domain.replicas()) {
-        Node leader = nodes.get(replica.leader());
+        Node leader = nodes.get(replica.head());
         if (leader != null && !replica.draining()) {
           int concurrent = bundle.role(replica.role()).map(Role::maximumConcurrent).orElse(1);
           String key = domain.domain() + "/" + replica.id() + "/" + replica.generation();
