--- a/fawnvale-core/src/main/java/org/fawnvale/core/claims/ClaimSlot.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/claims/ClaimSlot.java
@@ -65,7 +65,7 @@
    * @param nowMillis now
    * @return granted when the owner holds it already, or when nobody does and there is room
    */
-  public Verdict judge(String keyDigest, String owner, long nowMillis) {
+  public Verdict evaluate(String keyDigest, String owner, long nowMillis) {
     Claim held = claims.get(keyDigest);
     if (held != null && held.expiresMillis() > nowMillis) {
       return held.owner().equals(owner) ? Verdict.GRANTED : Verdict.HELD;
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/SlotBatcher.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/SlotBatcher.java
@@ -139,7 +139,7 @@
     for (Pending pending : batch) {
       boolean mayHave =
           !pending.givesBack()
-              && current.judge(pending.key(), pending.owner(), now) == ClaimSlot.Verdict.GRANTED
+              && current.evaluate(pending.key(), pending.owner(), now) == ClaimSlot.Verdict.GRANTED
               && current.claims().size() + granted.size() < ClaimSlot.MAXIMUM_CLAIMS;
       if (mayHave) {
         granted.putIfAbsent(pending.key(), pending.owner());
