--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/PlannerSettings.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/PlannerSettings.java
@@ -9,8 +9,8 @@
  * @param graceMillis how long a silent member is waited for, milliseconds
  * @param features the features that are used
  * @param maximumRebuilding replicas of a data centre that may be rebuilt at once
- * @param maximumSilentShare part of the data centre's nodes that may be silent before the planner doubts
- *     its own sight and changes nothing
+ * @param maximumSilentShare part of the data centre's nodes that may be silent before the planner
+ *     doubts its own sight and changes nothing
  */
 public record PlannerSettings(
     long graceMillis, Set<Feature> features, int maximumRebuilding, double maximumSilentShare) {
--- a/fawnvale-core/src/main/java/org/fawnvale/core/readiness/ReadinessTable.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/readiness/ReadinessTable.java
@@ -91,7 +91,8 @@
    * @param evidenceNanos a moment that is older than all probes behind the vouches
    * @param loads running and waiting requests of each vouched node, in the order of the vouches
    */
-  public synchronized void renewReports(String prober, long version, long evidenceNanos, int[] loads) {
+  public synchronized void renewReports(
+      String prober, long version, long evidenceNanos, int[] loads) {
     Prober source = probers.get(prober);
     if (source != null && source.version == version) {
       source.evidenceNanos = Math.max(source.evidenceNanos, evidenceNanos);
--- a/fawnvale-core/src/test/java/org/fawnvale/core/planning/RolloutMonitorTest.java
+++ b/fawnvale-core/src/test/java/org/fawnvale/core/planning/RolloutMonitorTest.java
@@ -30,7 +30,9 @@
   }
 
   private boolean stops(NodeReport.State state, long silentMillis, long nowMillis) {
-    return monitor.findFailure(List.of(DOMAIN), BUNDLE, node(state, silentMillis), nowMillis).isPresent();
+    return monitor
+        .findFailure(List.of(DOMAIN), BUNDLE, node(state, silentMillis), nowMillis)
+        .isPresent();
   }
 
   @Test
