--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/BundleCommands.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/BundleCommands.java
@@ -9,7 +9,7 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 import net.sourceforge.argparse4j.inf.Subparsers;
 import org.fawnvale.core.check.BundleCheck;
-import org.fawnvale.core.check.Checked;
+import org.fawnvale.core.check.CheckedDocument;
 import org.fawnvale.core.model.Bundle;
 import org.fawnvale.core.result.Problem;
 import org.fawnvale.core.result.ProblemKind;
@@ -53,10 +53,10 @@
         "bundle check",
         (options, console) -> {
           Result<String> text = Files.read(options.getString("file"));
-          Checked<Bundle> checked =
+          CheckedDocument<Bundle> checked =
               text.fold(
                   BundleCheck::check,
-                  (Problem problem) -> new Checked<Bundle>(null, List.of(problem)));
+                  (Problem problem) -> new CheckedDocument<Bundle>(null, List.of(problem)));
           if (checked.value() == null) {
             console.print(checked.problems());
             return ExitCode.BAD_USAGE;
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/ServeCommand.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/ServeCommand.java
@@ -10,7 +10,7 @@
 import net.sourceforge.argparse4j.inf.Subparsers;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.fawnvale.core.check.Checked;
+import org.fawnvale.core.check.CheckedDocument;
 import org.fawnvale.core.settings.DaemonSettings;
 import org.fawnvale.daemon.Daemon;
 import org.fawnvale.daemon.Keys;
@@ -42,7 +42,7 @@
   }
 
   private static ExitCode run(Namespace options, Console console) {
-    Checked<DaemonSettings> checked = SettingsCommand.read(options.getString("settings"));
+    CheckedDocument<DaemonSettings> checked = SettingsCommand.read(options.getString("settings"));
     DaemonSettings settings = checked.value();
     if (settings == null) {
       console.print(checked.problems());
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/SettingsCommand.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/SettingsCommand.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import net.sourceforge.argparse4j.inf.Subparser;
 import net.sourceforge.argparse4j.inf.Subparsers;
-import org.fawnvale.core.check.Checked;
+import org.fawnvale.core.check.CheckedDocument;
 import org.fawnvale.core.check.SettingsCheck;
 import org.fawnvale.core.result.Problem;
 import org.fawnvale.core.settings.DaemonSettings;
@@ -28,7 +28,7 @@
     commands.put(
         "settings check",
         (options, console) -> {
-          Checked<DaemonSettings> checked = read(options.getString("file"));
+          CheckedDocument<DaemonSettings> checked = read(options.getString("file"));
           if (checked.value() == null) {
             console.print(checked.problems());
             return ExitCode.BAD_USAGE;
@@ -38,10 +38,10 @@
         });
   }
 
-  static Checked<DaemonSettings> read(String file) {
+  static CheckedDocument<DaemonSettings> read(String file) {
     return Files.read(file)
         .fold(
             SettingsCheck::check,
-            (Problem problem) -> new Checked<DaemonSettings>(null, List.of(problem)));
+            (Problem problem) -> new CheckedDocument<DaemonSettings>(null, List.of(problem)));
   }
 }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/check/BundleCheck.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/check/BundleCheck.java
@@ -29,7 +29,7 @@
    * @param text the JSON text
    * @return the bundle, or all problems that were found
    */
-  public static Checked<Bundle> check(String text) {
+  public static CheckedDocument<Bundle> check(String text) {
     return CHECK.check(text);
   }
 
--- a/fawnvale-core/src/main/java/org/fawnvale/core/check/Checked.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/check/CheckedDocument.java
@@ -11,10 +11,10 @@
  * @param problems all problems that were found
  * @param <T> the type of the document
  */
-public record Checked<T>(@Nullable T value, List<Problem> problems) {
+public record CheckedDocument<T>(@Nullable T value, List<Problem> problems) {
 
   /** Copies the list. */
-  public Checked {
+  public CheckedDocument {
     problems = List.copyOf(problems);
   }
 }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/check/DocumentCheck.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/check/DocumentCheck.java
@@ -49,7 +49,7 @@
     }
   }
 
-  Checked<T> check(String text) {
+  CheckedDocument<T> check(String text) {
     try {
       MAPPER.readTree(text);
     } catch (JsonProcessingException e) {
@@ -65,14 +65,14 @@
     try {
       T value = MAPPER.readValue(text, type);
       List<Problem> broken = rules.apply(value);
-      return broken.isEmpty() ? new Checked<>(value, List.of()) : failed(broken);
+      return broken.isEmpty() ? new CheckedDocument<>(value, List.of()) : failed(broken);
     } catch (JsonProcessingException e) {
       return failed(List.of(malformed(e)));
     }
   }
 
-  private static <T> Checked<T> failed(List<Problem> problems) {
-    return new Checked<>(null, problems);
+  private static <T> CheckedDocument<T> failed(List<Problem> problems) {
+    return new CheckedDocument<>(null, problems);
   }
 
   private static Problem malformed(JsonProcessingException e) {
--- a/fawnvale-core/src/main/java/org/fawnvale/core/check/SettingsCheck.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/check/SettingsCheck.java
@@ -19,7 +19,7 @@
    * @param text the JSON text
    * @return the settings, or all problems that were found
    */
-  public static Checked<DaemonSettings> check(String text) {
+  public static CheckedDocument<DaemonSettings> check(String text) {
     return CHECK.check(text);
   }
 
--- a/fawnvale-core/src/test/java/org/fawnvale/core/check/CheckTest.java
+++ b/fawnvale-core/src/test/java/org/fawnvale/core/check/CheckTest.java
@@ -19,7 +19,7 @@
 
   @Test
   void goodSettingsHaveDefaults() {
-    Checked<org.fawnvale.core.settings.DaemonSettings> checked =
+    CheckedDocument<org.fawnvale.core.settings.DaemonSettings> checked =
         SettingsCheck.check(SETTINGS.formatted(""));
     assertThat(checked.problems()).isEmpty();
     assertThat(checked.value().timing().leaseMillis()).isEqualTo(9000);
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/BundleDesk.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/BundleDesk.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.fawnvale.core.check.BundleCheck;
-import org.fawnvale.core.check.Checked;
+import org.fawnvale.core.check.CheckedDocument;
 import org.fawnvale.core.model.Bundle;
 import org.fawnvale.core.model.Node;
 import org.fawnvale.core.model.Rollout;
@@ -49,7 +49,7 @@
 
   /** Keeps a bundle under the next free revision and makes it the latest. */
   Filed submit(String text, String operation, String operator) {
-    Checked<Bundle> checked = BundleCheck.check(text);
+    CheckedDocument<Bundle> checked = BundleCheck.check(text);
     if (checked.value() == null) {
       return new Filed.Refused(checked.problems());
     }
