--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/ReplayCommand.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/ReplayCommand.java
@@ -74,7 +74,7 @@
                   runs++;
                   RequestTrace.Expectation expect = trace.fleet().expect();
                   if (expect != null && "expected".equals(each.name())) {
-                    misses.addAll(result.misses(expect));
+                    misses.addAll(result.unmetExpectations(expect));
                   }
                 }
               }
@@ -98,7 +98,7 @@
                   console.line(result.line());
                   runs++;
                   if (trace.fleet().expect() != null && FormationPolicy.OWN.equals(each.name())) {
-                    misses.addAll(result.misses(trace.fleet().expect()));
+                    misses.addAll(result.unmetExpectations(trace.fleet().expect()));
                   }
                 }
               }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/limits/AdmissionQueue.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/limits/AdmissionQueue.java
@@ -106,7 +106,7 @@
           return;
         }
         queue.poll();
-        estimate.wait.departed(nowNanos, queue.size(next.flow()) > 0);
+        estimate.wait.recordDeparture(nowNanos, queue.size(next.flow()) > 0);
         onTurn.accept(next.request(), found.get());
       }
       next = queue.peek();
--- a/fawnvale-core/src/main/java/org/fawnvale/core/limits/WaitEstimate.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/limits/WaitEstimate.java
@@ -19,7 +19,7 @@
    * @param nowNanos now
    * @param othersWait true when items still wait, so that the next gap measures the queue's speed
    */
-  public synchronized void departed(long nowNanos, boolean othersWait) {
+  public synchronized void recordDeparture(long nowNanos, boolean othersWait) {
     if (busy) {
       double gap = nowNanos - lastDepartureNanos;
       nanosPerDeparture =
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationResult.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationResult.java
@@ -61,7 +61,7 @@
    * @param stated the stated outcome
    * @return each point that is not met; empty when all are
    */
-  public List<String> misses(FormationTrace.Expectation stated) {
+  public List<String> unmetExpectations(FormationTrace.Expectation stated) {
     List<String> misses = new ArrayList<>();
     if (downtimeHours > stated.downtimeHoursAtMost()) {
       misses.add("downtime " + downtimeHours + " r-h is over " + stated.downtimeHoursAtMost());
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/ReplayResult.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/ReplayResult.java
@@ -86,7 +86,7 @@
    * @param stated the stated outcome
    * @return each point that is not met; empty when all are
    */
-  public List<String> misses(RequestTrace.Expectation stated) {
+  public List<String> unmetExpectations(RequestTrace.Expectation stated) {
     List<String> misses = new ArrayList<>();
     if (goodput < stated.goodputAtLeast()) {
       misses.add("goodput " + goodput + " is under " + stated.goodputAtLeast());
