--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/DomainDraft.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/DomainDraft.java
@@ -8,12 +8,12 @@
 import org.fawnvale.core.model.DomainState;
 import org.fawnvale.core.model.Replica;
 
-/** A domain's state while a plan is being made. */
+/** The mutable state of one fabric domain while the planner computes a plan. */
 final class DomainDraft {
 
   private final DomainState before;
   private final List<Replica> replicas;
-  private final Set<String> taken = new HashSet<>();
+  private final Set<String> assignedNodes = new HashSet<>();
   private long lastGeneration;
   private boolean changed;
 
@@ -21,7 +21,7 @@
     this.before = before;
     this.replicas = new ArrayList<>(before.replicas());
     this.lastGeneration = before.lastGeneration();
-    replicas.forEach(replica -> taken.addAll(replica.members()));
+    replicas.forEach(replica -> assignedNodes.addAll(replica.members()));
   }
 
   String domain() {
@@ -36,8 +36,8 @@
     return replicas.contains(replica);
   }
 
-  boolean isTaken(String node) {
-    return taken.contains(node);
+  boolean isAssigned(String node) {
+    return assignedNodes.contains(node);
   }
 
   void drain(Replica replica) {
@@ -47,23 +47,24 @@
 
   void remove(Replica replica) {
     replicas.remove(replica);
-    taken.removeAll(replica.members());
+    assignedNodes.removeAll(replica.members());
     changed = true;
   }
 
-  /** Puts a replica in place of another, or adds it, under the next generation. */
+  /** Replaces a replica, or adds one, under the next generation; a replacement keeps the id. */
   Replica put(
-      Optional<Replica> old, String role, String model, String version, List<String> members) {
-    old.ifPresent(this::remove);
+      Optional<Replica> replaced, String role, String model, String version, List<String> members) {
+    replaced.ifPresent(this::remove);
     lastGeneration++;
-    String id = old.map(Replica::id).orElse(role + "-" + lastGeneration);
+    String id = replaced.map(Replica::id).orElse(role + "-" + lastGeneration);
     Replica next = new Replica(id, role, model, version, lastGeneration, members, false);
     replicas.add(next);
-    taken.addAll(members);
+    assignedNodes.addAll(members);
     changed = true;
     return next;
   }
 
+  /** Returns the new state of the domain, or nothing when the plan changes nothing in it. */
   Optional<DomainState> result(String operation) {
     if (!changed) {
       return Optional.empty();
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/NodeFacts.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/NodeHealth.java
@@ -5,25 +5,25 @@
 import org.fawnvale.core.model.Replica;
 import org.jspecify.annotations.Nullable;
 
-/** What the evidence says of nodes and of the replicas that they form. */
-final class NodeFacts {
+/** Derives the health of nodes and replicas from the last reports of the nodes. */
+final class NodeHealth {
 
   private final Map<String, NodeView> nodes;
   private final long graceMillis;
 
-  NodeFacts(Map<String, NodeView> nodes, long graceMillis) {
+  NodeHealth(Map<String, NodeView> nodes, long graceMillis) {
     this.nodes = nodes;
     this.graceMillis = graceMillis;
   }
 
-  /** Tells whether a node gives no sign of life, or is not known at all. */
+  /** Returns true when a node does not answer probes or is unknown. */
   boolean isLost(String node) {
     NodeView view = nodes.get(node);
     return view == null || !view.isAlive();
   }
 
-  /** Tells whether a node has been silent for the whole grace time. */
-  boolean isGivenUp(String node) {
+  /** Returns true when a node is unknown or has been silent for the whole grace period. */
+  boolean isGracePeriodOver(String node) {
     NodeView view = nodes.get(node);
     return view == null || !view.isAlive() && view.silentMillis() >= graceMillis;
   }
@@ -33,7 +33,7 @@
     return view != null && view.node().leaving();
   }
 
-  /** Tells whether every member is ready in the replica's generation. */
+  /** Returns true when every member reports READY for the replica's generation. */
   boolean isServing(Replica replica) {
     return replica.members().stream().allMatch(node -> isReadyIn(node, replica));
   }
@@ -47,13 +47,13 @@
   }
 
   /**
-   * Tells whether nothing runs at a draining replica any more.
+   * Returns true when a draining replica has no running and no waiting requests.
    *
-   * <p>A member that has been silent for the grace time ends it; one that is silent for a moment
-   * does not, since what runs there may still be whole.
+   * <p>A replica also counts as drained when one of its members has been silent for the whole grace
+   * period. A shorter silence does not count, because requests may still be running there.
    */
   boolean isDrained(Replica replica) {
-    if (replica.members().stream().anyMatch(this::isGivenUp)) {
+    if (replica.members().stream().anyMatch(this::isGracePeriodOver)) {
       return true;
     }
     NodeReport report = reportOf(replica.head());
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/NodeView.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/NodeView.java
@@ -5,29 +5,25 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A node as the planner sees it.
+ * What the planner knows about a node.
  *
  * @param node the node as the platform lists it
- * @param report its last report; null when none is known
- * @param silentMillis how long it has given no sign of life; 0 while it does
- * @param failures how often it has gone silent lately
+ * @param report the node's last report; null when there is none
+ * @param silentMillis how long the node has not answered, milliseconds; 0 while it answers
+ * @param failures number of recent failures of the node
  */
 public record NodeView(Node node, @Nullable NodeReport report, long silentMillis, int failures) {
 
-  /**
-   * Tells whether the node lives.
-   *
-   * @return true while it gives signs of life
-   */
+  /** Returns true while the node answers and has sent a report. */
   public boolean isAlive() {
     return silentMillis == 0 && report != null;
   }
 
   /**
-   * Tells whether the node holds given weights.
+   * Tells whether the node has already loaded the given weights.
    *
    * @param weights model and version, as {@code model@version}
-   * @return true when loading them costs nothing
+   * @return true when the node does not need to load them again
    */
   public boolean holds(String weights) {
     return report != null && weights.equals(report.loadedVersion());
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/Orders.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/Orders.java
@@ -14,19 +14,19 @@
 import org.fawnvale.core.model.Order;
 import org.fawnvale.core.model.Replica;
 
-/** The orders that bring nodes to what a domain's state says. */
+/** Computes the orders that bring nodes to the state that the plan prescribes. */
 public final class Orders {
 
   private Orders() {}
 
   /**
-   * Finds the orders that are due.
+   * Returns the orders to send now.
    *
-   * @param state the domain's state, as the platform holds it
+   * @param state the domain's state, as stored on the platform
    * @param bundle the bundle in force
-   * @param nodes the nodes
+   * @param nodes the nodes by name
    * @param epoch the sender's lease epoch
-   * @return an order for each living node whose report differs from the state
+   * @return an order for each reachable node of the domain whose report differs from the state
    */
   public static List<Order> due(
       DomainState state, Bundle bundle, Map<String, NodeView> nodes, long epoch) {
@@ -50,14 +50,14 @@
   }
 
   /**
-   * Finds a load that can be made ahead: weights to a spare, while no replica loads any.
+   * Returns an order that preloads weights on a spare node, unless some node is loading weights.
    *
    * @param states the data centre's domains
    * @param bundle the bundle in force
-   * @param nodes the nodes
+   * @param nodes the nodes by name
    * @param epoch the sender's lease epoch
-   * @param settings tells whether spares are warmed
-   * @return one order at the most, so that a replica's loads never wait for more than one
+   * @param settings whether spare nodes preload weights
+   * @return at most one order, so that the loads of a replica wait for at most one preload
    */
   public static List<Order> preloads(
       Collection<DomainState> states,
@@ -65,10 +65,10 @@
       Map<String, NodeView> nodes,
       long epoch,
       PlannerSettings settings) {
-    boolean busy =
+    boolean isLoading =
         nodes.values().stream()
             .anyMatch(view -> view.isAlive() && view.report().state() == NodeReport.State.LOADING);
-    if (busy || !settings.uses(PlannerSettings.Feature.WARM_SPARES)) {
+    if (isLoading || !settings.uses(PlannerSettings.Feature.WARM_SPARES)) {
       return List.of();
     }
     for (DomainState state : states) {
@@ -83,7 +83,7 @@
     return List.of();
   }
 
-  /** The model that most nodes of the domain serve: the likeliest to need a spare. */
+  /** Returns the model that most nodes of the domain serve; it is the likeliest to need a spare. */
   private static Optional<Model> mostUsed(DomainState state, Bundle bundle) {
     Map<String, Integer> members = new HashMap<>();
     for (Replica replica : state.replicas()) {
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/Plan.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/Plan.java
@@ -4,11 +4,11 @@
 import org.fawnvale.core.model.DomainState;
 
 /**
- * What is to change.
+ * The changes that the planner wants to make.
  *
- * @param changed the domains that change, in their new states
- * @param steps each change with its cause, for people
- * @param complete true when every replica that the bundle asks for stands in its version
+ * @param changed the new states of the domains that change
+ * @param steps a log line for each change, with its cause
+ * @param complete true when every replica that the bundle requires serves the bundle's version
  */
 public record Plan(List<DomainState> changed, List<String> steps, boolean complete) {
 
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/PlanInput.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/PlanInput.java
@@ -6,15 +6,16 @@
 import org.fawnvale.core.model.DomainState;
 
 /**
- * All that a plan depends on.
+ * The complete input of the planner.
  *
- * @param dataCentre the data centre that is planned
+ * @param dataCentre the data centre to plan
  * @param bundle the bundle in force
- * @param rolling true while replicas of other versions are to be brought to the bundle's
+ * @param rolling true while a rollout upgrades replicas to the versions of the bundle
  * @param domains the fabric domains of the data centre, in a fixed order
- * @param nodes all nodes of the data centre by name, listed or not, that anything is known of
- * @param settings what the planner may do
- * @param operation identifies the plan in what it writes
+ * @param nodes all known nodes of the data centre by name, including nodes that the platform does
+ *     not list
+ * @param settings the planner's settings
+ * @param operation identifier of the plan, stored in the domain states that it changes
  */
 public record PlanInput(
     String dataCentre,
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/Planner.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/Planner.java
@@ -19,20 +19,20 @@
 import org.fawnvale.core.planning.PlannerSettings.Feature;
 
 /**
- * Makes a plan: a pure function of the domains, the evidence on their nodes and the bundle.
+ * Computes a plan as a pure function of the domains, the reports of their nodes and the bundle.
  *
- * <p>Each call makes the changes that are due now. A replica that is to be changed while it can
- * still serve is drained first and changed by a later call, once nothing runs there.
+ * <p>A plan contains the changes to make now. The planner drains a replica that can still serve
+ * before it changes it; a later call makes the change when the replica has no requests left.
  */
 public final class Planner {
 
   private final PlanInput input;
   private final Bundle bundle;
   private final PlannerSettings settings;
-  private final NodeFacts facts;
+  private final NodeHealth health;
   private final List<DomainDraft> drafts = new ArrayList<>();
   private final List<String> steps = new ArrayList<>();
-  private final Set<String> touched = new HashSet<>();
+  private final Set<String> replacedReplicas = new HashSet<>();
   private final Map<String, List<String>> nodesOfDomain = new HashMap<>();
   private int rebuilding;
 
@@ -40,7 +40,7 @@
     this.input = input;
     this.bundle = input.bundle();
     this.settings = input.settings();
-    this.facts = new NodeFacts(input.nodes(), settings.graceMillis());
+    this.health = new NodeHealth(input.nodes(), settings.graceMillis());
     input.domains().forEach(domain -> drafts.add(new DomainDraft(domain)));
     input.nodes().values().stream()
         .sorted(Comparator.comparing(view -> view.node().name()))
@@ -52,17 +52,17 @@
   }
 
   /**
-   * Makes a plan.
+   * Computes a plan.
    *
-   * @param input all that it depends on
-   * @return the plan; empty when too many nodes are silent to trust the evidence
+   * @param input the complete input
+   * @return the plan; empty when so many nodes are silent that the input is not trustworthy
    */
   public static Plan plan(PlanInput input) {
     Planner planner = new Planner(input);
     if (planner.tooManySilent()) {
       return new Plan(List.of(), List.of(), false);
     }
-    return planner.make();
+    return planner.compute();
   }
 
   private boolean tooManySilent() {
@@ -71,8 +71,8 @@
     return views.isEmpty() || silent > views.size() * settings.maximumSilentShare();
   }
 
-  private Plan make() {
-    rebuilding = (int) all().filter(this::isLoading).count();
+  private Plan compute() {
+    rebuilding = (int) allReplicas().filter(this::isLoading).count();
     for (DomainDraft draft : drafts) {
       for (Replica replica : draft.replicas()) {
         if (draft.has(replica)) {
@@ -80,38 +80,38 @@
         }
       }
     }
-    wantedRoles().forEach(role -> fill(role, role.replicasPerDataCentre()));
-    wantedRoles().forEach(role -> fill(role, most(role)));
+    requiredRoles().forEach(role -> fill(role, role.replicasPerDataCentre()));
+    requiredRoles().forEach(role -> fill(role, maximumReplicas(role)));
     List<DomainState> changed = new ArrayList<>();
     drafts.forEach(draft -> draft.result(input.operation()).ifPresent(changed::add));
     return new Plan(changed, steps, isComplete());
   }
 
   private void review(DomainDraft draft, Replica replica) {
-    Optional<Role> role = wantedRole(replica);
-    List<String> lost = replica.members().stream().filter(facts::isLost).toList();
+    Optional<Role> role = requiredRole(replica);
+    List<String> lost = replica.members().stream().filter(health::isLost).toList();
     if (role.isEmpty()) {
-      retire(draft, replica, "the bundle no longer asks for it");
+      retire(draft, replica, "the bundle no longer requires it");
     } else if (!lost.isEmpty()) {
       repair(draft, replica, role.get(), lost);
     } else if (replica.draining()) {
-      afterDraining(draft, replica, role.get());
-    } else if (replica.members().stream().anyMatch(facts::isLeaving)) {
+      finishDraining(draft, replica, role.get());
+    } else if (replica.members().stream().anyMatch(health::isLeaving)) {
       drain(draft, replica, "a member is leaving");
     } else if (input.rolling() && !versionOf(role.get()).equals(replica.version())) {
       upgrade(draft, replica, role.get());
-    } else if (isSurplus(replica, role.get(), most(role.get()))) {
-      retire(draft, replica, "there are more than the bundle asks for");
+    } else if (isSurplus(replica, role.get(), maximumReplicas(role.get()))) {
+      retire(draft, replica, "the bundle requires fewer replicas");
     }
   }
 
   private void retire(DomainDraft draft, Replica replica, String cause) {
-    if (replica.draining() && !facts.isDrained(replica)) {
+    if (replica.draining() && !health.isDrained(replica)) {
       return;
     }
-    if (replica.draining() || !facts.isServing(replica)) {
+    if (replica.draining() || !health.isServing(replica)) {
       draft.remove(replica);
-      note("Replica " + replica.id() + " is retired, since " + cause + ".");
+      addStep("Replica " + replica.id() + " is removed, because " + cause + ".");
     } else {
       drain(draft, replica, cause);
     }
@@ -119,16 +119,16 @@
 
   private void drain(DomainDraft draft, Replica replica, String cause) {
     draft.drain(replica);
-    note("Replica " + replica.id() + " is drained, since " + cause + ".");
+    addStep("Replica " + replica.id() + " is drained, because " + cause + ".");
   }
 
   private void repair(DomainDraft draft, Replica replica, Role role, List<String> lost) {
-    if (lost.stream().noneMatch(facts::isGivenUp)) {
+    if (lost.stream().noneMatch(health::isGracePeriodOver)) {
       return;
     }
     if (!settings.uses(Feature.REBUILD_IN_PLACE)) {
       draft.remove(replica);
-      note("Replica " + replica.id() + " is disbanded, since " + lost + " are lost.");
+      addStep("Replica " + replica.id() + " is disbanded, because " + lost + " are lost.");
       return;
     }
     boolean extra = isSurplus(replica, role, role.replicasPerDataCentre());
@@ -141,12 +141,15 @@
     }
   }
 
-  /** Of several broken replicas in a domain, breaks the worst up if that completes the best. */
+  /**
+   * Disbands the broken replica with the fewest survivors if its nodes complete the one with the
+   * most.
+   */
   private void consolidate(DomainDraft draft) {
     List<Replica> broken =
         draft.replicas().stream()
-            .filter(replica -> replica.members().stream().anyMatch(facts::isGivenUp))
-            .filter(replica -> wantedRole(replica).isPresent())
+            .filter(replica -> replica.members().stream().anyMatch(health::isGracePeriodOver))
+            .filter(replica -> requiredRole(replica).isPresent())
             .sorted(Comparator.comparingLong(this::survivors).thenComparing(Replica::id))
             .toList();
     if (broken.size() < 2) {
@@ -154,79 +157,85 @@
     }
     Replica worst = broken.get(0);
     Replica best = broken.get(broken.size() - 1);
-    long lacking = best.members().size() - survivors(best) - spares(draft, "").size();
-    if (survivors(worst) >= lacking) {
+    long missingNodes = best.members().size() - survivors(best) - spares(draft, "").size();
+    if (survivors(worst) >= missingNodes) {
       draft.remove(worst);
-      note("Replica " + worst.id() + " is disbanded, since its nodes complete " + best.id() + ".");
+      addStep(
+          "Replica " + worst.id() + " is disbanded, because its nodes complete " + best.id() + ".");
     }
   }
 
   private long survivors(Replica replica) {
-    return replica.members().stream().filter(node -> !facts.isLost(node)).count();
+    return replica.members().stream().filter(node -> !health.isLost(node)).count();
   }
 
-  /** A broken extra replica gives its nodes free; what is wanted is formed first. */
+  /** Disbands a broken extra replica, so that its nodes can join the required replicas. */
   private void retireBrokenExtra(DomainDraft draft, Replica replica, boolean extra) {
     if (extra) {
       draft.remove(replica);
-      note("Extra replica " + replica.id() + " is disbanded, since a member is lost.");
+      addStep("Extra replica " + replica.id() + " is disbanded, because a member is lost.");
     }
   }
 
   /**
-   * Drains the extra replicas of the domain whose nodes a wanted replica lacks, the smallest first.
+   * Drains extra replicas of the domain, the smallest first, to free nodes for a required replica.
    *
-   * <p>It does so when the weighted cost of staying broken is higher than that of the nodes that
-   * would be left over. True when nodes are on their way.
+   * <p>It drains them only if the weighted cost of an incomplete replica is higher than the cost of
+   * the nodes that would be left over. Returns true when extra replicas are draining.
    */
-  private boolean preemptExtras(DomainDraft draft, Role role, int present) {
+  private boolean preemptExtras(DomainDraft draft, Role role, int remainingMembers) {
     if (!settings.uses(Feature.PREEMPT_EXTRAS)) {
       return false;
     }
     if (draft.replicas().stream().anyMatch(Replica::draining)) {
       return true;
     }
-    int lacking = role.nodesPerReplica() - present - spares(draft, "").size();
-    List<Replica> victims = extrasToPreempt(draft, lacking);
-    int gained = victims.stream().mapToInt(each -> each.members().size()).sum();
-    if (gained < lacking || !isPreemptionWorthwhile(role, present, gained - lacking)) {
+    int missingNodes = role.nodesPerReplica() - remainingMembers - spares(draft, "").size();
+    List<Replica> preempted = extrasToPreempt(draft, missingNodes);
+    int freedNodes = preempted.stream().mapToInt(each -> each.members().size()).sum();
+    if (freedNodes < missingNodes
+        || !isPreemptionWorthwhile(role, remainingMembers, freedNodes - missingNodes)) {
       return false;
     }
-    victims.forEach(each -> drain(draft, each, "a replica of " + role.name() + " lacks nodes"));
+    preempted.forEach(each -> drain(draft, each, "a replica of " + role.name() + " lacks nodes"));
     return true;
   }
 
-  private List<Replica> extrasToPreempt(DomainDraft draft, int lacking) {
+  private List<Replica> extrasToPreempt(DomainDraft draft, int missingNodes) {
     List<Replica> extras =
         draft.replicas().stream()
             .filter(this::isExtra)
             .sorted(Comparator.comparingInt(each -> each.members().size()))
             .toList();
-    List<Replica> victims = new ArrayList<>();
-    int gained = 0;
+    List<Replica> preempted = new ArrayList<>();
+    int freedNodes = 0;
     for (Replica extra : extras) {
-      if (gained < lacking) {
-        victims.add(extra);
-        gained += extra.members().size();
+      if (freedNodes < missingNodes) {
+        preempted.add(extra);
+        freedNodes += extra.members().size();
       }
     }
-    return victims;
+    return preempted;
   }
 
-  private boolean isPreemptionWorthwhile(Role role, int present, int leftOver) {
+  private boolean isPreemptionWorthwhile(Role role, int remainingMembers, int leftOverNodes) {
     Policy weights = bundle.policy();
-    double staying =
-        weights.downtimeWeight() * role.nodesPerReplica() + weights.strandedWeight() * present;
-    return staying > weights.strandedWeight() * leftOver;
+    double costOfWaiting =
+        weights.downtimeWeight() * role.nodesPerReplica()
+            + weights.strandedWeight() * remainingMembers;
+    return costOfWaiting > weights.strandedWeight() * leftOverNodes;
   }
 
   private boolean isExtra(Replica replica) {
-    return wantedRole(replica)
+    return requiredRole(replica)
         .filter(role -> isSurplus(replica, role, role.replicasPerDataCentre()))
         .isPresent();
   }
 
-  /** Replaces lost and leaving members; false when there are too few spares. */
+  /**
+   * Replaces lost and leaving members. Returns false at the limit of concurrent rebuilds or without
+   * enough spares.
+   */
   private boolean rebuild(
       DomainDraft draft, Replica replica, Role role, Collection<String> replaced) {
     if (rebuilding >= settings.maximumRebuilding()) {
@@ -235,7 +244,7 @@
     String version = targetVersion(replica, role);
     List<String> kept =
         replica.members().stream()
-            .filter(node -> !replaced.contains(node) && !facts.isLeaving(node))
+            .filter(node -> !replaced.contains(node) && !health.isLeaving(node))
             .toList();
     int needed = role.nodesPerReplica() - kept.size();
     List<String> spares = spares(draft, weights(role.model(), version));
@@ -245,78 +254,87 @@
     List<String> members = new ArrayList<>(kept);
     members.addAll(spares.subList(0, needed));
     put(draft, Optional.of(replica), role, version, members);
-    note("Replica " + replica.id() + " is rebuilt without " + replaced + ".");
+    addStep("Replica " + replica.id() + " is rebuilt without " + replaced + ".");
     return true;
   }
 
-  private int most(Role role) {
+  private int maximumReplicas(Role role) {
     int extra = settings.uses(Feature.EXTRAS) ? role.extraReplicas() : 0;
     return role.replicasPerDataCentre() + extra;
   }
 
-  private void afterDraining(DomainDraft draft, Replica replica, Role role) {
-    if (!facts.isDrained(replica)) {
+  private void finishDraining(DomainDraft draft, Replica replica, Role role) {
+    if (!health.isDrained(replica)) {
       return;
     }
-    List<String> leaving = replica.members().stream().filter(facts::isLeaving).toList();
-    if (leaving.isEmpty() && othersOf(replica) >= role.replicasPerDataCentre()) {
+    List<String> leaving = replica.members().stream().filter(health::isLeaving).toList();
+    if (leaving.isEmpty() && otherActiveReplicas(replica) >= role.replicasPerDataCentre()) {
       draft.remove(replica);
-      note("Extra replica " + replica.id() + " is disbanded.");
+      addStep("Extra replica " + replica.id() + " is disbanded.");
       return;
     }
     if (rebuild(draft, replica, role, leaving) || leaving.isEmpty()) {
       return;
     }
     draft.remove(replica);
-    note("Replica " + replica.id() + " is disbanded, since no spare replaces " + leaving + ".");
+    addStep(
+        "Replica "
+            + replica.id()
+            + " is disbanded, because no spare node can replace "
+            + leaving
+            + ".");
   }
 
-  private long othersOf(Replica replica) {
-    return all()
+  private long otherActiveReplicas(Replica replica) {
+    return allReplicas()
         .filter(each -> each.role().equals(replica.role()) && !each.id().equals(replica.id()))
         .filter(each -> !each.draining())
         .count();
   }
 
   private void upgrade(DomainDraft draft, Replica replica, Role role) {
-    boolean serving = facts.isServing(replica);
+    boolean serving = health.isServing(replica);
     if (!serving) {
       rebuild(draft, replica, role, List.of());
       return;
     }
     long others =
-        all()
+        allReplicas()
             .filter(each -> each.role().equals(role.name()) && !each.id().equals(replica.id()))
-            .filter(each -> facts.isServing(each) && !each.draining())
+            .filter(each -> health.isServing(each) && !each.draining())
             .count();
     boolean changing =
-        all()
+        allReplicas()
             .filter(each -> each.role().equals(role.name()))
             .anyMatch(each -> each.draining() || isLoading(each));
     if (!changing && others >= role.minimumReady()) {
-      drain(draft, replica, "version " + versionOf(role) + " is rolled out");
+      drain(draft, replica, "version " + versionOf(role) + " is being rolled out");
     }
   }
 
-  /** Extras would take the nodes that a broken or missing replica waits for, and their weights. */
-  private boolean isFree(DomainDraft draft, Role role) {
-    boolean extra = standing(role) >= role.replicasPerDataCentre();
+  /**
+   * Returns false when a new replica of the role would be an extra one and would take nodes that a
+   * broken or missing replica needs.
+   */
+  private boolean mayForm(DomainDraft draft, Role role) {
+    boolean extra = existingReplicas(role) >= role.replicasPerDataCentre();
     return !extra
-        || wantedRoles().stream().allMatch(each -> standing(each) >= each.replicasPerDataCentre())
+        || requiredRoles().stream()
+                .allMatch(each -> existingReplicas(each) >= each.replicasPerDataCentre())
             && draft.replicas().stream()
                 .noneMatch(
                     replica ->
-                        !isExtra(replica) && replica.members().stream().anyMatch(facts::isLost));
+                        !isExtra(replica) && replica.members().stream().anyMatch(health::isLost));
   }
 
   private void fill(Role role, int wanted) {
-    while (standing(role) < wanted) {
+    while (existingReplicas(role) < wanted) {
       if (rebuilding >= settings.maximumRebuilding()) {
         return;
       }
       Optional<DomainDraft> draft = domainFor(role);
       if (draft.isEmpty()) {
-        if (standing(role) < role.replicasPerDataCentre()) {
+        if (existingReplicas(role) < role.replicasPerDataCentre()) {
           preemptForMissing(role);
         }
         return;
@@ -325,7 +343,7 @@
       List<String> members =
           spares(draft.get(), weights(role.model(), version)).subList(0, role.nodesPerReplica());
       Replica replica = put(draft.get(), Optional.empty(), role, version, members);
-      note("Replica " + replica.id() + " is formed from " + members + ".");
+      addStep("Replica " + replica.id() + " is formed from " + members + ".");
     }
   }
 
@@ -337,7 +355,10 @@
     }
   }
 
-  /** Of the domains with room, the one that needs the fewest loads, then leaves fewest spares. */
+  /**
+   * Of the domains with enough spares, returns the one with the fewest loads, then the fewest
+   * spares.
+   */
   private Optional<DomainDraft> domainFor(Role role) {
     String wanted = weights(role.model(), versionOf(role));
     Comparator<DomainDraft> order =
@@ -347,7 +368,7 @@
             : Comparator.comparingInt(drafts::indexOf);
     return drafts.stream()
         .filter(draft -> spares(draft, wanted).size() >= role.nodesPerReplica())
-        .filter(draft -> isFree(draft, role))
+        .filter(draft -> mayForm(draft, role))
         .min(order);
   }
 
@@ -361,12 +382,12 @@
   private Replica put(
       DomainDraft draft, Optional<Replica> old, Role role, String version, List<String> members) {
     Replica replica = draft.put(old, role.name(), role.model(), version, members);
-    touched.add(replica.id());
+    replacedReplicas.add(replica.id());
     rebuilding++;
     return replica;
   }
 
-  /** Nodes of the domain that are in no replica and fit to join one, the best first. */
+  /** Returns the domain's usable nodes outside all replicas, the preferred ones first. */
   private List<String> spares(DomainDraft draft, String wanted) {
     Comparator<NodeView> order =
         Comparator.comparing((NodeView view) -> !view.holds(wanted))
@@ -375,7 +396,7 @@
     for (String name : nodesOfDomain.getOrDefault(draft.domain(), List.of())) {
       NodeView view = input.nodes().get(name);
       boolean fit = view.isAlive() && !view.node().leaving() && view.node().service() == null;
-      if (fit && drafts.stream().noneMatch(each -> each.isTaken(name))) {
+      if (fit && drafts.stream().noneMatch(each -> each.isAssigned(name))) {
         free.add(view);
       }
     }
@@ -387,24 +408,26 @@
 
   private boolean isSurplus(Replica replica, Role role, int wanted) {
     List<Replica> same =
-        all()
+        allReplicas()
             .filter(each -> each.role().equals(role.name()) && !each.draining())
             .sorted(
-                Comparator.comparing((Replica each) -> !facts.isServing(each))
+                Comparator.comparing((Replica each) -> !health.isServing(each))
                     .thenComparing(Replica::generation))
             .toList();
     return same.indexOf(replica) >= wanted;
   }
 
-  /** All members live, but not all are ready: it is being built. */
+  /**
+   * Returns true while a replica is being built: all members are reachable, but not all are ready.
+   */
   private boolean isLoading(Replica replica) {
-    return touched.contains(replica.id())
+    return replacedReplicas.contains(replica.id())
         || !replica.draining()
-            && !facts.isServing(replica)
-            && replica.members().stream().noneMatch(facts::isLost);
+            && !health.isServing(replica)
+            && replica.members().stream().noneMatch(health::isLost);
   }
 
-  private Optional<Role> wantedRole(Replica replica) {
+  private Optional<Role> requiredRole(Replica replica) {
     return bundle
         .role(replica.role())
         .filter(role -> role.runsIn(input.dataCentre()))
@@ -412,15 +435,17 @@
         .filter(role -> role.nodesPerReplica() == replica.members().size());
   }
 
-  private List<Role> wantedRoles() {
+  private List<Role> requiredRoles() {
     return bundle.roles().stream()
         .filter(role -> role.runsIn(input.dataCentre()))
         .sorted(Comparator.comparingInt(Role::nodesPerReplica).reversed())
         .toList();
   }
 
-  private long standing(Role role) {
-    return all().filter(replica -> wantedRole(replica).filter(role::equals).isPresent()).count();
+  private long existingReplicas(Role role) {
+    return allReplicas()
+        .filter(replica -> requiredRole(replica).filter(role::equals).isPresent())
+        .count();
   }
 
   private String targetVersion(Replica replica, Role role) {
@@ -432,11 +457,12 @@
   }
 
   private boolean isComplete() {
-    return wantedRoles().stream().allMatch(role -> standing(role) >= role.replicasPerDataCentre())
-        && all()
+    return requiredRoles().stream()
+            .allMatch(role -> existingReplicas(role) >= role.replicasPerDataCentre())
+        && allReplicas()
             .allMatch(
                 replica ->
-                    facts.isServing(replica)
+                    health.isServing(replica)
                         && !replica.draining()
                         && bundle
                             .role(replica.role())
@@ -444,11 +470,11 @@
                             .isPresent());
   }
 
-  private Stream<Replica> all() {
+  private Stream<Replica> allReplicas() {
     return drafts.stream().flatMap(draft -> draft.replicas().stream());
   }
 
-  private void note(String step) {
+  private void addStep(String step) {
     steps.add(step);
   }
 
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/PlannerSettings.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/PlannerSettings.java
@@ -4,36 +4,36 @@
 import java.util.Set;
 
 /**
- * What the planner may do; each part can be left out to measure what it adds.
+ * Settings of the planner. Replays switch single features off to measure their effect.
  *
- * @param graceMillis how long a silent member is waited for, milliseconds
- * @param features the features that are used
- * @param maximumRebuilding replicas of a data centre that may be rebuilt at once
- * @param maximumSilentShare part of the data centre's nodes that may be silent before the planner
- *     doubts its own sight and changes nothing
+ * @param graceMillis grace period before a silent member is replaced, milliseconds
+ * @param features the enabled features
+ * @param maximumRebuilding how many replicas of a data centre may be rebuilt at the same time
+ * @param maximumSilentShare share of the data centre's nodes, 0 to 1, that may be silent; when more
+ *     are silent, the planner assumes that its own observations are wrong and changes nothing
  */
 public record PlannerSettings(
     long graceMillis, Set<Feature> features, int maximumRebuilding, double maximumSilentShare) {
 
-  /** A part of the planner. */
+  /** A feature of the planner that can be switched off. */
   public enum Feature {
-    /** Put spares in the place of lost members, and keep the survivors' weights. */
+    /** Replace lost members by spare nodes; the remaining members keep their weights. */
     REBUILD_IN_PLACE,
-    /** Take nodes that hold the weights first, and nodes that fail often last. */
+    /** Prefer nodes that have loaded the weights, and avoid nodes that fail often. */
     PREFER_LOADED,
-    /** Load weights to spares before they are needed. */
+    /** Preload weights on spare nodes. */
     WARM_SPARES,
-    /** Form extra replicas, as far as the roles allow, from nodes that would be idle. */
+    /** Form extra replicas from idle nodes, as far as the roles allow. */
     EXTRAS,
-    /** Break up an extra replica when a wanted one lacks nodes. */
+    /** Disband an extra replica when a required replica lacks nodes. */
     PREEMPT_EXTRAS
   }
 
-  /** What measurement speaks for; see docs/MEASUREMENTS.md. */
+  /** The settings that daemons use. */
   public static final PlannerSettings DEFAULT =
       new PlannerSettings(5000, EnumSet.allOf(Feature.class), 4, 0.5);
 
-  /** The baseline: disband at once, first fit, no spares. */
+  /** A baseline for replays: no grace period, first fit, all features off. */
   public static final PlannerSettings BASELINE =
       new PlannerSettings(0, EnumSet.noneOf(Feature.class), Integer.MAX_VALUE, 1);
 
@@ -42,32 +42,21 @@
     features = Set.copyOf(features);
   }
 
-  /**
-   * Tells whether a part is used.
-   *
-   * @param feature the feature
-   * @return true when it is
-   */
+  /** Returns true when the feature is enabled. */
   public boolean uses(Feature feature) {
     return features.contains(feature);
   }
 
   /**
-   * The same settings with another grace time.
+   * Returns a copy of these settings with another grace period.
    *
-   * @param millis the grace time, milliseconds
-   * @return the changed copy
+   * @param millis the grace period, milliseconds
    */
   public PlannerSettings withGrace(long millis) {
     return new PlannerSettings(millis, features, maximumRebuilding, maximumSilentShare);
   }
 
-  /**
-   * The same settings without a part.
-   *
-   * @param feature the feature to leave out
-   * @return the changed copy
-   */
+  /** Returns a copy of these settings with one feature switched off. */
   public PlannerSettings without(Feature feature) {
     Set<Feature> left = EnumSet.copyOf(features);
     left.remove(feature);
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/RolloutMonitor.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/RolloutMonitor.java
@@ -13,10 +13,11 @@
 import org.fawnvale.core.model.Replica;
 
 /**
- * Watches replicas that a rollout has rebuilt, and says when it should stop.
+ * Monitors the replicas that a rollout has rebuilt and decides when the rollout has to stop.
  *
- * <p>It should when a living member of such a replica reports that it failed, or when all members
- * live and the replica is still not ready after a while. A lost member is no fault of the version.
+ * <p>A rollout stops when a reachable member of such a replica reports FAILED, or when all members
+ * are reachable and the replica is not ready within a timeout. A member that cannot be reached is
+ * not attributed to the new version.
  */
 public final class RolloutMonitor {
 
@@ -28,30 +29,29 @@
   }
 
   /**
-   * Creates a watch.
+   * Creates a monitor.
    *
    * @param readyTimeoutMillis how long a rebuilt replica may take to be ready, milliseconds
-   * @return the watch
    */
   public static RolloutMonitor create(long readyTimeoutMillis) {
     return new RolloutMonitor(readyTimeoutMillis);
   }
 
   /**
-   * Looks at all replicas of the bundle's versions.
+   * Checks all replicas that run the bundle's versions.
    *
    * @param domains the data centre's domains
    * @param bundle the bundle in force
-   * @param nodes the nodes
-   * @param nowMillis now, monotonic clock, milliseconds
-   * @return why the rollout should stop, or nothing
+   * @param nodes the nodes by name
+   * @param nowMillis the current time, monotonic clock, milliseconds
+   * @return the reason to stop the rollout, or nothing when there is none
    */
   public Optional<String> findFailure(
       Collection<DomainState> domains, Bundle bundle, Map<String, NodeView> nodes, long nowMillis) {
     Set<Long> unready = new HashSet<>();
     for (DomainState domain : domains) {
       for (Replica replica : domain.replicas()) {
-        if (!isOfBundle(replica, bundle) || replica.draining()) {
+        if (!runsBundleVersion(replica, bundle) || replica.draining()) {
           continue;
         }
         Optional<String> failed = failedMember(replica, nodes);
@@ -62,7 +62,7 @@
           unready.add(replica.generation());
           long since = unreadySince.computeIfAbsent(replica.generation(), key -> nowMillis);
           if (nowMillis - since > readyTimeoutMillis) {
-            return Optional.of("replica " + replica.id() + " was not ready in time");
+            return Optional.of("replica " + replica.id() + " did not become ready in time");
           }
         }
       }
@@ -71,7 +71,7 @@
     return Optional.empty();
   }
 
-  private static boolean isOfBundle(Replica replica, Bundle bundle) {
+  private static boolean runsBundleVersion(Replica replica, Bundle bundle) {
     return bundle
         .model(replica.model())
         .map(Model::fullVersion)
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/package-info.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/package-info.java
@@ -1,4 +1,4 @@
-/** Which nodes form each replica, and when a replica is drained, rebuilt or retired. */
+/** Planning: which nodes form each replica, and when a replica is drained, rebuilt or removed. */
 @NullMarked
 package org.fawnvale.core.planning;
 
--- a/fawnvale-core/src/test/java/org/fawnvale/core/planning/PlannerTest.java
+++ b/fawnvale-core/src/test/java/org/fawnvale/core/planning/PlannerTest.java
@@ -17,7 +17,7 @@
 import org.fawnvale.core.model.RoleKind;
 import org.junit.jupiter.api.Test;
 
-/** Plans as examples: one domain of seven nodes, two replicas of three. */
+/** Tests the planner on one fabric domain with seven nodes and two replicas of three nodes. */
 class PlannerTest {
 
   private static final int NODES = 7;
@@ -29,12 +29,12 @@
 
   PlannerTest() {
     for (int i = 0; i < NODES; i++) {
-      settle("n" + i);
+      applyState("n" + i);
     }
   }
 
-  /** Lets a node report what the domain's state says of it. */
-  private void settle(String name) {
+  /** Makes a node report the state that the domain's state prescribes for it. */
+  private void applyState(String name) {
     Optional<Replica> replica = state.replicaOf(name);
     NodeReport.State reported =
         replica.map(Replica::draining).orElse(false)
@@ -55,14 +55,14 @@
                         0,
                         0))
             .orElse(new NodeReport(name, "1", null, 0, null, null, NodeReport.State.IDLE, 0, 0));
-    view(name, report, 0, false);
+    setView(name, report, 0, false);
   }
 
-  private void settleAll() {
-    views.keySet().stream().toList().forEach(this::settle);
+  private void applyStateToAll() {
+    views.keySet().stream().toList().forEach(this::applyState);
   }
 
-  private void view(String name, NodeReport report, long silentMillis, boolean leaving) {
+  private void setView(String name, NodeReport report, long silentMillis, boolean leaving) {
     Node node = new Node(name, "dc", "f", "", "", null, leaving);
     views.put(name, new NodeView(node, report, silentMillis, 0));
   }
@@ -84,29 +84,29 @@
     return plan;
   }
 
-  private Plan planAndSettle() {
+  private Plan planAndApply() {
     Plan plan = plan();
-    settleAll();
+    applyStateToAll();
     return plan;
   }
 
   @Test
-  void formsWhatTheBundleAsksForAndKeepsASpare() {
-    planAndSettle();
+  void formsTheReplicasOfTheBundleAndKeepsASpare() {
+    planAndApply();
     assertThat(state.replicas()).hasSize(2);
     assertThat(plan().complete()).isTrue();
     assertThat(plan().changed()).isEmpty();
   }
 
   @Test
-  void waitsForASilentMemberThenReplacesItAndKeepsTheSurvivors() {
-    planAndSettle();
+  void replacesASilentMemberAfterTheGracePeriod() {
+    planAndApply();
     Replica before = state.replicas().get(0);
     String lost = before.members().get(1);
-    view(lost, views.get(lost).report(), 4999, false);
+    setView(lost, views.get(lost).report(), 4999, false);
     assertThat(plan().changed()).isEmpty();
 
-    view(lost, views.get(lost).report(), 5000, false);
+    setView(lost, views.get(lost).report(), 5000, false);
     plan();
     Replica after =
         state.replicas().stream()
@@ -118,15 +118,17 @@
   }
 
   @Test
-  void ofTwoBrokenReplicasOneIsBrokenUpForTheOther() {
-    planAndSettle();
+  void disbandsOneOfTwoBrokenReplicasToCompleteTheOther() {
+    planAndApply();
     for (Replica replica : state.replicas()) {
       String lost = replica.members().get(0);
-      view(lost, views.get(lost).report(), 60_000, false);
+      setView(lost, views.get(lost).report(), 60_000, false);
     }
-    view("n6", views.get("n6").report(), 60_000, false);
+    setView("n6", views.get("n6").report(), 60_000, false);
     plan();
-    assertThat(state.replicas()).as("one is left to be completed").hasSize(1);
+    assertThat(state.replicas())
+        .as("one replica keeps its nodes and is completed by the next plan")
+        .hasSize(1);
     plan();
     assertThat(state.replicas()).hasSize(1);
     assertThat(state.replicas().get(0).members())
@@ -135,50 +137,53 @@
   }
 
   @Test
-  void doubtsItsOwnSightWhenMostNodesAreSilent() {
-    planAndSettle();
+  void changesNothingWhenMostNodesAreSilent() {
+    planAndApply();
     for (int i = 0; i < 5; i++) {
-      view("n" + i, views.get("n" + i).report(), 60_000, false);
+      setView("n" + i, views.get("n" + i).report(), 60_000, false);
     }
     assertThat(plan().changed()).isEmpty();
   }
 
   @Test
-  void drainsAReplicaWhoseMemberLeavesBeforeItIsChanged() {
-    planAndSettle();
+  void drainsAReplicaBeforeItReplacesALeavingMember() {
+    planAndApply();
     Replica before = state.replicas().get(0);
     String leaving = before.members().get(2);
-    view(leaving, views.get(leaving).report(), 0, true);
+    setView(leaving, views.get(leaving).report(), 0, true);
     plan();
     assertThat(state.replicaOf(leaving)).get().matches(Replica::draining);
-    assertThat(plan().changed()).as("nothing before the engine has drained").isEmpty();
+    assertThat(plan().changed()).as("no change before the engine has drained").isEmpty();
 
-    settleAll();
-    view(leaving, views.get(leaving).report(), 0, true);
+    applyStateToAll();
+    setView(leaving, views.get(leaving).report(), 0, true);
     plan();
     assertThat(state.replicaOf(leaving)).isEmpty();
     assertThat(state.replicas()).hasSize(2).noneMatch(Replica::draining);
   }
 
   @Test
-  void bringsOneReplicaAfterTheOtherToANewVersion() {
-    planAndSettle();
+  void upgradesOneReplicaAtATime() {
+    planAndApply();
     version = "2";
     plan();
     assertThat(state.replicas()).filteredOn(Replica::draining).hasSize(1);
     plan();
-    assertThat(state.replicas()).as("the floor stands").filteredOn(Replica::draining).hasSize(1);
-    settleAll();
+    assertThat(state.replicas())
+        .as("minimumReady is respected")
+        .filteredOn(Replica::draining)
+        .hasSize(1);
+    applyStateToAll();
     for (int i = 0; i < 6; i++) {
-      planAndSettle();
+      planAndApply();
     }
     assertThat(state.replicas()).allMatch(each -> "2".equals(each.version()));
     assertThat(plan().complete()).isTrue();
   }
 
   @Test
-  void aStoppedRolloutChangesNoVersion() {
-    planAndSettle();
+  void upgradesNothingWhenTheRolloutIsStopped() {
+    planAndApply();
     version = "2";
     rolling = false;
     assertThat(plan().changed()).isEmpty();
--- a/fawnvale-core/src/test/java/org/fawnvale/core/planning/RolloutMonitorTest.java
+++ b/fawnvale-core/src/test/java/org/fawnvale/core/planning/RolloutMonitorTest.java
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void stopsAtOnceWhenAMemberFails() {
+  void stopsWhenAMemberFails() {
     assertThat(stops(NodeReport.State.FAILED, 0, 0)).isTrue();
   }
 
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void aLostMemberIsNoFaultOfTheVersion() {
+  void ignoresMembersThatCannotBeReached() {
     assertThat(stops(NodeReport.State.LOADING, 0, 0)).isFalse();
     assertThat(stops(NodeReport.State.FAILED, 50, 2000)).isFalse();
     assertThat(stops(NodeReport.State.LOADING, 0, 3000)).isFalse();
