--- a/fawnvale-core/src/main/java/org/fawnvale/core/readiness/ReadinessTable.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/readiness/ReadinessTable.java
@@ -13,10 +13,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Says whether a replica may serve: every member must be vouched for, by at least one prober, with
- * evidence that is young enough by this process's own clock.
+ * Decides whether a replica may serve. A replica may serve when, for each of its members, at least
+ * one prober has confirmed within the freshness limit that the member is ready.
  *
- * <p>Safe for use by many threads. All moments are this process's monotonic clock in nanoseconds.
+ * <p>Thread-safe. All times are in nanoseconds of this process's monotonic clock.
  */
 public final class ReadinessTable {
 
@@ -31,21 +31,20 @@
   }
 
   /**
-   * Creates an empty table.
+   * Creates an empty table, with which no replica may serve.
    *
-   * @param freshNanos how old evidence may be, nanoseconds
-   * @return the table, by which no replica may serve yet
+   * @param freshNanos maximum age of a confirmation, nanoseconds
    */
   public static ReadinessTable create(long freshNanos) {
     return new ReadinessTable(freshNanos);
   }
 
   /**
-   * Takes a prober's vouches in place of its earlier ones; they count from its next beat on.
+   * Replaces all reports of a prober. The new reports count only after the prober's next heartbeat.
    *
    * @param prober the prober's name and incarnation
-   * @param version the version of the vouches
-   * @param members what it found at each node that answers
+   * @param version the version of the reports
+   * @param members the prober's report about each node that answers
    */
   public synchronized void setReports(String prober, long version, List<NodeReport> members) {
     Prober source = probers.computeIfAbsent(prober, name -> new Prober());
@@ -67,29 +66,29 @@
   }
 
   private void replace(String node, Prober source, int index, @Nullable NodeReport member) {
-    List<Entry> kept = new ArrayList<>();
+    List<Entry> remaining = new ArrayList<>();
     for (Entry entry : entries.getOrDefault(node, List.of())) {
       if (entry.source() != source) {
-        kept.add(entry);
+        remaining.add(entry);
       }
     }
     if (member != null) {
-      kept.add(new Entry(source, index, member));
+      remaining.add(new Entry(source, index, member));
     }
-    if (kept.isEmpty()) {
+    if (remaining.isEmpty()) {
       entries.remove(node);
     } else {
-      entries.put(node, List.copyOf(kept));
+      entries.put(node, List.copyOf(remaining));
     }
   }
 
   /**
-   * Renews a prober's vouches.
+   * Renews the reports of a prober on a heartbeat.
    *
    * @param prober the prober's name and incarnation
-   * @param version the version that it renews; another than the last one taken is ignored
-   * @param evidenceNanos a moment that is older than all probes behind the vouches
-   * @param loads running and waiting requests of each vouched node, in the order of the vouches
+   * @param version the version to renew; the call is ignored unless this is the current version
+   * @param evidenceNanos a time before all probes that the reports are based on
+   * @param loads running and waiting requests of each reported node, in the order of the reports
    */
   public synchronized void renewReports(
       String prober, long version, long evidenceNanos, int[] loads) {
@@ -101,7 +100,7 @@
   }
 
   /**
-   * Forgets a prober and all it vouched for.
+   * Removes a prober and all its reports.
    *
    * @param prober the prober's name and incarnation
    */
@@ -111,19 +110,19 @@
   }
 
   /**
-   * Distrusts a node until evidence that is younger than now.
+   * Suspects a node until a later probe confirms it.
    *
-   * @param node the node that refused a connection or broke an answer off
-   * @param nowNanos now
+   * @param node the node that refused a connection or aborted a response
+   * @param nowNanos the current time
    */
   public void suspect(String node, long nowNanos) {
     suspectedAt.merge(node, nowNanos, Math::max);
   }
 
   /**
-   * Sets the nodes that the platform lists as leaving or no longer lists.
+   * Sets the nodes that the platform lists as leaving or no longer lists. They are not used.
    *
-   * @param nodes their names
+   * @param nodes the names of the nodes
    */
   public void setExcludedNodes(Set<String> nodes) {
     excludedNodes = Set.copyOf(nodes);
@@ -133,19 +132,19 @@
    * Tells whether a replica may serve.
    *
    * @param replica the replica
-   * @param nowNanos now
-   * @return true when every member is vouched for
+   * @param nowNanos the current time
+   * @return true when the replica is not draining and every member is confirmed as ready
    */
   public boolean mayServe(Replica replica, long nowNanos) {
     return !replica.draining() && missingMember(replica, nowNanos) == null;
   }
 
   /**
-   * Finds the first member that keeps a replica from serving.
+   * Finds the first member that is excluded or not confirmed as ready.
    *
    * @param replica the replica
-   * @param nowNanos now
-   * @return the member's name, or null when none is missing
+   * @param nowNanos the current time
+   * @return the member's name, or null when all members are ready
    */
   public @Nullable String missingMember(Replica replica, long nowNanos) {
     Set<String> excluded = excludedNodes;
@@ -158,11 +157,12 @@
   }
 
   /**
-   * The newest fresh report of a node, with the load of the last beat that renewed it.
+   * Returns the newest fresh report about a node, with the load from the last heartbeat.
    *
    * @param node the node's name
-   * @param nowNanos now
-   * @return the report; its load is -1 until a beat has told it; nothing when no report is fresh
+   * @param nowNanos the current time
+   * @return the report, with a load of -1 until a heartbeat contains one; nothing without a fresh
+   *     report
    */
   public Optional<NodeReport> report(String node, long nowNanos) {
     Entry newest = null;
@@ -177,11 +177,12 @@
   }
 
   /**
-   * Tells whether a plain service's node may be used.
+   * Tells whether the node of a plain service may be used.
    *
    * @param node the node's name
-   * @param nowNanos now
-   * @return true when a prober has seen it lately and nothing speaks against it
+   * @param nowNanos the current time
+   * @return true when the node has a fresh report that is newer than the last suspicion, and is not
+   *     excluded
    */
   public boolean isAlive(String node, long nowNanos) {
     if (excludedNodes.contains(node)) {
--- a/fawnvale-core/src/main/java/org/fawnvale/core/readiness/package-info.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/readiness/package-info.java
@@ -1,4 +1,4 @@
-/** Which replicas may serve, by evidence on each of their members. */
+/** Readiness: which replicas may serve, based on fresh reports about each of their members. */
 @NullMarked
 package org.fawnvale.core.readiness;
 
--- a/fawnvale-core/src/test/java/org/fawnvale/core/readiness/ReadinessFuzzTest.java
+++ b/fawnvale-core/src/test/java/org/fawnvale/core/readiness/ReadinessFuzzTest.java
@@ -19,8 +19,8 @@
 import org.fawnvale.core.model.Replica;
 
 /**
- * A replica may serve only if each member was truly a ready member within the freshness limit:
- * members that die, return and change, probers and gateways that freeze, beats that are late.
+ * Guards against a replica that may serve although a member has not been ready within the freshness
+ * limit, with failing and returning members, paused processes and delayed heartbeats.
  */
 class ReadinessFuzzTest {
 
@@ -28,35 +28,35 @@
   private static final List<String> NODES = List.of("a", "b", "c");
   private static final Replica REPLICA = new Replica("r", "role", "m", "1", 7, NODES, false);
 
-  /** What happens next. */
+  /** The kind of a step. */
   enum Kind {
     /** Time passes. */
-    PASS,
-    /** A node becomes a ready member, or stops being one. */
-    TURN,
+    ADVANCE,
+    /** A node becomes ready, or stops being ready. */
+    TOGGLE_READY,
     /** A prober probes all nodes. */
     PROBE,
-    /** A prober sends what it found, and a beat. */
-    BEAT,
-    /** The gateway sends its stamp to a prober. */
-    STAMP,
+    /** A prober sends its reports and a heartbeat. */
+    HEARTBEAT,
+    /** The gateway sends its timestamp to a prober. */
+    SEND_TIMESTAMP,
     /** The oldest message to the gateway arrives. */
-    ARRIVE,
+    DELIVER,
     /** The oldest message to a prober arrives. */
-    ARRIVE_STAMP
+    DELIVER_TIMESTAMP
   }
 
   /** One step. */
   record Step(Kind kind, int prober, int node, long millis) {}
 
-  /** A prober whose clock has an offset of its own. */
+  /** A prober whose clock differs from the gateway's clock by a constant offset. */
   private static final class Prober {
     private final String name;
     private final long offset;
-    private final PeerTimestampLog stamps = new PeerTimestampLog();
-    private final Deque<Long> stampsOnTheWay = new ArrayDeque<>();
+    private final PeerTimestampLog timestamps = new PeerTimestampLog();
+    private final Deque<Long> timestampsInFlight = new ArrayDeque<>();
     private final Deque<Runnable> toGateway = new ArrayDeque<>();
-    private final Map<String, NodeReport> found = new HashMap<>();
+    private final Map<String, NodeReport> probeResults = new HashMap<>();
     private long probedAt;
     private long version;
 
@@ -65,11 +65,11 @@
       this.offset = offset;
     }
 
-    void beat(ReadinessTable table) {
+    void sendHeartbeat(ReadinessTable table) {
       version++;
       long sentVersion = version;
-      List<NodeReport> reports = new ArrayList<>(found.values());
-      long echo = stamps.newestAt(probedAt);
+      List<NodeReport> reports = new ArrayList<>(probeResults.values());
+      long echo = timestamps.newestAt(probedAt);
       toGateway.add(() -> table.setReports(name, sentVersion, reports));
       if (echo != 0) {
         toGateway.add(() -> table.renewReports(name, sentVersion, echo, new int[0]));
@@ -78,7 +78,7 @@
   }
 
   @Property(tries = 1500, seed = "20261202")
-  void noMemberWasAwayForLongerThanTheLimit(@ForAll("steps") List<Step> steps) {
+  void aReplicaServesOnlyIfItsMembersWereReadyWithinTheLimit(@ForAll("steps") List<Step> steps) {
     ReadinessTable table = ReadinessTable.create(FRESH);
     List<Prober> probers = List.of(new Prober("p", 5_000), new Prober("q", -3_000));
     Map<String, Long> lastReady = new HashMap<>();
@@ -89,23 +89,23 @@
       Prober prober = probers.get(step.prober());
       String node = NODES.get(step.node());
       switch (step.kind()) {
-        case PASS -> now += step.millis();
-        case TURN -> {
-          noteReady(ready, lastReady, now);
+        case ADVANCE -> now += step.millis();
+        case TOGGLE_READY -> {
+          recordReady(ready, lastReady, now);
           ready.merge(node, true, (before, x) -> !before);
         }
         case PROBE -> probe(prober, ready, now);
-        case BEAT -> prober.beat(table);
-        case STAMP -> prober.stampsOnTheWay.add(now);
-        case ARRIVE -> run(prober.toGateway.poll());
+        case HEARTBEAT -> prober.sendHeartbeat(table);
+        case SEND_TIMESTAMP -> prober.timestampsInFlight.add(now);
+        case DELIVER -> run(prober.toGateway.poll());
         default -> {
-          Long stamp = prober.stampsOnTheWay.poll();
-          if (stamp != null) {
-            prober.stamps.add(stamp, now + prober.offset);
+          Long timestamp = prober.timestampsInFlight.poll();
+          if (timestamp != null) {
+            prober.timestamps.add(timestamp, now + prober.offset);
           }
         }
       }
-      noteReady(ready, lastReady, now);
+      recordReady(ready, lastReady, now);
       if (table.mayServe(REPLICA, now)) {
         for (String member : NODES) {
           assertThat(now - lastReady.getOrDefault(member, Long.MIN_VALUE / 2))
@@ -122,22 +122,23 @@
     }
   }
 
-  private static void noteReady(Map<String, Boolean> ready, Map<String, Long> lastReady, long now) {
+  private static void recordReady(
+      Map<String, Boolean> ready, Map<String, Long> lastReady, long now) {
     ready.forEach(
-        (node, is) -> {
-          if (is) {
+        (node, isReady) -> {
+          if (isReady) {
             lastReady.put(node, now);
           }
         });
   }
 
   private static void probe(Prober prober, Map<String, Boolean> ready, long now) {
-    prober.found.clear();
+    prober.probeResults.clear();
     prober.probedAt = now + prober.offset;
     ready.forEach(
-        (node, is) -> {
-          if (is) {
-            prober.found.put(
+        (node, isReady) -> {
+          if (isReady) {
+            prober.probeResults.put(
                 node, new NodeReport(node, "1", "r", 7, "1", "m@1", NodeReport.State.READY, 0, 0));
           }
         });
@@ -147,13 +148,13 @@
   Arbitrary<List<Step>> steps() {
     Arbitrary<Kind> kind =
         Arbitraries.frequency(
-            Tuple.of(3, Kind.PASS),
-            Tuple.of(1, Kind.TURN),
+            Tuple.of(3, Kind.ADVANCE),
+            Tuple.of(1, Kind.TOGGLE_READY),
             Tuple.of(3, Kind.PROBE),
-            Tuple.of(4, Kind.BEAT),
-            Tuple.of(3, Kind.STAMP),
-            Tuple.of(8, Kind.ARRIVE),
-            Tuple.of(4, Kind.ARRIVE_STAMP));
+            Tuple.of(4, Kind.HEARTBEAT),
+            Tuple.of(3, Kind.SEND_TIMESTAMP),
+            Tuple.of(8, Kind.DELIVER),
+            Tuple.of(4, Kind.DELIVER_TIMESTAMP));
     return Combinators.combine(
             kind,
             Arbitraries.integers().between(0, 1),
