--- a/fawnvale-core/src/main/java/org/fawnvale/core/routing/Candidate.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/routing/Candidate.java
@@ -1,10 +1,10 @@
 package org.fawnvale.core.routing;
 
 /**
- * One replica that a request may go to.
+ * A replica that a request may be sent to.
  *
- * @param key names the replica and its generation
- * @param load what is known of its work
- * @param maximumConcurrent requests that it runs at once
+ * @param key identifies the replica and its generation
+ * @param load the estimated load of the replica
+ * @param maximumConcurrent requests that the replica runs concurrently
  */
 public record Candidate(String key, ReplicaLoad load, int maximumConcurrent) {}
--- a/fawnvale-core/src/main/java/org/fawnvale/core/routing/Prefix.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/routing/Prefix.java
@@ -4,13 +4,13 @@
 import java.util.Arrays;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** Hashes of a prompt's prefixes, block by block; equal prefixes have equal hashes. */
+/** Chained hashes of the fixed-size blocks of a prompt; equal prefixes have equal hashes. */
 public final class Prefix {
 
-  /** Characters of a block. */
+  /** Block size, in characters. */
   public static final int BLOCK_CHARACTERS = 256;
 
-  /** Blocks that are looked at; longer prompts are told apart by these. */
+  /** Maximum number of blocks that are hashed; the rest of a longer prompt is ignored. */
   public static final int MAXIMUM_BLOCKS = 128;
 
   private final long[] blocks;
@@ -21,12 +21,7 @@
     this.characters = characters;
   }
 
-  /**
-   * Hashes a prompt.
-   *
-   * @param prompt the prompt
-   * @return its prefixes
-   */
+  /** Computes the hashes of a prompt. */
   public static Prefix of(CharSequence prompt) {
     int count = Math.min(MAXIMUM_BLOCKS, prompt.length() / BLOCK_CHARACTERS);
     long[] blocks = new long[count];
@@ -41,39 +36,26 @@
     return new Prefix(blocks, prompt.length());
   }
 
-  /**
-   * The hash of each prefix that ends with a whole block.
-   *
-   * @return the hashes, the shortest prefix first
-   */
+  /** Returns the hash of each prefix that ends with a whole block, the shortest prefix first. */
   public long[] blocks() {
     return Arrays.copyOf(blocks, blocks.length);
   }
 
-  /**
-   * How many blocks there are.
-   *
-   * @return blocks
-   */
+  /** Returns the number of whole blocks, at most {@link #MAXIMUM_BLOCKS}. */
   public int length() {
     return blocks.length;
   }
 
   /**
-   * The hash of one prefix.
+   * Returns the hash of one prefix.
    *
-   * @param index the last block of the prefix, from 0
-   * @return the hash
+   * @param index index of the last block of the prefix, from 0
    */
   public long block(int index) {
     return blocks[index];
   }
 
-  /**
-   * The prompt's length.
-   *
-   * @return characters
-   */
+  /** Returns the length of the whole prompt, in characters. */
   public int characters() {
     return characters;
   }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/routing/PrefixIndex.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/routing/PrefixIndex.java
@@ -6,10 +6,9 @@
 import java.util.Map;
 
 /**
- * Bounded guess of which replica has which prompt prefix cached.
+ * Estimates which prompt prefixes each replica has cached, with a bounded number of blocks.
  *
- * <p>It learns from this daemon's own requests and from engines' cache events. Safe for several
- * threads.
+ * <p>Callers record the prompts that a replica has run. Thread-safe.
  */
 public final class PrefixIndex {
 
@@ -23,15 +22,15 @@
   /**
    * Creates an empty index.
    *
-   * @param maximumBlocksPerReplica blocks that are remembered of each replica
-   * @return the index
+   * @param maximumBlocksPerReplica maximum number of blocks kept for each replica; the least
+   *     recently used ones are evicted
    */
   public static PrefixIndex create(int maximumBlocksPerReplica) {
     return new PrefixIndex(maximumBlocksPerReplica);
   }
 
   /**
-   * Notes that a replica has run a prompt.
+   * Records that a replica has run a prompt.
    *
    * @param replica the replica's key
    * @param prefix the prompt's prefixes
@@ -50,7 +49,7 @@
   }
 
   /**
-   * Forgets a replica: it was rebuilt, or its events have a gap.
+   * Removes all blocks of a replica, for example after it was rebuilt.
    *
    * @param replica the replica's key
    */
@@ -59,11 +58,11 @@
   }
 
   /**
-   * Guesses how much of a prompt a replica has cached.
+   * Estimates how much of a prompt a replica has cached.
    *
    * @param replica the replica's key
    * @param prefix the prompt's prefixes
-   * @return characters
+   * @return the length of the cached prefix, in characters
    */
   public synchronized int cachedCharacters(String replica, Prefix prefix) {
     Map<Long, Boolean> blocks = replicas.get(replica);
--- a/fawnvale-core/src/main/java/org/fawnvale/core/routing/ReplicaLoad.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/routing/ReplicaLoad.java
@@ -1,77 +1,72 @@
 package org.fawnvale.core.routing;
 
 /**
- * What one daemon knows of the work at one replica.
+ * One daemon's estimate of the load of one replica.
  *
- * <p>The engine's report is late and counts the requests of all daemons. Requests that this daemon
- * has started or seen end since the report arrived are added to it. Safe for several threads.
+ * <p>The engine's load report counts the requests of all daemons, but arrives with a delay. The
+ * estimate corrects it by the requests that this daemon has started and ended since the report
+ * arrived. Thread-safe.
  */
 public final class ReplicaLoad {
 
-  private static final double WEIGHT_OF_NEW = 0.2;
-  private static final double FIRST_SERVICE_MILLIS = 1000;
-  private static final double FIRST_MICROS_PER_CHARACTER = 20;
-  private static final int SHORTEST_MEASURED_PROMPT = 64;
+  private static final double SMOOTHING_FACTOR = 0.2;
+  private static final double INITIAL_SERVICE_MILLIS = 1000;
+  private static final double INITIAL_MICROS_PER_CHARACTER = 20;
+  private static final int MINIMUM_MEASURED_CHARACTERS = 64;
 
   private int own;
   private int ownAtReport;
   private int reported;
-  private double serviceMillis = FIRST_SERVICE_MILLIS;
-  private double prefillMicrosPerCharacter = FIRST_MICROS_PER_CHARACTER;
+  private double serviceMillis = INITIAL_SERVICE_MILLIS;
+  private double prefillMicrosPerCharacter = INITIAL_MICROS_PER_CHARACTER;
 
-  /** Notes that a request was sent. */
+  /** Records that this daemon has sent a request to the replica. */
   public synchronized void started() {
     own++;
   }
 
   /**
-   * Notes that a request ended.
+   * Records that a request of this daemon has ended.
    *
-   * @param millis how long it took; negative when it failed and says nothing about speed
+   * @param millis duration of the request, milliseconds; negative when it failed, then the duration
+   *     is not used
    */
   public synchronized void ended(double millis) {
     own--;
     if (millis >= 0) {
-      serviceMillis = blend(serviceMillis, millis);
+      serviceMillis = smooth(serviceMillis, millis);
     }
   }
 
   /**
-   * Notes how long a first token took at a replica that was not full.
+   * Records the time to the first token.
    *
-   * @param millis from sending to the first token
-   * @param characters characters of the prompt that were not expected to be cached
+   * @param millis time from sending the request to the first token, milliseconds
+   * @param characters characters of the prompt that were not expected to be cached; short prompts
+   *     are ignored
    */
   public synchronized void firstToken(double millis, int characters) {
-    if (characters >= SHORTEST_MEASURED_PROMPT) {
-      prefillMicrosPerCharacter = blend(prefillMicrosPerCharacter, millis * 1000 / characters);
+    if (characters >= MINIMUM_MEASURED_CHARACTERS) {
+      prefillMicrosPerCharacter = smooth(prefillMicrosPerCharacter, millis * 1000 / characters);
     }
   }
 
   /**
-   * Takes an engine's report.
+   * Records a load report of the engine.
    *
-   * @param outstanding requests that run or wait there, of all daemons
+   * @param outstanding running and waiting requests of all daemons
    */
   public synchronized void reported(int outstanding) {
     reported = outstanding;
     ownAtReport = own;
   }
 
-  /**
-   * Estimates the requests that run or wait at the replica.
-   *
-   * @return how many, of all daemons
-   */
+  /** Estimates the number of running and waiting requests of all daemons at the replica. */
   public synchronized int outstanding() {
     return Math.max(own, reported + own - ownAtReport);
   }
 
-  /**
-   * Requests that this daemon has there.
-   *
-   * @return how many
-   */
+  /** Returns the number of outstanding requests of this daemon at the replica. */
   public synchronized int own() {
     return own;
   }
@@ -79,9 +74,9 @@
   /**
    * Estimates the time to the first token.
    *
-   * @param characters length of the prompt
-   * @param cachedCharacters how much of it is expected to be cached
-   * @param maximumConcurrent requests that the replica runs at once
+   * @param characters length of the prompt, in characters
+   * @param cachedCharacters characters of the prompt that are expected to be cached
+   * @param maximumConcurrent requests that the replica runs concurrently
    * @return milliseconds
    */
   public synchronized double firstTokenMillis(
@@ -92,7 +87,7 @@
     return wait + prefill;
   }
 
-  private static double blend(double old, double next) {
-    return old * (1 - WEIGHT_OF_NEW) + next * WEIGHT_OF_NEW;
+  private static double smooth(double average, double sample) {
+    return average * (1 - SMOOTHING_FACTOR) + sample * SMOOTHING_FACTOR;
   }
 }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/routing/Router.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/routing/Router.java
@@ -10,11 +10,11 @@
 import org.fawnvale.core.hash.Rendezvous;
 
 /**
- * Picks the replica with the shortest expected time to the first token.
+ * Selects the replica with the shortest expected time to the first token.
  *
- * <p>It looks at a few candidates only: some at random, so that many daemons do not all pick the
- * same one, and the ones that the prompt's first block hashes to, so that requests with a shared
- * prefix meet at the same replicas without any exchange between daemons.
+ * <p>The router compares a random sample of the candidates, so that several daemons do not all
+ * select the same replica. It adds the candidates that the first block of the prompt hashes to, so
+ * that all daemons send requests with a common prefix to the same replicas without coordination.
  */
 public final class Router {
 
@@ -22,16 +22,17 @@
   private final Settings settings;
 
   /**
-   * What the router may use.
+   * Settings of the router.
    *
-   * @param sampled candidates looked at at random
-   * @param affine candidates looked at because the prefix hashes to them; 0 for none
-   * @param useCache true to count cached prefixes
-   * @param overcommit requests beyond the concurrent ones that may wait at a replica, as a share
+   * @param sampled number of randomly sampled candidates
+   * @param affine number of candidates selected by the hash of the prefix; 0 for none
+   * @param useCache whether expected cache hits reduce the expected time
+   * @param overcommit requests that may wait at a replica, as a share of those that it runs
+   *     concurrently
    */
   public record Settings(int sampled, int affine, boolean useCache, double overcommit) {
 
-    /** What measurement speaks for; see docs/MEASUREMENTS.md. */
+    /** The settings that daemons use. */
     public static final Settings DEFAULT = new Settings(16, 2, true, 0);
   }
 
@@ -43,23 +44,22 @@
   /**
    * Creates a router.
    *
-   * @param index guesses of what is cached where
-   * @param settings what it may use
-   * @return the router
+   * @param index estimates of the prefixes that each replica has cached
+   * @param settings the settings
    */
   public static Router create(PrefixIndex index, Settings settings) {
     return new Router(index, settings);
   }
 
   /**
-   * Picks a replica that is not full.
+   * Selects a replica that can take another request.
    *
    * @param candidates all replicas of the model
    * @param prefix the prompt's prefixes
-   * @param usable tells whether a replica may be used for this request; asked for the few that are
-   *     looked at only
-   * @param random gives a number from 0 to below its argument
-   * @return the replica, or nothing when none of those looked at is usable and has room
+   * @param usable whether a replica may be used for this request; called only for candidates that
+   *     would be selected
+   * @param random returns a random number from 0, less than its argument
+   * @return the replica, or nothing when no candidate is usable and has capacity
    */
   public Optional<Candidate> pick(
       List<Candidate> candidates,
@@ -74,17 +74,17 @@
   }
 
   private Optional<Candidate> best(
-      Iterable<Candidate> looked, Prefix prefix, Predicate<Candidate> usable) {
+      Iterable<Candidate> considered, Prefix prefix, Predicate<Candidate> usable) {
     Candidate best = null;
     double bestMillis = Double.POSITIVE_INFINITY;
-    for (Candidate candidate : looked) {
+    for (Candidate candidate : considered) {
       double millis = expectedMillis(candidate, prefix);
       boolean better =
           millis < bestMillis
               || millis == bestMillis
                   && best != null
                   && candidate.load().outstanding() < best.load().outstanding();
-      if (better && hasRoom(candidate) && usable.test(candidate)) {
+      if (better && hasCapacity(candidate) && usable.test(candidate)) {
         best = candidate;
         bestMillis = millis;
       }
@@ -99,7 +99,7 @@
         .firstTokenMillis(prefix.characters(), cached, candidate.maximumConcurrent());
   }
 
-  private boolean hasRoom(Candidate candidate) {
+  private boolean hasCapacity(Candidate candidate) {
     double limit = candidate.maximumConcurrent() * (1 + settings.overcommit());
     return candidate.load().outstanding() < limit;
   }
@@ -119,7 +119,9 @@
     return sample;
   }
 
-  /** Jump-free choice in constant time: the list is the same on all daemons, sorted by key. */
+  /**
+   * Selects candidates by hash; all daemons must have the same list of candidates, sorted by key.
+   */
   private List<Candidate> affine(List<Candidate> candidates, long hash) {
     List<Candidate> chosen = new ArrayList<>();
     for (int i = 0; i < settings.affine(); i++) {
--- a/fawnvale-core/src/main/java/org/fawnvale/core/routing/package-info.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/routing/package-info.java
@@ -1,4 +1,4 @@
-/** Which ready replica a request goes to. */
+/** Routing: selects the replica that a request is sent to. */
 @NullMarked
 package org.fawnvale.core.routing;
 
