--- a/fawnvale-core/src/main/java/org/fawnvale/core/limits/AdmissionQueue.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/limits/AdmissionQueue.java
@@ -11,33 +11,36 @@
 import org.fawnvale.core.outcome.Outcome;
 
 /**
- * Requests that wait for a turn: a fair queue with admission.
+ * A fair queue of requests with admission control.
  *
- * <p>A request that is expected to end after its deadline is refused at once, when it comes and
- * again when its turn is there: running it would take the place of one that can still be in time.
- * So is one whose flow already has too many waiting. Not safe for several threads; the owner locks.
- * All moments are one monotonic clock in nanoseconds.
+ * <p>The queue refuses a request that is expected to end after its deadline, both on arrival and
+ * before dispatch, because it would use capacity that other requests could use in time. It also
+ * refuses a request whose flow has too many waiting requests. Not thread-safe; the owner has to
+ * synchronize. All times are in nanoseconds of one monotonic clock.
  *
- * @param <T> the requests
+ * @param <T> the type of the requests
  */
 public final class AdmissionQueue<T> {
 
-  private static final double HOPELESS_SHARE = 0.7;
-  private static final double WEIGHT_OF_NEW = 0.1;
+  private static final double MINIMUM_SERVICE_FACTOR = 0.7;
+  private static final double SMOOTHING_FACTOR = 0.1;
 
   private final FairQueue<Waiting<T>> queue;
   private final Map<String, FlowEstimate> estimates = new HashMap<>();
 
   private record Waiting<T>(T request, String flow, long deadlineNanos) {}
 
-  /** What is known of one flow: how fast its queue moves, and how long its requests run. */
+  /** Estimates for one flow: the waiting time in its queue and the service time of its requests. */
   private static final class FlowEstimate {
     private final WaitEstimate wait = new WaitEstimate();
     private double serviceNanos;
 
-    /** Most requests of the flow take longer than this, so it refuses only the hopeless. */
-    long shortestServiceNanos() {
-      return (long) (serviceNanos * HOPELESS_SHARE);
+    /**
+     * A lower estimate of the service time, so that only requests that would almost surely be late
+     * are refused.
+     */
+    long minimumServiceNanos() {
+      return (long) (serviceNanos * MINIMUM_SERVICE_FACTOR);
     }
   }
 
@@ -48,29 +51,29 @@
   /**
    * Creates an empty queue.
    *
-   * @param maximumPerFlow requests that one flow may have waiting
-   * @param <T> the requests
-   * @return the queue
+   * @param maximumPerFlow maximum number of waiting requests of one flow
+   * @param <T> the type of the requests
    */
   public static <T> AdmissionQueue<T> create(int maximumPerFlow) {
     return new AdmissionQueue<>(maximumPerFlow);
   }
 
   /**
-   * Lets a request wait, or refuses it.
+   * Queues a request, or refuses it.
    *
-   * @param flow its flow
-   * @param weight the flow's weight, over 0
-   * @param deadlineNanos when nobody waits for it any more
-   * @param nowNanos now
+   * @param flow the flow of the request
+   * @param weight the weight of the flow, greater than 0
+   * @param deadlineNanos the deadline of the request
+   * @param nowNanos the current time
    * @param request the request
-   * @return why it is refused and when to come back; nothing when it waits
+   * @return the reason for the refusal and the time to retry after; nothing when the request is
+   *     queued
    */
   public Optional<Outcome.NotRun> offer(
       String flow, double weight, long deadlineNanos, long nowNanos, T request) {
     FlowEstimate estimate = estimateOf(flow);
     long waitNanos = estimate.wait.waitNanos(queue.size(flow));
-    if (waitNanos + estimate.shortestServiceNanos() > deadlineNanos - nowNanos) {
+    if (waitNanos + estimate.minimumServiceNanos() > deadlineNanos - nowNanos) {
       return Optional.of(notRun("It would end after its deadline.", waitNanos));
     }
     if (!queue.offer(flow, weight, 1, new Waiting<>(request, flow, deadlineNanos))) {
@@ -84,47 +87,50 @@
   }
 
   /**
-   * Gives turns for as long as there are places.
+   * Dispatches requests until the queue is empty or there is no target for the next request.
    *
-   * @param nowNanos now
-   * @param place finds the place for a request whose turn it is, if there is one
-   * @param onTurn told of each request that got a place
-   * @param onLate told of each request that can no longer be in time
-   * @param <P> the places
+   * @param nowNanos the current time
+   * @param selectTarget selects a target for the next request, if there is one
+   * @param onDispatch called with each dispatched request and its target
+   * @param onLate called with each request that can no longer meet its deadline
+   * @param <P> the type of the targets
    */
   public <P> void dispatch(
-      long nowNanos, Function<T, Optional<P>> place, BiConsumer<T, P> onTurn, Consumer<T> onLate) {
+      long nowNanos,
+      Function<T, Optional<P>> selectTarget,
+      BiConsumer<T, P> onDispatch,
+      Consumer<T> onLate) {
     Waiting<T> next = queue.peek();
     while (next != null) {
       FlowEstimate estimate = estimateOf(next.flow());
-      if (next.deadlineNanos() - nowNanos <= estimate.shortestServiceNanos()) {
+      if (next.deadlineNanos() - nowNanos <= estimate.minimumServiceNanos()) {
         queue.poll();
         onLate.accept(next.request());
       } else {
-        Optional<P> found = place.apply(next.request());
-        if (found.isEmpty()) {
+        Optional<P> target = selectTarget.apply(next.request());
+        if (target.isEmpty()) {
           return;
         }
         queue.poll();
         estimate.wait.recordDeparture(nowNanos, queue.size(next.flow()) > 0);
-        onTurn.accept(next.request(), found.get());
+        onDispatch.accept(next.request(), target.get());
       }
       next = queue.peek();
     }
   }
 
   /**
-   * Notes how long a request ran.
+   * Records the service time of a request.
    *
-   * @param flow its flow
-   * @param nanos from its turn to its end, nanoseconds
+   * @param flow the flow of the request
+   * @param nanos time from dispatch to the end of the request, nanoseconds
    */
   public void recordServiceTime(String flow, long nanos) {
     FlowEstimate estimate = estimateOf(flow);
     estimate.serviceNanos =
         estimate.serviceNanos == 0
             ? nanos
-            : estimate.serviceNanos * (1 - WEIGHT_OF_NEW) + nanos * WEIGHT_OF_NEW;
+            : estimate.serviceNanos * (1 - SMOOTHING_FACTOR) + nanos * SMOOTHING_FACTOR;
   }
 
   private FlowEstimate estimateOf(String flow) {
@@ -132,19 +138,15 @@
   }
 
   /**
-   * Takes requests out that no longer wait.
+   * Removes all waiting requests that match.
    *
-   * @param condition tells which
+   * @param condition true for the requests to remove
    */
   public void removeIf(Predicate<T> condition) {
     queue.removeIf(waiting -> condition.test(waiting.request()));
   }
 
-  /**
-   * Requests that wait.
-   *
-   * @return how many
-   */
+  /** Returns the number of waiting requests. */
   public int size() {
     return queue.size();
   }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/limits/FairQueue.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/limits/FairQueue.java
@@ -9,13 +9,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Bounded queue that serves its flows by weight, whatever each of them sends.
+ * Bounded queue that shares its service among flows by weight, regardless of how much each flow
+ * offers.
  *
  * <p>Start-time fair queueing (Goyal, Vin and Cheng, 1996): each item gets a start tag, the later
- * of the queue's virtual time and its flow's last finish tag; the item with the lowest start tag
- * goes first. Not safe for several threads; the owner locks.
+ * of the queue's virtual time and its flow's last finish tag; the item with the lowest start tag is
+ * removed first. Not thread-safe; the owner has to synchronize.
  *
- * @param <T> the items
+ * @param <T> the type of the items
  */
 public final class FairQueue<T> {
 
@@ -31,9 +32,8 @@
   /**
    * Creates an empty queue.
    *
-   * @param maximumPerFlow items that one flow may have waiting
-   * @param <T> the items
-   * @return the queue
+   * @param maximumPerFlow maximum number of waiting items of one flow
+   * @param <T> the type of the items
    */
   public static <T> FairQueue<T> create(int maximumPerFlow) {
     return new FairQueue<>(maximumPerFlow);
@@ -42,11 +42,11 @@
   /**
    * Adds an item.
    *
-   * @param flow its flow
-   * @param weight the flow's weight, over 0
-   * @param cost how much of its share the item uses, over 0
+   * @param flow the flow of the item
+   * @param weight the weight of the flow, greater than 0
+   * @param cost the cost of the item, greater than 0
    * @param item the item
-   * @return false when the flow has too many waiting; the item was not added
+   * @return false when the flow is full; the item was not added
    */
   public boolean offer(String flow, double weight, double cost, T item) {
     Flow<T> queue = flows.computeIfAbsent(flow, name -> new Flow<>());
@@ -55,13 +55,13 @@
     }
     double start = Math.max(virtualTime, queue.lastFinish);
     queue.lastFinish = start + cost / weight;
-    queue.waiting.add(new Tagged<>(start, item));
+    queue.waiting.add(new TaggedItem<>(start, item));
     size++;
     return true;
   }
 
   /**
-   * Looks at the item whose turn it is.
+   * Returns the next item without removing it.
    *
    * @return the item, or null when the queue is empty
    */
@@ -71,7 +71,7 @@
   }
 
   /**
-   * Removes the item whose turn it is.
+   * Removes and returns the next item.
    *
    * @return the item, or null when the queue is empty
    */
@@ -80,23 +80,23 @@
     if (next == null) {
       return null;
     }
-    Tagged<T> tagged = next.waiting.remove();
+    TaggedItem<T> tagged = next.waiting.remove();
     virtualTime = Math.max(virtualTime, tagged.start());
     size--;
-    forgetIdleFlows();
+    removeIdleFlows();
     return tagged.item();
   }
 
   /**
    * Removes all items that match.
    *
-   * @param condition tells which
-   * @return how many were removed
+   * @param condition true for the items to remove
+   * @return the number of removed items
    */
   public int removeIf(Predicate<T> condition) {
     int removed = 0;
     for (Flow<T> flow : flows.values()) {
-      for (Iterator<Tagged<T>> items = flow.waiting.iterator(); items.hasNext(); ) {
+      for (Iterator<TaggedItem<T>> items = flow.waiting.iterator(); items.hasNext(); ) {
         if (condition.test(items.next().item())) {
           items.remove();
           removed++;
@@ -107,21 +107,12 @@
     return removed;
   }
 
-  /**
-   * Items that wait.
-   *
-   * @return how many
-   */
+  /** Returns the number of waiting items. */
   public int size() {
     return size;
   }
 
-  /**
-   * Items of one flow that wait.
-   *
-   * @param flow the flow
-   * @return how many
-   */
+  /** Returns the number of waiting items of one flow. */
   public int size(String flow) {
     Flow<T> queue = flows.get(flow);
     return queue == null ? 0 : queue.waiting.size();
@@ -140,14 +131,14 @@
     return best;
   }
 
-  private void forgetIdleFlows() {
+  private void removeIdleFlows() {
     flows.values().removeIf(flow -> flow.waiting.isEmpty() && flow.lastFinish <= virtualTime);
   }
 
-  private record Tagged<T>(double start, T item) {}
+  private record TaggedItem<T>(double start, T item) {}
 
   private static final class Flow<T> {
-    private final Deque<Tagged<T>> waiting = new ArrayDeque<>();
+    private final Deque<TaggedItem<T>> waiting = new ArrayDeque<>();
     private double lastFinish;
   }
 }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/limits/RequestClass.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/limits/RequestClass.java
@@ -3,13 +3,13 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** How soon a request is wanted; a higher class goes first within its workspace's share. */
+/** The priority class of a request; classes divide the share of their workspace by weight. */
 public enum RequestClass {
-  /** Somebody waits at the counter. */
+  /** A person is waiting for the response. */
   INTERACTIVE(4),
-  /** The usual. */
+  /** The default class. */
   STANDARD(2),
-  /** May wait for the others. */
+  /** Background work without a waiting person. */
   BATCH(1);
 
   private final int weight;
@@ -18,29 +18,21 @@
     this.weight = weight;
   }
 
-  /**
-   * The class's part of its workspace's share, relative to the other classes.
-   *
-   * @return the weight
-   */
+  /** Returns the weight of the class within its workspace, relative to the other classes. */
   public int weight() {
     return weight;
   }
 
-  /**
-   * The name as callers, logs and metrics have it.
-   *
-   * @return the name in lower case
-   */
+  /** Returns the lower-case name that requests, logs and metrics use. */
   public String label() {
     return name().toLowerCase(Locale.ROOT);
   }
 
   /**
-   * Reads a name.
+   * Parses the name of a class.
    *
-   * @param text the name, in any case
-   * @return the class, or nothing when there is none of that name
+   * @param text the name, case-insensitive
+   * @return the class, or nothing for an unknown name
    */
   public static Optional<RequestClass> parse(String text) {
     for (RequestClass each : values()) {
--- a/fawnvale-core/src/main/java/org/fawnvale/core/limits/RetryBudget.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/limits/RetryBudget.java
@@ -1,9 +1,9 @@
 package org.fawnvale.core.limits;
 
 /**
- * Allows retries as a share of requests, so that retries cannot outgrow the load that causes them.
+ * Limits retries to a share of the requests, so that retries cannot multiply the load.
  *
- * <p>Each request earns a part of a retry, up to a small reserve. Safe for several threads.
+ * <p>Each first attempt adds a fraction of a retry to the budget, up to a limit. Thread-safe.
  */
 public final class RetryBudget {
 
@@ -20,23 +20,22 @@
   /**
    * Creates a budget with a full reserve.
    *
-   * @param share retries for each request, 0 to 1
-   * @param reserve retries that may be saved up
-   * @return the budget
+   * @param share retries that each request adds, 0 to 1
+   * @param reserve maximum balance, in retries
    */
   public static RetryBudget create(double share, double reserve) {
     return new RetryBudget(share, reserve);
   }
 
-  /** Notes a first attempt. */
+  /** Records a first attempt. */
   public synchronized void earn() {
     balance = Math.min(reserve, balance + share);
   }
 
   /**
-   * Takes a retry out of the budget.
+   * Takes one retry from the budget.
    *
-   * @return false when it is spent; then do not retry
+   * @return false when the budget is exhausted and the caller must not retry
    */
   public synchronized boolean trySpend() {
     if (balance < 1) {
--- a/fawnvale-core/src/main/java/org/fawnvale/core/limits/WaitEstimate.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/limits/WaitEstimate.java
@@ -1,23 +1,24 @@
 package org.fawnvale.core.limits;
 
 /**
- * Estimates how long a queue takes, from how fast it has been moving.
+ * Estimates the waiting time in a queue from the recent rate of departures.
  *
- * <p>Safe for several threads. All moments are one monotonic clock in nanoseconds.
+ * <p>Thread-safe. All times are in nanoseconds of one monotonic clock.
  */
 public final class WaitEstimate {
 
-  private static final double WEIGHT_OF_NEW = 0.1;
+  private static final double SMOOTHING_FACTOR = 0.1;
 
   private double nanosPerDeparture;
   private long lastDepartureNanos;
   private boolean busy;
 
   /**
-   * Notes that an item left while others waited, or that the queue ran empty.
+   * Records that an item left the queue.
    *
-   * @param nowNanos now
-   * @param othersWait true when items still wait, so that the next gap measures the queue's speed
+   * @param nowNanos the current time
+   * @param othersWait whether items still wait; only then does the next departure update the
+   *     estimate
    */
   public synchronized void recordDeparture(long nowNanos, boolean othersWait) {
     if (busy) {
@@ -25,17 +26,17 @@
       nanosPerDeparture =
           nanosPerDeparture == 0
               ? gap
-              : nanosPerDeparture * (1 - WEIGHT_OF_NEW) + gap * WEIGHT_OF_NEW;
+              : nanosPerDeparture * (1 - SMOOTHING_FACTOR) + gap * SMOOTHING_FACTOR;
     }
     lastDepartureNanos = nowNanos;
     busy = othersWait;
   }
 
   /**
-   * Estimates the wait behind a number of items.
+   * Estimates the waiting time behind a number of items.
    *
-   * @param ahead items ahead
-   * @return nanoseconds; 0 while nothing is known
+   * @param ahead number of items ahead
+   * @return the time in nanoseconds; 0 before the first estimate
    */
   public synchronized long waitNanos(int ahead) {
     return (long) (nanosPerDeparture * ahead);
--- a/fawnvale-core/src/main/java/org/fawnvale/core/limits/package-info.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/limits/package-info.java
@@ -1,4 +1,4 @@
-/** Fair queues, admission and retry budgets. */
+/** Fair queueing, admission control and retry budgets. */
 @NullMarked
 package org.fawnvale.core.limits;
 
--- a/fawnvale-core/src/test/java/org/fawnvale/core/limits/FairQueueFuzzTest.java
+++ b/fawnvale-core/src/test/java/org/fawnvale/core/limits/FairQueueFuzzTest.java
@@ -12,38 +12,38 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Nothing is lost, each flow stays in order, and flows that always wait get their shares. */
+/** Guards against lost or reordered items, and against flows that do not get their share. */
 class FairQueueFuzzTest {
 
-  /** An item offered, or one taken when the flow is negative. */
+  /** Offers an item to a flow, or polls the queue when the flow is negative. */
   record Step(int flow, int cost) {}
 
   @Property(tries = 500, seed = "20261202")
-  void keepsEveryItemAndEachFlowsOrder(@ForAll("steps") List<Step> steps) {
+  void keepsAllItemsAndTheirOrderWithinEachFlow(@ForAll("steps") List<Step> steps) {
     FairQueue<int[]> queue = FairQueue.create(10);
     Map<Integer, Integer> offered = new HashMap<>();
-    Map<Integer, Integer> taken = new HashMap<>();
-    int inside = 0;
+    Map<Integer, Integer> polled = new HashMap<>();
+    int expectedSize = 0;
     for (Step step : steps) {
       if (step.flow() < 0) {
         int[] item = queue.poll();
-        assertThat(item == null).isEqualTo(inside == 0);
+        assertThat(item == null).isEqualTo(expectedSize == 0);
         if (item != null) {
-          inside--;
-          assertThat(item[1]).isEqualTo(taken.merge(item[0], 1, Integer::sum));
+          expectedSize--;
+          assertThat(item[1]).isEqualTo(polled.merge(item[0], 1, Integer::sum));
         }
         continue;
       }
       int next = offered.getOrDefault(step.flow(), 0) + 1;
-      boolean room = next - taken.getOrDefault(step.flow(), 0) <= 10;
+      boolean hasRoom = next - polled.getOrDefault(step.flow(), 0) <= 10;
       int[] item = {step.flow(), next};
       assertThat(queue.offer("f" + step.flow(), 1 + step.flow(), step.cost(), item))
-          .isEqualTo(room);
-      if (room) {
+          .isEqualTo(hasRoom);
+      if (hasRoom) {
         offered.put(step.flow(), next);
-        inside++;
+        expectedSize++;
       }
-      assertThat(queue.size()).isEqualTo(inside);
+      assertThat(queue.size()).isEqualTo(expectedSize);
     }
   }
 
