--- a/fawnvale-core/src/main/java/org/fawnvale/core/claims/ClaimSlot.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/claims/ClaimSlot.java
@@ -5,18 +5,18 @@
 import org.fawnvale.core.hash.Rendezvous;
 
 /**
- * The claimed keys of one slot; one object of the platform.
+ * The claimed request keys of one slot, stored as one object on the platform.
  *
- * <p>Moments are the wall clock in milliseconds, since daemons share them.
+ * <p>Times are wall-clock milliseconds, because several daemons compare them.
  *
- * @param claims each claimed key's digest with its claim
+ * @param claims claims by the digest of the key
  */
 public record ClaimSlot(Map<String, Claim> claims) {
 
-  /** Slots that keys are spread over. */
+  /** Number of slots that keys are distributed over by hash. */
   public static final int SLOTS = 16;
 
-  /** Claims that one slot holds at most, so that its value stays well under a megabyte. */
+  /** Maximum number of claims in a slot; keeps the stored object well below one megabyte. */
   public static final int MAXIMUM_CLAIMS = 5000;
 
   /** A slot without claims. */
@@ -25,20 +25,20 @@
   /**
    * One claim.
    *
-   * @param owner who may run the request, and nobody else
-   * @param expiresMillis when the claim may be forgotten, wall clock, milliseconds
+   * @param owner the only owner that may run the request
+   * @param expiresMillis when the claim expires, wall clock, milliseconds
    */
   public record Claim(String owner, long expiresMillis) {}
 
-  /** What became of a claim. */
+  /** The result of a claim. */
   public enum Verdict {
     /** The owner may run the request, once. */
     GRANTED,
-    /** Somebody else holds the key, or has run it. */
+    /** Another owner holds the key, or has already run the request. */
     HELD,
     /** The slot is full; nothing was claimed. */
     FULL,
-    /** The platform did not take the claim; nothing was claimed. */
+    /** The claim could not be stored on the platform; nothing was claimed. */
     UNAVAILABLE
   }
 
@@ -47,23 +47,19 @@
     claims = claims == null ? Map.of() : Map.copyOf(claims);
   }
 
-  /**
-   * The slot of a key.
-   *
-   * @param keyDigest the key's digest
-   * @return its slot, from 0
-   */
+  /** Returns the slot of a key digest, from 0 to {@link #SLOTS} - 1. */
   public static int slotOf(String keyDigest) {
     return (int) Long.remainderUnsigned(Rendezvous.hash(keyDigest), SLOTS);
   }
 
   /**
-   * Judges a claim against this slot.
+   * Evaluates a claim against this slot.
    *
-   * @param keyDigest the key's digest
-   * @param owner who claims it
-   * @param nowMillis now
-   * @return granted when the owner holds it already, or when nobody does and there is room
+   * @param keyDigest the digest of the key
+   * @param owner the owner that claims the key
+   * @param nowMillis the current time
+   * @return GRANTED when the owner already holds the key, or when the key is free and the slot is
+   *     not full
    */
   public Verdict evaluate(String keyDigest, String owner, long nowMillis) {
     Claim held = claims.get(keyDigest);
@@ -74,12 +70,12 @@
   }
 
   /**
-   * Adds claims that were judged as granted, and forgets those that have expired.
+   * Adds granted claims and removes expired ones.
    *
-   * @param granted key digests with their owners
-   * @param nowMillis now
+   * @param granted the owners by key digest
+   * @param nowMillis the current time
    * @param expiresMillis when the new claims expire
-   * @return the new slot
+   * @return a new slot
    */
   public ClaimSlot with(Map<String, String> granted, long nowMillis, long expiresMillis) {
     Map<String, Claim> next = new HashMap<>(withoutExpired(nowMillis).claims());
@@ -88,11 +84,11 @@
   }
 
   /**
-   * Gives a claim back, because the request did not run.
+   * Releases a claim whose request did not run.
    *
-   * @param keyDigest the key's digest
-   * @param owner who holds it
-   * @return the slot without it, or this slot when somebody else holds it
+   * @param keyDigest the digest of the key
+   * @param owner the owner that holds the claim
+   * @return a slot without the claim, or this slot when the owner does not hold it
    */
   public ClaimSlot without(String keyDigest, String owner) {
     Claim held = claims.get(keyDigest);
@@ -105,10 +101,10 @@
   }
 
   /**
-   * Forgets expired claims.
+   * Removes expired claims.
    *
-   * @param nowMillis now
-   * @return the slot without them
+   * @param nowMillis the current time
+   * @return a new slot
    */
   public ClaimSlot withoutExpired(long nowMillis) {
     Map<String, Claim> next = new HashMap<>(claims);
--- a/fawnvale-core/src/main/java/org/fawnvale/core/claims/IssuedRequestKeys.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/claims/IssuedRequestKeys.java
@@ -4,11 +4,11 @@
 import java.util.Optional;
 
 /**
- * Request keys that one start of a daemon makes and honours, each once.
+ * Request keys that one incarnation of a daemon issues, each valid for one request.
  *
- * <p>A made key names the incarnation that made it. Only that incarnation ever runs a request under
- * it, so that at most once needs no write and no other daemon. One bit is kept for each key made.
- * Safe for several threads.
+ * <p>An issued key contains the incarnation that issued it. Only that incarnation runs a request
+ * with the key, so it can guarantee at-most-once execution without the platform and without other
+ * daemons. It keeps one bit for each issued key. Thread-safe.
  */
 public final class IssuedRequestKeys {
 
@@ -21,21 +21,21 @@
   private final BitSet used = new BitSet();
   private int issuedCount;
 
-  /** What becomes of a key that is used. */
+  /** The result of using a key. */
   public enum UseResult {
-    /** The first use: run the request. */
+    /** The first use of the key: run the request. */
     FIRST,
-    /** Used before: do not run it. */
+    /** The key was used before: do not run the request. */
     REPEATED,
-    /** Not a key that this incarnation made. */
+    /** This incarnation did not issue the key. */
     FOREIGN
   }
 
   /**
-   * A made key's maker.
+   * The issuer of a key.
    *
    * @param daemon the daemon's name
-   * @param incarnation its incarnation
+   * @param incarnation the incarnation of the daemon
    */
   public record Issuer(String daemon, String incarnation) {}
 
@@ -45,21 +45,16 @@
   }
 
   /**
-   * Creates an empty set.
+   * Creates an instance without issued keys.
    *
    * @param daemon the daemon's name
-   * @param incarnation its incarnation, without tildes
-   * @return the set
+   * @param incarnation the incarnation of the daemon; must not contain a tilde
    */
   public static IssuedRequestKeys create(String daemon, String incarnation) {
     return new IssuedRequestKeys(daemon, incarnation);
   }
 
-  /**
-   * Makes a key.
-   *
-   * @return the key, not yet used
-   */
+  /** Issues a new, unused key. */
   public synchronized String issue() {
     int number = issuedCount;
     issuedCount++;
@@ -67,10 +62,10 @@
   }
 
   /**
-   * Tells who made a key.
+   * Parses the issuer of a key.
    *
    * @param key the key
-   * @return its maker, or nothing when no daemon made it
+   * @return the issuer, or nothing when the key does not have the form of an issued key
    */
   public static Optional<Issuer> issuerOf(String key) {
     String[] parts = key.split(SEPARATOR, -1);
@@ -79,12 +74,7 @@
         : Optional.empty();
   }
 
-  /**
-   * Uses a key.
-   *
-   * @param key the key
-   * @return whether this is its first use
-   */
+  /** Marks a key as used, and returns whether this is its first use. */
   public synchronized UseResult use(String key) {
     Optional<Issuer> issuer = issuerOf(key);
     boolean own =
@@ -111,7 +101,7 @@
   }
 
   /**
-   * Gives a key back, because the request did not run.
+   * Marks a key as unused, because its request did not run.
    *
    * @param key the key
    */
--- a/fawnvale-core/src/main/java/org/fawnvale/core/claims/package-info.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/claims/package-info.java
@@ -1,4 +1,4 @@
-/** Claims of request keys, so that an unsafe request runs at most once. */
+/** Claims of request keys, so that a non-idempotent request runs at most once. */
 @NullMarked
 package org.fawnvale.core.claims;
 
--- a/fawnvale-core/src/test/java/org/fawnvale/core/claims/IssuedRequestKeysTest.java
+++ b/fawnvale-core/src/test/java/org/fawnvale/core/claims/IssuedRequestKeysTest.java
@@ -16,7 +16,7 @@
   }
 
   @Test
-  void aKeyThatDidNotRunMayBeUsedAgain() {
+  void aReleasedKeyMayBeUsedAgain() {
     String key = keys.issue();
     keys.use(key);
     keys.release(key);
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void keysOfOthersAndInventedOnesAreForeign() {
+  void keysOfOtherIssuersAndKeysNeverIssuedAreForeign() {
     keys.issue();
     assertThat(keys.use(IssuedRequestKeys.create("entry-1", "other").issue()))
         .isEqualTo(IssuedRequestKeys.UseResult.FOREIGN);
