--- a/fawnvale-core/src/main/java/org/fawnvale/core/result/ProblemKind.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/result/ProblemKind.java
@@ -1,21 +1,21 @@
 package org.fawnvale.core.result;
 
-/** Sorts of problems; each has one meaning for callers, operators and exit codes. */
+/** The kinds of problems. Responses to callers and operators and exit codes depend on the kind. */
 public enum ProblemKind {
-  /** An input does not follow its rules. */
+  /** An input is invalid. */
   INVALID,
-  /** The thing that was named does not exist. */
+  /** The named object does not exist. */
   NOT_FOUND,
-  /** The caller did not prove who it is. */
+  /** The caller is not authenticated. */
   UNAUTHENTICATED,
-  /** The caller may not do this. */
+  /** The caller is not authorized. */
   FORBIDDEN,
-  /** Somebody else changed the object first, or the key was used before. */
+  /** Another client has changed the object, or the key was used before. */
   CONFLICT,
-  /** A limit is reached; later it may work. */
+  /** A limit is reached; a later retry may succeed. */
   OVERLOADED,
-  /** What is needed cannot be reached now; later it may work. */
+  /** A required component cannot be reached; a later retry may succeed. */
   UNAVAILABLE,
-  /** An answer was lost: the change may or may not have taken effect. */
+  /** A response was lost: the change may or may not have taken effect. */
   OUTCOME_UNKNOWN
 }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/result/Result.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/result/Result.java
@@ -3,57 +3,55 @@
 import java.util.function.Function;
 
 /**
- * Either a value or the problem that kept it from being made.
+ * The result of an operation: either a value or a problem.
  *
  * @param <T> the type of the value
  */
 public sealed interface Result<T> {
 
   /**
-   * A value.
+   * A successful result.
    *
    * @param value the value
-   * @param <T> its type
+   * @param <T> the type of the value
    */
   record Success<T>(T value) implements Result<T> {}
 
   /**
-   * A problem.
+   * A failed result.
    *
    * @param problem the problem
-   * @param <T> the type of the value that could not be made
+   * @param <T> the type of the value that is missing
    */
   record Failure<T>(Problem problem) implements Result<T> {}
 
   /**
-   * Wraps a value.
+   * Creates a successful result.
    *
    * @param value the value
-   * @param <T> its type
-   * @return the success
+   * @param <T> the type of the value
    */
   static <T> Result<T> success(T value) {
     return new Success<>(value);
   }
 
   /**
-   * Wraps a problem.
+   * Creates a failed result.
    *
    * @param problem the problem
-   * @param <T> the type of the value that could not be made
-   * @return the failure
+   * @param <T> the type of the value that is missing
    */
   static <T> Result<T> failure(Problem problem) {
     return new Failure<>(problem);
   }
 
   /**
-   * Reduces both cases to one value.
+   * Maps a success or a failure to a value of the same type.
    *
    * @param onSuccess applied to the value
    * @param onFailure applied to the problem
-   * @param <R> the type of the outcome
-   * @return the outcome
+   * @param <R> the type of the mapped value
+   * @return the mapped value
    */
   default <R> R fold(Function<? super T, R> onSuccess, Function<Problem, R> onFailure) {
     if (this instanceof Success<T> success) {
@@ -63,21 +61,17 @@
   }
 
   /**
-   * Changes the value of a success.
+   * Maps the value of a success; a failure stays as it is.
    *
-   * @param change applied to the value
-   * @param <R> the new type
-   * @return the changed success, or the same failure
+   * @param mapper applied to the value
+   * @param <R> the new type of the value
+   * @return a success with the mapped value, or the same failure
    */
-  default <R> Result<R> map(Function<? super T, R> change) {
-    return fold(value -> success(change.apply(value)), Result::failure);
+  default <R> Result<R> map(Function<? super T, R> mapper) {
+    return fold(value -> success(mapper.apply(value)), Result::failure);
   }
 
-  /**
-   * Tells whether there is a value.
-   *
-   * @return true for a success
-   */
+  /** Returns true for a success. */
   default boolean isSuccess() {
     return this instanceof Success;
   }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/result/package-info.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/result/package-info.java
@@ -1,4 +1,4 @@
-/** Sealed results and typed problems whose messages name the remedy. */
+/** Results of operations that can fail, and problems with a message and a remedy. */
 @NullMarked
 package org.fawnvale.core.result;
 
