--- a/fawnvale-core/src/main/java/org/fawnvale/core/outcome/Outcome.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/outcome/Outcome.java
@@ -1,12 +1,12 @@
 package org.fawnvale.core.outcome;
 
-/** What became of a caller's request; every request ends in exactly one of these. */
+/** The outcome of a caller's request; each request has exactly one outcome. */
 public sealed interface Outcome {
 
-  /** The name under which the outcome stands in the answer's header and in the metrics. */
+  /** Returns the name of the outcome in the response header and in the metrics. */
   String label();
 
-  /** The caller has the whole answer. */
+  /** The caller has received the complete response. */
   record Answered() implements Outcome {
     @Override
     public String label() {
@@ -15,10 +15,10 @@
   }
 
   /**
-   * The request did not run, and will not.
+   * The request did not run and will not run.
    *
    * @param reason why
-   * @param retryAfterSeconds when it is worth asking again, seconds
+   * @param retryAfterSeconds when the caller may retry, seconds
    */
   record NotRun(String reason, long retryAfterSeconds) implements Outcome {
     @Override
@@ -28,7 +28,7 @@
   }
 
   /**
-   * The request may or may not have run; the caller has no whole answer.
+   * The request may or may not have run; the caller has no complete response.
    *
    * @param reason what happened
    */
--- a/fawnvale-core/src/main/java/org/fawnvale/core/outcome/package-info.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/outcome/package-info.java
@@ -1,4 +1,4 @@
-/** What becomes of a caller's request. */
+/** The outcome of a caller's request. */
 @NullMarked
 package org.fawnvale.core.outcome;
 
