--- a/fawnvale-core/src/main/java/org/fawnvale/core/hash/Rendezvous.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/hash/Rendezvous.java
@@ -6,18 +6,18 @@
 import java.util.List;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** Rendezvous hashing: each key ranks all candidates, and a lost candidate moves only its keys. */
+/** Rendezvous hashing: the loss of a candidate moves only the keys that were assigned to it. */
 public final class Rendezvous {
 
   private Rendezvous() {}
 
   /**
-   * Picks the highest ranked candidates of a key.
+   * Selects the candidates with the highest rank for a key.
    *
    * @param key the key
    * @param candidates the candidates, in any order
-   * @param count how many to pick
-   * @return the picks, highest first; fewer when there are fewer candidates
+   * @param count maximum number of candidates to select
+   * @return the selected candidates, the highest rank first; fewer when there are fewer candidates
    */
   public static List<String> pick(String key, Collection<String> candidates, int count) {
     return candidates.stream()
@@ -30,12 +30,7 @@
         .toList();
   }
 
-  /**
-   * Hashes a text to 64 bits.
-   *
-   * @param text the text
-   * @return the first half of its 128-bit Murmur3 hash
-   */
+  /** Returns the first 64 bits of the 128-bit Murmur3 hash of a text in UTF-8. */
   public static long hash(String text) {
     return MurmurHash3.hash128x64(text.getBytes(StandardCharsets.UTF_8))[0];
   }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/hash/package-info.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/hash/package-info.java
@@ -1,4 +1,4 @@
-/** Placement by hash, the same on every daemon without any exchange. */
+/** Hash-based placement; all daemons compute the same placement without coordination. */
 @NullMarked
 package org.fawnvale.core.hash;
 
