--- a/fawnvale-core/src/main/java/org/fawnvale/core/check/BundleCheck.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/check/BundleCheck.java
@@ -13,7 +13,7 @@
 import org.fawnvale.core.model.Workspace;
 import org.fawnvale.core.result.Problem;
 
-/** Checks a bundle. */
+/** Validates bundles. */
 public final class BundleCheck {
 
   private static final double SHARE_TOLERANCE = 1e-9;
@@ -24,21 +24,21 @@
   private BundleCheck() {}
 
   /**
-   * Checks a bundle.
+   * Validates a bundle.
    *
    * @param text the JSON text
-   * @return the bundle, or all problems that were found
+   * @return the bundle, or all problems
    */
   public static CheckedDocument<Bundle> check(String text) {
     return CHECK.check(text);
   }
 
   /**
-   * Checks a bundle against the size of the fabric domains.
+   * Validates the replica sizes of a bundle against the size of the fabric domains.
    *
    * @param bundle a bundle without other problems
-   * @param largestDomain nodes of the largest fabric domain
-   * @return a problem for each role whose replicas fit no domain
+   * @param largestDomain number of nodes in the largest fabric domain
+   * @return a problem for each role whose replicas do not fit into any domain
    */
   public static List<Problem> checkSizes(Bundle bundle, int largestDomain) {
     List<Problem> problems = new ArrayList<>();
@@ -48,14 +48,14 @@
             Problem.invalid(
                 "roles[" + role.name() + "].nodesPerReplica",
                 role.nodesPerReplica(),
-                "No fabric domain has as many nodes; the largest has " + largestDomain + ".",
-                "Give at most " + largestDomain + "."));
+                "No fabric domain has that many nodes; the largest one has " + largestDomain + ".",
+                "Set it to at most " + largestDomain + "."));
       }
     }
     return problems;
   }
 
-  /** The rules that tie parts of a bundle together. */
+  /** Validates references between the parts of a bundle. */
   private static final class Rules {
 
     private final Bundle bundle;
@@ -82,7 +82,7 @@
       Set<String> seen = new HashSet<>();
       for (String name : names) {
         if (!seen.add(name)) {
-          add(list, name, "The name is used twice.", "Give each a name of its own.");
+          add(list, name, "The name is used twice.", "Use a unique name for each.");
         }
       }
     }
@@ -113,8 +113,8 @@
         add(
             key + ".minimumReady",
             role.minimumReady(),
-            "It leaves no replica free to be rebuilt, so a rollout could never go on.",
-            "Give less than " + role.replicasPerDataCentre() + ".");
+            "It leaves no replica that can be rebuilt, so a rollout could never make progress.",
+            "Set it to less than " + role.replicasPerDataCentre() + ".");
       }
     }
 
@@ -135,7 +135,7 @@
     private void checkShares() {
       double sum = bundle.workspaces().stream().mapToDouble(Workspace::share).sum();
       if (sum > 1 + SHARE_TOLERANCE) {
-        add("workspaces.share", sum, "The shares add up to over 1.", "Lower some of them.");
+        add("workspaces.share", sum, "The shares add up to more than 1.", "Reduce some of them.");
       }
     }
 
@@ -144,7 +144,7 @@
         add(
             "roles[" + role.name() + "].kind",
             role.kind().name().toLowerCase(Locale.ROOT),
-            "Parting prefill from decode is not built yet.",
+            "Separate roles for prefill and decode are not supported yet.",
             "Use a combined role.");
       }
     }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/check/CheckedDocument.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/check/CheckedDocument.java
@@ -5,10 +5,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A document that was checked.
+ * The result of validating a document.
  *
  * @param value the document; null when there are problems
- * @param problems all problems that were found
+ * @param problems all problems; empty for a valid document
  * @param <T> the type of the document
  */
 public record CheckedDocument<T>(@Nullable T value, List<Problem> problems) {
--- a/fawnvale-core/src/main/java/org/fawnvale/core/check/DocumentCheck.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/check/DocumentCheck.java
@@ -21,7 +21,9 @@
 import java.util.function.Function;
 import org.fawnvale.core.result.Problem;
 
-/** Checks a JSON document against its schema, then against rules that a schema cannot express. */
+/**
+ * Validates a JSON document against its schema, then against rules that a schema cannot express.
+ */
 final class DocumentCheck<T> {
 
   private static final ObjectMapper MAPPER =
@@ -64,8 +66,10 @@
     }
     try {
       T value = MAPPER.readValue(text, type);
-      List<Problem> broken = rules.apply(value);
-      return broken.isEmpty() ? new CheckedDocument<>(value, List.of()) : failed(broken);
+      List<Problem> ruleProblems = rules.apply(value);
+      return ruleProblems.isEmpty()
+          ? new CheckedDocument<>(value, List.of())
+          : failed(ruleProblems);
     } catch (JsonProcessingException e) {
       return failed(List.of(malformed(e)));
     }
@@ -86,7 +90,7 @@
   private static Problem problem(ValidationMessage message) {
     JsonNode node = message.getInstanceNode();
     JsonLocation location = node == null ? null : JsonNodes.tokenLocationOf(node);
-    String place =
+    String locationSuffix =
         location == null ? "" : " (" + position(location.getLineNr(), location.getColumnNr()) + ")";
     String key = message.getInstanceLocation().toString();
     if (message.getProperty() != null) {
@@ -94,7 +98,7 @@
     }
     String value = node == null || node.isContainerNode() ? null : node.asText();
     return Problem.invalid(
-        key + place, value, message.getError() + ".", Remedies.forRule(message.getType()));
+        key + locationSuffix, value, message.getError() + ".", Remedies.forRule(message.getType()));
   }
 
   private static String position(int line, int column) {
--- a/fawnvale-core/src/main/java/org/fawnvale/core/check/SettingsCheck.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/check/SettingsCheck.java
@@ -5,7 +5,7 @@
 import org.fawnvale.core.result.Problem;
 import org.fawnvale.core.settings.DaemonSettings;
 
-/** Checks a daemon's settings. */
+/** Validates the settings of a daemon. */
 public final class SettingsCheck {
 
   private static final DocumentCheck<DaemonSettings> CHECK =
@@ -14,10 +14,10 @@
   private SettingsCheck() {}
 
   /**
-   * Checks settings.
+   * Validates settings.
    *
    * @param text the JSON text
-   * @return the settings, or all problems that were found
+   * @return the settings, or all problems
    */
   public static CheckedDocument<DaemonSettings> check(String text) {
     return CHECK.check(text);
@@ -26,31 +26,31 @@
   private static List<Problem> rules(DaemonSettings settings) {
     List<Problem> problems = new ArrayList<>();
     DaemonSettings.Timing timing = settings.timing();
-    long slowestEvidence =
+    long minimumFreshMillis =
         2 * timing.beatMillis() + timing.probeMillis() + timing.probeTimeoutMillis();
-    if (timing.freshMillis() < slowestEvidence) {
+    if (timing.freshMillis() < minimumFreshMillis) {
       problems.add(
           Problem.invalid(
               "timing.freshMillis",
               timing.freshMillis(),
-              "It is shorter than two beats, a probe period and a probe's bound.",
-              "Give at least " + slowestEvidence + "."));
+              "It is shorter than two heartbeat periods, a probe period and a probe timeout together.",
+              "Set it to at least " + minimumFreshMillis + "."));
     }
     if (timing.leaseMillis() <= 2 * timing.orderTimeoutMillis()) {
       problems.add(
           Problem.invalid(
               "timing.leaseMillis",
               timing.leaseMillis(),
-              "It does not cover two orders, so no order could ever be sent.",
-              "Give more than " + 2 * timing.orderTimeoutMillis() + "."));
+              "It is not longer than two order timeouts, so no order could ever be sent.",
+              "Set it to more than " + 2 * timing.orderTimeoutMillis() + "."));
     }
     if (settings.limits().deadlineMillis() > settings.limits().maximumDeadlineMillis()) {
       problems.add(
           Problem.invalid(
               "limits.deadlineMillis",
               settings.limits().deadlineMillis(),
-              "It is over limits.maximumDeadlineMillis.",
-              "Give at most " + settings.limits().maximumDeadlineMillis() + "."));
+              "It is greater than limits.maximumDeadlineMillis.",
+              "Set it to at most " + settings.limits().maximumDeadlineMillis() + "."));
     }
     checkTls("callers", settings.callers(), problems);
     checkTls("operators", settings.operators(), problems);
@@ -65,7 +65,7 @@
               key + ".certificateFile",
               listener.certificateFile(),
               "TLS needs both a certificate and a private key.",
-              "Give both " + key + ".certificateFile and " + key + ".privateKeyFile, or neither."));
+              "Set both " + key + ".certificateFile and " + key + ".privateKeyFile, or neither."));
     }
   }
 }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/check/package-info.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/check/package-info.java
@@ -1,4 +1,6 @@
-/** Checks of settings and bundles: every fault at once, each with its key, value and remedy. */
+/**
+ * Validation of settings and bundles; reports all errors at once, each with key, value and remedy.
+ */
 @NullMarked
 package org.fawnvale.core.check;
 
--- a/fawnvale-core/src/test/java/org/fawnvale/core/check/CheckTest.java
+++ b/fawnvale-core/src/test/java/org/fawnvale/core/check/CheckTest.java
@@ -5,7 +5,9 @@
 import org.fawnvale.core.result.Problem;
 import org.junit.jupiter.api.Test;
 
-/** Every fault is found at once, and each names key, position or value, and remedy. */
+/**
+ * Tests that validation reports all errors at once, each with key, position or value, and remedy.
+ */
 class CheckTest {
 
   private static final String SETTINGS =
@@ -18,7 +20,7 @@
       """;
 
   @Test
-  void goodSettingsHaveDefaults() {
+  void validSettingsGetDefaults() {
     CheckedDocument<org.fawnvale.core.settings.DaemonSettings> checked =
         SettingsCheck.check(SETTINGS.formatted(""));
     assertThat(checked.problems()).isEmpty();
@@ -26,7 +28,7 @@
   }
 
   @Test
-  void allFaultsOfSettingsAreListed() {
+  void allErrorsOfSettingsAreReported() {
     String broken = SETTINGS.formatted("").replace("\"port\": 3", "\"port\": 70000, \"prot\": 1");
     assertThat(SettingsCheck.check(broken).problems())
         .hasSize(2)
@@ -34,7 +36,7 @@
   }
 
   @Test
-  void settingsThatContradictEachOtherAreNamed() {
+  void inconsistentTimingIsReported() {
     String timing = ", \"timing\": {\"freshMillis\": 1000, \"leaseMillis\": 1000}";
     assertThat(SettingsCheck.check(SETTINGS.formatted(timing)).problems())
         .extracting(Problem::key)
@@ -42,12 +44,12 @@
   }
 
   @Test
-  void jsonThatCannotBeReadIsNamedWithItsPosition() {
+  void malformedJsonIsReportedWithItsPosition() {
     assertThat(SettingsCheck.check("{\n \"name\": ").problems().get(0).key()).contains("line");
   }
 
   @Test
-  void allFaultsOfABundleAreListed() {
+  void allErrorsOfABundleAreReported() {
     String bundle =
         """
         {"name": "b",
@@ -74,7 +76,7 @@
   }
 
   @Test
-  void aReplicaLargerThanAnyDomainIsNamed() {
+  void aReplicaLargerThanAnyDomainIsReported() {
     String bundle =
         """
         {"name": "b", "models": [{"name": "m", "version": "1", "weightGigabytes": 1}],
