--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Bundle.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Bundle.java
@@ -4,14 +4,15 @@
 import java.util.Optional;
 
 /**
- * What operators sign off as a whole: models, adapters, versions, roles and workspaces.
+ * A bundle: the unit of configuration that operators approve, with models, adapters, roles,
+ * services and workspaces.
  *
- * @param name a name for people
+ * @param name a display name
  * @param models the models
  * @param roles the roles
  * @param services the plain services
  * @param workspaces the workspaces
- * @param policy what is weighed when replicas are formed
+ * @param policy the weights for forming replicas
  */
 public record Bundle(
     String name,
@@ -21,7 +22,7 @@
     List<Workspace> workspaces,
     Policy policy) {
 
-  /** Copies the lists; a missing list is empty, a missing policy weighs both measures alike. */
+  /** Copies the lists; a missing list is empty, a missing policy is {@link Policy#EVEN}. */
   public Bundle {
     models = models == null ? List.of() : List.copyOf(models);
     roles = roles == null ? List.of() : List.copyOf(roles);
@@ -30,43 +31,23 @@
     policy = policy == null ? Policy.EVEN : policy;
   }
 
-  /**
-   * Finds a model.
-   *
-   * @param wanted its name
-   * @return the model, when the bundle has it
-   */
-  public Optional<Model> model(String wanted) {
-    return models.stream().filter(model -> model.name().equals(wanted)).findFirst();
+  /** Finds a model by name. */
+  public Optional<Model> model(String name) {
+    return models.stream().filter(model -> model.name().equals(name)).findFirst();
   }
 
-  /**
-   * Finds a role.
-   *
-   * @param wanted its name
-   * @return the role, when the bundle has it
-   */
-  public Optional<Role> role(String wanted) {
-    return roles.stream().filter(role -> role.name().equals(wanted)).findFirst();
+  /** Finds a role by name. */
+  public Optional<Role> role(String name) {
+    return roles.stream().filter(role -> role.name().equals(name)).findFirst();
   }
 
-  /**
-   * Finds a workspace.
-   *
-   * @param wanted its name
-   * @return the workspace, when the bundle has it
-   */
-  public Optional<Workspace> workspace(String wanted) {
-    return workspaces.stream().filter(each -> each.name().equals(wanted)).findFirst();
+  /** Finds a workspace by name. */
+  public Optional<Workspace> workspace(String name) {
+    return workspaces.stream().filter(each -> each.name().equals(name)).findFirst();
   }
 
-  /**
-   * Finds a plain service.
-   *
-   * @param wanted its name
-   * @return the service, when the bundle has it
-   */
-  public Optional<PlainService> service(String wanted) {
-    return services.stream().filter(each -> each.name().equals(wanted)).findFirst();
+  /** Finds a plain service by name. */
+  public Optional<PlainService> service(String name) {
+    return services.stream().filter(each -> each.name().equals(name)).findFirst();
   }
 }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/DomainState.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/DomainState.java
@@ -6,16 +6,16 @@
 import java.util.Set;
 
 /**
- * Every replica of one fabric domain.
+ * All replicas of one fabric domain, stored as one object on the platform.
  *
- * <p>It is one object of the platform. A value in which a node is in two replicas cannot be made,
- * so one conditional update is enough to keep every node in at most one replica.
+ * <p>The constructor rejects a state in which a node is in two replicas. Daemons write the state
+ * with conditional updates, so each node is in at most one replica.
  *
  * @param dataCentre the data centre of the domain
  * @param domain the fabric domain
- * @param lastGeneration the highest generation ever given out in the domain
- * @param replicas its replicas
- * @param operation identifier of the operation that wrote this value
+ * @param lastGeneration the highest generation ever assigned in the domain
+ * @param replicas the replicas of the domain
+ * @param operation identifier of the operation that wrote this state
  */
 public record DomainState(
     String dataCentre,
@@ -27,8 +27,8 @@
   /**
    * Copies the list and checks membership.
    *
-   * @throws IllegalArgumentException when a node is in two replicas, an identifier or generation is
-   *     used twice, or a generation is higher than the last one
+   * @throws IllegalArgumentException if a node is in two replicas, an identifier or generation is
+   *     used twice, or a generation is greater than the last one
    */
   public DomainState {
     replicas = List.copyOf(replicas);
@@ -39,7 +39,8 @@
         throw new IllegalArgumentException("Replica " + replica.id() + " is listed twice.");
       }
       if (replica.generation() > lastGeneration) {
-        throw new IllegalArgumentException("Generation of " + replica.id() + " was not given out.");
+        throw new IllegalArgumentException(
+            "Generation of replica " + replica.id() + " is greater than lastGeneration.");
       }
       for (String member : replica.members()) {
         if (!members.add(member)) {
@@ -49,23 +50,12 @@
     }
   }
 
-  /**
-   * A domain without replicas.
-   *
-   * @param dataCentre its data centre
-   * @param domain the fabric domain
-   * @return the empty state
-   */
+  /** Creates the state of a fabric domain without replicas. */
   public static DomainState empty(String dataCentre, String domain) {
     return new DomainState(dataCentre, domain, 0, List.of(), "");
   }
 
-  /**
-   * Finds the replica that a node is in.
-   *
-   * @param node the node's name
-   * @return its replica, when it is in one
-   */
+  /** Finds the replica that a node is a member of. */
   public Optional<Replica> replicaOf(String node) {
     return replicas.stream().filter(replica -> replica.members().contains(node)).findFirst();
   }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Lease.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Lease.java
@@ -1,40 +1,32 @@
 package org.fawnvale.core.model;
 
 /**
- * The right to decide for one data centre, held by one daemon for a while.
+ * The lease of the coordinator of one data centre; only its holder plans and sends orders.
  *
  * @param holder the daemon's name and incarnation
- * @param epoch rises with every new holder; the fence in every order
- * @param durationMillis how long a holder that stopped renewing must be waited for, milliseconds
- * @param renewal counts the renewals, so that a waiting daemon sees that the holder lives
+ * @param epoch increases with each new holder; the fencing token in every order
+ * @param durationMillis how long other daemons wait after the last renewal before they take over,
+ *     milliseconds
+ * @param renewal number of renewals; its increase shows other daemons that the holder is running
  */
 public record Lease(String holder, long epoch, long durationMillis, long renewal) {
 
-  /**
-   * The lease after one more renewal.
-   *
-   * @return the renewed lease
-   */
+  /** Returns the lease after one more renewal. */
   public Lease renewed() {
     return new Lease(holder, epoch, durationMillis, renewal + 1);
   }
 
   /**
-   * The lease after a take-over.
+   * Returns the lease with the next epoch, held by another daemon.
    *
    * @param newHolder the new holder
-   * @param newDurationMillis the new holder's duration, milliseconds
-   * @return a lease of the next epoch
+   * @param newDurationMillis the lease duration of the new holder, milliseconds
    */
   public Lease takenBy(String newHolder, long newDurationMillis) {
     return new Lease(newHolder, epoch + 1, newDurationMillis, 0);
   }
 
-  /**
-   * The lease after its holder gave it up; anybody may take it at once.
-   *
-   * @return a lease without a holder
-   */
+  /** Returns the lease without a holder; any daemon may take it immediately. */
   public Lease released() {
     return new Lease("", epoch, 0, renewal + 1);
   }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Model.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Model.java
@@ -5,10 +5,10 @@
 /**
  * A model at one version.
  *
- * @param name its name, as callers give it
- * @param version its version
+ * @param name the name of the model, as callers specify it
+ * @param version the version of the model
  * @param weightGigabytes size of the weights that one node loads, in gigabytes
- * @param adapters adapters to load with it
+ * @param adapters adapters that are loaded with the model
  */
 public record Model(String name, String version, double weightGigabytes, List<Adapter> adapters) {
 
@@ -18,9 +18,9 @@
   }
 
   /**
-   * The version that members report: the model's version and those of its adapters.
+   * Returns the version that members report: the versions of the model and of its adapters.
    *
-   * @return a text that changes whenever any of the versions changes
+   * @return a text that changes with each of these versions
    */
   public String fullVersion() {
     StringBuilder text = new StringBuilder(version);
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Node.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Node.java
@@ -5,13 +5,13 @@
 /**
  * An upstream node, as the platform lists it.
  *
- * @param name its name, unique over all data centres
- * @param dataCentre its data centre
- * @param domain its fabric domain
- * @param address where its engine or service listens, as IP:port
- * @param path prefix of the paths of its engine or service; empty when there is none
- * @param service the plain service it offers; null for a node with a model engine
- * @param leaving true when the platform is about to take it away
+ * @param name the name of the node, unique across all data centres
+ * @param dataCentre the data centre of the node
+ * @param domain the fabric domain of the node
+ * @param address the address of its engine or service, as IP:port
+ * @param path path prefix of its engine or service; empty for none
+ * @param service the plain service of the node; null for a node with a model engine
+ * @param leaving true when the platform is about to remove the node
  */
 public record Node(
     String name,
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/NodeReport.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/NodeReport.java
@@ -3,17 +3,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What a node's engine says of itself.
+ * The state that the engine of a node reports.
  *
  * @param node the node's name
- * @param incarnation rises whenever the engine restarts; its own memory starts empty then
- * @param replica the replica it was ordered into; null for none
+ * @param incarnation changes whenever the engine restarts and loses its state
+ * @param replica the replica that the last order assigned the node to; null for none
  * @param generation the generation of that replica; 0 for none
- * @param version the model's full version that is loaded; null for none
- * @param loadedVersion the model and version whose weights it holds, also outside a replica
- * @param state what it does
- * @param running requests that run, at the leader
- * @param waiting requests that wait, at the leader
+ * @param version the full version of the model in the replica; null for none
+ * @param loadedVersion model and version of the loaded weights, as {@code model@version}, also
+ *     outside a replica; null for none
+ * @param state the state of the node
+ * @param running number of running requests, reported by the head
+ * @param waiting number of waiting requests, reported by the head
  */
 public record NodeReport(
     String node,
@@ -26,25 +27,25 @@
     int running,
     int waiting) {
 
-  /** What a node does. */
+  /** The state of a node. */
   public enum State {
-    /** In no replica. */
+    /** Not a member of a replica. */
     IDLE,
     /** Loading weights. */
     LOADING,
     /** Ready to serve as a member. */
     READY,
-    /** Finishing what runs; takes nothing new. */
+    /** Finishes running requests and takes no new ones. */
     DRAINING,
     /** The last order failed. */
     FAILED
   }
 
   /**
-   * The same report with another load.
+   * Returns a copy of the report with another load.
    *
-   * @param outstanding requests that run or wait, given as running
-   * @return the changed copy
+   * @param outstanding number of running and waiting requests; the copy counts all of them as
+   *     running
    */
   public NodeReport withLoad(int outstanding) {
     return new NodeReport(
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Order.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Order.java
@@ -4,19 +4,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The complete state that a node's engine is to be in; sending it twice changes nothing.
+ * An order to a node's engine with the complete target state; orders are idempotent.
  *
- * @param node the node it is for
- * @param epoch the lease epoch of the sender; an engine that checks refuses lower ones
- * @param generation the replica's generation; an engine that checks refuses lower ones
+ * @param node the node that receives the order
+ * @param epoch the lease epoch of the sender; an engine with fencing refuses lower ones
+ * @param generation the replica's generation; an engine with fencing refuses lower ones
  * @param replica the replica to join; null to leave all replicas
- * @param memberIndex which member of the replica it is, from 0
- * @param members all members, the leader first
+ * @param memberIndex index of the node among the members, from 0
+ * @param members all members, the head first
  * @param model the model to serve; null when leaving
  * @param version the model's full version; null when leaving
  * @param weightGigabytes size of the weights to load, gigabytes
  * @param role the role; null when leaving
- * @param draining true to finish what runs and take nothing new
+ * @param draining true to finish running requests and take no new ones
  */
 public record Order(
     String node,
@@ -37,13 +37,12 @@
   }
 
   /**
-   * The order that brings a node into its replica.
+   * Creates an order that assigns a node to its replica.
    *
    * @param replica the replica
    * @param node the member
    * @param epoch the sender's lease epoch
    * @param weightGigabytes size of the weights to load, gigabytes
-   * @return the order
    */
   public static Order join(Replica replica, String node, long epoch, double weightGigabytes) {
     return new Order(
@@ -61,13 +60,12 @@
   }
 
   /**
-   * The order that has a node outside all replicas load weights.
+   * Creates an order that preloads weights on a node outside all replicas.
    *
    * @param node the node
    * @param epoch the sender's lease epoch
-   * @param generation the last generation given out in the domain
+   * @param generation the last generation assigned in the domain
    * @param model the model to load
-   * @return the order
    */
   public static Order preload(String node, long epoch, long generation, Model model) {
     return new Order(
@@ -85,12 +83,11 @@
   }
 
   /**
-   * The order that takes a node out of all replicas.
+   * Creates an order that removes a node from all replicas.
    *
    * @param node the node
    * @param epoch the sender's lease epoch
-   * @param generation the last generation given out in the domain
-   * @return the order
+   * @param generation the last generation assigned in the domain
    */
   public static Order leave(String node, long epoch, long generation) {
     return new Order(node, epoch, generation, null, 0, List.of(), null, null, 0, null, false);
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Policy.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Policy.java
@@ -1,14 +1,14 @@
 package org.fawnvale.core.model;
 
 /**
- * What the operators weigh when replicas are formed.
+ * The operators' weights for forming replicas.
  *
- * @param downtimeWeight weight of a second of group downtime of one replica, for each of its nodes
- * @param strandedWeight weight of a second of one stranded node
- * @param graceSeconds how long a silent member is waited for before its replica is rebuilt
+ * @param downtimeWeight cost of one second of downtime of a replica, for each of its nodes
+ * @param strandedWeight cost of one second of a healthy node outside all complete replicas
+ * @param graceSeconds grace period before a replica with a silent member is rebuilt, seconds
  */
 public record Policy(double downtimeWeight, double strandedWeight, double graceSeconds) {
 
-  /** Weighs both alike and waits five seconds. */
+  /** Equal weights and a grace period of five seconds. */
   public static final Policy EVEN = new Policy(1, 1, 5);
 }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Registration.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Registration.java
@@ -1,10 +1,10 @@
 package org.fawnvale.core.model;
 
 /**
- * A daemon, as it registers itself for others to find.
+ * The registration of a daemon for discovery by other daemons.
  *
- * @param name its name, unique over all data centres
- * @param dataCentre its data centre
- * @param address where its peers reach it, as IP:port
+ * @param name the name of the daemon, unique across all data centres
+ * @param dataCentre the data centre of the daemon
+ * @param address the address for other daemons, as IP:port
  */
 public record Registration(String name, String dataCentre, String address) {}
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Replica.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Replica.java
@@ -4,15 +4,16 @@
 import java.util.List;
 
 /**
- * A group of nodes that serves one role together; the first member takes the requests.
+ * A group of nodes that serve one role together; the first member is the head and takes the
+ * requests.
  *
- * @param id its identifier, unique within the fabric domain
- * @param role the role it serves
- * @param model the model it serves
+ * @param id identifier of the replica, unique within the fabric domain
+ * @param role name of the role
+ * @param model name of the model
  * @param version the model's full version
- * @param generation rises whenever any member or the version changes; unique in the domain
- * @param members names of its nodes, the leader first
- * @param draining true when it gets no new work
+ * @param generation increases when the members or the version change; unique within the domain
+ * @param members names of the member nodes, the head first
+ * @param draining true when the replica gets no new requests
  */
 public record Replica(
     String id,
@@ -28,21 +29,13 @@
     members = List.copyOf(members);
   }
 
-  /**
-   * The member that takes requests.
-   *
-   * @return its name
-   */
+  /** Returns the name of the member that takes the requests. */
   @JsonIgnore
   public String head() {
     return members.get(0);
   }
 
-  /**
-   * The same replica, draining.
-   *
-   * @return a copy that gets no new work
-   */
+  /** Returns a copy of this replica that is draining. */
   public Replica asDraining() {
     return new Replica(id, role, model, version, generation, members, true);
   }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Role.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Role.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * A kind of replica that the bundle asks for.
+ * A role: a kind of replica that the bundle requires.
  *
- * @param name its name, unique within the bundle
- * @param model the name of the model it serves
- * @param kind what part of a request its replicas do
+ * @param name the name of the role, unique within the bundle
+ * @param model the name of the model
+ * @param kind the phases of a request that its replicas process
  * @param nodesPerReplica members of each replica, 1 to 32
- * @param replicasPerDataCentre replicas wanted in each data centre
- * @param extraReplicas further replicas that may be formed from nodes that would be idle
- * @param minimumReady ready replicas that a rollout leaves standing in each data centre
- * @param maximumConcurrent requests that one replica runs at once
- * @param dataCentres data centres it runs in; empty for all
+ * @param replicasPerDataCentre required replicas in each data centre
+ * @param extraReplicas additional replicas that may be formed from idle nodes in each data centre
+ * @param minimumReady replicas that stay ready in each data centre during a rollout
+ * @param maximumConcurrent requests that one replica runs concurrently
+ * @param dataCentres the data centres of the role; empty for all
  */
 public record Role(
     String name,
@@ -26,18 +26,13 @@
     int maximumConcurrent,
     List<String> dataCentres) {
 
-  /** Copies the list; a missing list is empty, a missing kind is combined. */
+  /** Copies the list; a missing list is empty, a missing kind is COMBINED. */
   public Role {
     kind = kind == null ? RoleKind.COMBINED : kind;
     dataCentres = dataCentres == null ? List.of() : List.copyOf(dataCentres);
   }
 
-  /**
-   * Tells whether the role runs in a data centre.
-   *
-   * @param dataCentre the data centre
-   * @return true when it does
-   */
+  /** Returns true when the role runs in the data centre. */
   public boolean runsIn(String dataCentre) {
     return dataCentres.isEmpty() || dataCentres.contains(dataCentre);
   }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/RoleKind.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/RoleKind.java
@@ -2,15 +2,15 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** What part of a request the replicas of a role do. */
+/** The phases of a request that the replicas of a role process. */
 public enum RoleKind {
-  /** The whole request. */
+  /** Prefill and decode. */
   @JsonProperty("combined")
   COMBINED,
-  /** The prompt; the KV cache is then exported. */
+  /** Prefill only; the KV cache is then exported. */
   @JsonProperty("prefill")
   PREFILL,
-  /** The answer, from an imported KV cache. */
+  /** Decode only, with an imported KV cache. */
   @JsonProperty("decode")
   DECODE
 }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Rollout.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Rollout.java
@@ -9,15 +9,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The head of all bundles: which revision is in force, which waits, and who did what last.
+ * The state of the bundle revisions: which one is in force, which one is pending, and the last
+ * changes.
  *
- * <p>It is one object of the platform, so one conditional update decides a race of operators.
+ * <p>It is stored as one object on the platform, so a conditional update resolves concurrent
+ * changes by operators.
  *
  * @param latest the highest revision ever submitted; 0 before the first
- * @param accepted the revision in force; 0 before the first; never gets smaller
+ * @param accepted the revision in force; 0 before the first; never decreases
  * @param acceptedStage the stage of the accepted revision; null before the first
  * @param candidateStage the stage of the latest revision while it is not accepted; null otherwise
- * @param stopReason why the accepted revision's rollout was stopped; null when it was not
+ * @param stopReason why the rollout of the accepted revision was stopped; null when it was not
  * @param history the last changes, oldest first, at most {@link #HISTORY_LENGTH}
  */
 public record Rollout(
@@ -28,19 +30,19 @@
     @Nullable String stopReason,
     List<Change> history) {
 
-  /** How many changes are kept. */
+  /** Maximum number of changes in the history. */
   public static final int HISTORY_LENGTH = 50;
 
-  /** The head before any bundle was submitted. */
+  /** The state before the first bundle is submitted. */
   public static final Rollout EMPTY = new Rollout(0, 0, null, null, null, List.of());
 
   /**
-   * One change of the head.
+   * One change by an operator.
    *
-   * @param operation identifier of the operation, chosen by who asked for it
-   * @param operator who asked for it
-   * @param action what was done
-   * @param revision the revision it was done to
+   * @param operation identifier of the operation, chosen by the client
+   * @param operator name of the operator
+   * @param action the action
+   * @param revision the revision that the action applied to
    */
   public record Change(String operation, String operator, String action, long revision) {}
 
@@ -50,24 +52,20 @@
   }
 
   /**
-   * Tells whether an operation has taken effect; settles a lost answer.
+   * Tells whether an operation has taken effect, for a client that lost the response.
    *
-   * @param operation its identifier
-   * @return true when the history holds it
+   * @param operation identifier of the operation
+   * @return true when the history contains the operation
    */
   public boolean contains(String operation) {
     return history.stream().anyMatch(change -> change.operation().equals(operation));
   }
 
-  /**
-   * The last change, as a text for the loser of a race.
-   *
-   * @return who did what to which revision
-   */
+  /** Describes the last change, for an operator whose change conflicts with it. */
   @JsonIgnore
   public String lastChange() {
     if (history.isEmpty()) {
-      return "nothing was submitted yet";
+      return "nothing has been submitted";
     }
     Change last = history.get(history.size() - 1);
     return last.operator() + " did '" + last.action() + "' to revision " + last.revision();
@@ -76,10 +74,10 @@
   /**
    * Submits the next revision.
    *
-   * @param revision the revision under which the bundle is kept; must follow the latest
+   * @param revision the revision of the stored bundle; must be the latest one plus 1
    * @param operation identifier of the operation
-   * @param operator who asks
-   * @return the new head, or the problem
+   * @param operator name of the operator
+   * @return the new state, or a conflict
    */
   public Result<Rollout> submit(long revision, String operation, String operator) {
     if (revision != latest + 1) {
@@ -95,8 +93,8 @@
    *
    * @param revision the revision to approve
    * @param operation identifier of the operation
-   * @param operator who asks
-   * @return the new head, or the problem
+   * @param operator name of the operator
+   * @return the new state, or a conflict
    */
   public Result<Rollout> approve(long revision, String operation, String operator) {
     if (revision != latest || candidateStage != Stage.SUBMITTED) {
@@ -108,29 +106,29 @@
   }
 
   /**
-   * Rolls the latest revision out: from now on it is in force.
+   * Starts the rollout of the latest revision; this puts the revision in force.
    *
    * @param revision the revision to roll out
    * @param operation identifier of the operation
-   * @param operator who asks
-   * @return the new head, or the problem
+   * @param operator name of the operator
+   * @return the new state, or a conflict
    */
   public Result<Rollout> rollOut(long revision, String operation, String operator) {
     if (revision != latest || candidateStage != Stage.APPROVED) {
-      return conflict("Revision " + revision + " is not approved and waiting.");
+      return conflict("Revision " + revision + " is not waiting for its rollout.");
     }
     Change change = new Change(operation, operator, "roll-out", revision);
     return Result.success(new Rollout(latest, revision, Stage.ROLLING, null, null, with(change)));
   }
 
   /**
-   * Stops the rollout of the accepted revision: what was brought to it stays.
+   * Stops the rollout of the accepted revision; replicas that were upgraded keep their version.
    *
    * @param revision the accepted revision
-   * @param reason why
+   * @param reason the reason for the stop
    * @param operation identifier of the operation
-   * @param operator who asks
-   * @return the new head, or the problem
+   * @param operator name of the operator
+   * @return the new state, or a conflict
    */
   public Result<Rollout> stop(long revision, String reason, String operation, String operator) {
     if (revision != accepted || acceptedStage != Stage.ROLLING) {
@@ -142,12 +140,12 @@
   }
 
   /**
-   * Rolls on after a stop, with the same revision.
+   * Resumes a stopped rollout with the same revision.
    *
    * @param revision the accepted revision
    * @param operation identifier of the operation
-   * @param operator who asks
-   * @return the new head, or the problem
+   * @param operator name of the operator
+   * @return the new state, or a conflict
    */
   public Result<Rollout> rollForward(long revision, String operation, String operator) {
     if (revision != accepted || acceptedStage != Stage.STOPPED) {
@@ -159,12 +157,12 @@
   }
 
   /**
-   * Marks the accepted revision as complete.
+   * Marks the rollout of the accepted revision as complete.
    *
    * @param revision the accepted revision
    * @param operation identifier of the operation
-   * @param operator who asks
-   * @return the new head, or the problem
+   * @param operator name of the operator
+   * @return the new state, or a conflict
    */
   public Result<Rollout> complete(long revision, String operation, String operator) {
     if (revision != accepted || acceptedStage != Stage.ROLLING) {
@@ -186,7 +184,7 @@
     return Result.failure(
         Problem.of(
             ProblemKind.CONFLICT,
-            message + " Last, " + lastChange() + ".",
-            "Look at 'fawnvale bundle status' and act on what it shows."));
+            message + " The last change: " + lastChange() + ".",
+            "Run 'fawnvale bundle status' and decide by the current state."));
   }
 }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Stage.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Stage.java
@@ -1,15 +1,17 @@
 package org.fawnvale.core.model;
 
-/** How far a revision of the bundle has come. */
+/** The stage of a bundle revision. */
 public enum Stage {
-  /** Kept, waiting for an operator's approval. */
+  /** Stored, waiting for an operator's approval. */
   SUBMITTED,
-  /** Approved, waiting to be rolled out. */
+  /** Approved, waiting for its rollout. */
   APPROVED,
-  /** In force for routing; replicas are being brought to it. */
+  /** In force for routing; replicas are being upgraded to it. */
   ROLLING,
-  /** Every replica that it asks for has been brought to it. */
+  /** All replicas that it requires have been upgraded to it. */
   COMPLETE,
-  /** In force for routing; no further replica is brought to it until a newer revision. */
+  /**
+   * In force for routing; no further replica is upgraded until the rollout is resumed or replaced.
+   */
   STOPPED
 }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Workspace.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Workspace.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * A group of callers that shares limits and rights.
+ * A group of callers that share limits and permissions.
  *
- * @param name its name, as the callers' keys name it
- * @param share its part of the capacity when there is not enough for all, over 0 to 1
- * @param models names of the models it may call
- * @param services names of the plain services it may call
+ * @param name the name of the workspace, as assigned to the callers' keys
+ * @param share share of the capacity under overload, greater than 0, at most 1
+ * @param models names of the models that its callers may use
+ * @param services names of the plain services that its callers may use
  */
 public record Workspace(String name, double share, List<String> models, List<String> services) {
 
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/package-info.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/package-info.java
@@ -1,4 +1,4 @@
-/** Immutable data that operators sign off, that the platform keeps, and that daemons pass on. */
+/** Immutable data types of bundles, of objects stored on the platform and of daemons' messages. */
 @NullMarked
 package org.fawnvale.core.model;
 
