--- a/fawnvale-core/src/main/java/org/fawnvale/core/settings/DaemonSettings.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/settings/DaemonSettings.java
@@ -3,18 +3,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A daemon's settings, as read from its JSON file.
+ * The settings of a daemon, read from a JSON file.
  *
- * @param name the daemon's name, unique over all data centres
- * @param dataCentre its data centre
- * @param callers where callers reach it
- * @param operators where operators reach it
- * @param peers where other daemons reach it
- * @param platform where the platform is
+ * @param name the name of the daemon, unique across all data centres
+ * @param dataCentre the data centre of the daemon
+ * @param callers the listener for callers
+ * @param operators the listener for operators
+ * @param peers the listener for other daemons
+ * @param platform the address of the platform
  * @param keyFiles files with keys
- * @param limits limits on inputs
- * @param timing periods and bounds
- * @param log how it logs
+ * @param limits limits on requests, responses and connections
+ * @param timing periods and timeouts
+ * @param log format and level of the log
  */
 public record DaemonSettings(
     String name,
@@ -28,7 +28,7 @@
     Timing timing,
     LogSettings log) {
 
-  /** Fills what is left out with defaults. */
+  /** Replaces missing settings by their defaults. */
   public DaemonSettings {
     limits = limits == null ? Limits.DEFAULT : limits;
     timing = timing == null ? Timing.DEFAULT : timing;
@@ -38,8 +38,8 @@
   /**
    * An address to listen on.
    *
-   * @param address the IP number
-   * @param port the port; 0 for a free one
+   * @param address the IP address
+   * @param port the port; 0 for any free port
    * @param certificateFile PEM file with the certificate chain; null for no TLS
    * @param privateKeyFile PEM file with the private key; null for no TLS
    */
@@ -52,30 +52,31 @@
   /**
    * An address to connect to.
    *
-   * @param address the IP number
+   * @param address the IP address
    * @param port the port
    */
   public record Endpoint(String address, int port) {}
 
   /**
-   * Files with keys; their content is never logged.
+   * Files with keys; their contents are never logged.
    *
-   * @param callers JSON object: caller's key to workspace
-   * @param operators JSON object: operator's key to operator
-   * @param peers the key that all daemons share
+   * @param callers file with a JSON object that maps keys of callers to workspaces
+   * @param operators file with a JSON object that maps keys of operators to operators
+   * @param peers file with the key that all daemons share
    */
   public record KeyFiles(String callers, String operators, String peers) {}
 
   /**
-   * Limits on inputs; 0 in the file means the default.
+   * Limits on requests, responses and connections; 0 in the file selects the default.
    *
-   * @param bodyBytes the largest request body, bytes
-   * @param answerBytes the largest answer, bytes
-   * @param deadlineMillis deadline of a request that names none, milliseconds
-   * @param maximumDeadlineMillis the latest deadline that a request may name, milliseconds
-   * @param waitingPerWorkspace requests of one workspace and class that may wait
-   * @param connections connections of callers at once
-   * @param keptAnswers answers to unsafe requests kept for repeats
+   * @param bodyBytes maximum size of a request body, bytes
+   * @param answerBytes maximum size of a response, bytes
+   * @param deadlineMillis deadline of requests that specify none, milliseconds
+   * @param maximumDeadlineMillis maximum deadline that a request may specify, milliseconds
+   * @param waitingPerWorkspace maximum number of waiting requests of one workspace and class
+   * @param connections maximum number of concurrent connections of callers
+   * @param keptAnswers number of responses to non-idempotent requests that are kept for repeated
+   *     requests
    */
   public record Limits(
       int bodyBytes,
@@ -89,7 +90,7 @@
     /** The defaults. */
     public static final Limits DEFAULT = new Limits(0, 0, 0, 0, 0, 0, 0);
 
-    /** Fills zeros with defaults. */
+    /** Replaces zeros by defaults. */
     public Limits {
       bodyBytes = bodyBytes == 0 ? 1024 * 1024 : bodyBytes;
       answerBytes = answerBytes == 0 ? 16 * 1024 * 1024 : answerBytes;
@@ -102,20 +103,21 @@
   }
 
   /**
-   * Periods and bounds; 0 in the file means the default.
+   * Periods and timeouts; 0 in the file selects the default.
    *
-   * @param probeMillis period of probes of each node, milliseconds
-   * @param probeTimeoutMillis bound on one probe, milliseconds
-   * @param beatMillis period of heartbeats within the data centre, milliseconds
-   * @param freshMillis how old evidence on a member may be, milliseconds
+   * @param probeMillis probe period for each node, milliseconds
+   * @param probeTimeoutMillis timeout of a probe, milliseconds
+   * @param beatMillis heartbeat period within the data centre, milliseconds
+   * @param freshMillis maximum age of a probe result that confirms a member, milliseconds
    * @param leaseMillis duration of the coordinator's lease, milliseconds
-   * @param orderTimeoutMillis bound on one order to an engine, milliseconds
-   * @param stallMillis how long an answer may stand still, milliseconds
-   * @param claimWindowMillis how long a claimed key is remembered, milliseconds
-   * @param stopGraceMillis how long readiness is off before the daemon refuses work, milliseconds
-   * @param planMillis period of planning, milliseconds
-   * @param rolloutPatienceMillis how long a rebuilt replica may take to be ready before its rollout
-   *     stops, milliseconds
+   * @param orderTimeoutMillis timeout of an order to an engine, milliseconds
+   * @param stallMillis maximum time without progress of a response, milliseconds
+   * @param claimWindowMillis how long a claimed request key is kept, milliseconds
+   * @param stopGraceMillis time between reporting not ready and refusing requests at shutdown,
+   *     milliseconds
+   * @param planMillis planning period, milliseconds
+   * @param rolloutPatienceMillis timeout for a rebuilt replica to become ready; the rollout stops
+   *     after it, milliseconds
    */
   public record Timing(
       long probeMillis,
@@ -133,7 +135,7 @@
     /** The defaults. */
     public static final Timing DEFAULT = new Timing(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
 
-    /** Fills zeros with defaults. */
+    /** Replaces zeros by defaults. */
     public Timing {
       probeMillis = probeMillis == 0 ? 1000 : probeMillis;
       probeTimeoutMillis = probeTimeoutMillis == 0 ? 1000 : probeTimeoutMillis;
@@ -150,17 +152,17 @@
   }
 
   /**
-   * How the daemon logs.
+   * Settings of the log.
    *
    * @param format {@code text} or {@code json}
    * @param level {@code error}, {@code warn}, {@code info} or {@code debug}
    */
   public record LogSettings(String format, String level) {
 
-    /** Text at level info. */
+    /** The default: text at level info. */
     public static final LogSettings DEFAULT = new LogSettings("text", "info");
 
-    /** Fills what is left out with defaults. */
+    /** Replaces missing settings by their defaults. */
     public LogSettings {
       format = format == null ? "text" : format;
       level = level == null ? "info" : level;
--- a/fawnvale-core/src/main/java/org/fawnvale/core/settings/package-info.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/settings/package-info.java
@@ -1,4 +1,4 @@
-/** A daemon's settings. */
+/** The settings of a daemon. */
 @NullMarked
 package org.fawnvale.core.settings;
 
