--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationPolicy.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationPolicy.java
@@ -5,32 +5,37 @@
 import org.fawnvale.core.planning.PlannerSettings;
 
 /**
- * A way to form replicas.
+ * A policy for forming replicas.
  *
- * @param name its name
- * @param settings what the planner may do
+ * @param name the name of the policy
+ * @param settings settings of the planner
  */
 public record FormationPolicy(String name, PlannerSettings settings) {
 
-  /** Name of the daemons' own policy. */
+  /** Name of the policy that daemons use. */
   public static final String OWN = "own";
 
   /**
-   * All policies: the daemons' own, the same with a part left out, and the baseline.
-   *
-   * @return the policies by name
+   * Returns all policies by name: the daemons' policy, variants with one feature off, and the
+   * baseline.
    */
   public static Map<String, FormationPolicy> all() {
-    PlannerSettings own = PlannerSettings.DEFAULT;
+    PlannerSettings daemonPolicy = PlannerSettings.DEFAULT;
     Map<String, FormationPolicy> policies = new LinkedHashMap<>();
-    add(policies, OWN, own);
-    add(policies, "without-grace", own.withGrace(0));
-    add(policies, "grace-of-30-s", own.withGrace(30_000));
-    add(policies, "without-warm-spares", own.without(PlannerSettings.Feature.WARM_SPARES));
-    add(policies, "without-raiding", own.without(PlannerSettings.Feature.PREEMPT_EXTRAS));
-    add(policies, "without-extras", own.without(PlannerSettings.Feature.EXTRAS));
-    add(policies, "without-preference", own.without(PlannerSettings.Feature.PREFER_LOADED));
-    add(policies, "without-rebuilding", own.without(PlannerSettings.Feature.REBUILD_IN_PLACE));
+    add(policies, OWN, daemonPolicy);
+    add(policies, "without-grace", daemonPolicy.withGrace(0));
+    add(policies, "grace-of-30-s", daemonPolicy.withGrace(30_000));
+    add(policies, "without-warm-spares", daemonPolicy.without(PlannerSettings.Feature.WARM_SPARES));
+    add(policies, "without-raiding", daemonPolicy.without(PlannerSettings.Feature.PREEMPT_EXTRAS));
+    add(policies, "without-extras", daemonPolicy.without(PlannerSettings.Feature.EXTRAS));
+    add(
+        policies,
+        "without-preference",
+        daemonPolicy.without(PlannerSettings.Feature.PREFER_LOADED));
+    add(
+        policies,
+        "without-rebuilding",
+        daemonPolicy.without(PlannerSettings.Feature.REBUILD_IN_PLACE));
     add(policies, "baseline", PlannerSettings.BASELINE);
     return policies;
   }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationReplay.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationReplay.java
@@ -19,7 +19,7 @@
 import org.fawnvale.core.planning.PlanInput;
 import org.fawnvale.core.planning.Planner;
 
-/** Runs a trace of nodes through the planner, before nodes in virtual time. */
+/** Replays a trace of node events through the planner against simulated nodes. */
 public final class FormationReplay {
 
   private static final String DATA_CENTRE = "dc";
@@ -59,11 +59,11 @@
   }
 
   /**
-   * Runs a trace.
+   * Replays a trace, after a simulated warm-up in which the replicas are formed.
    *
    * @param trace the trace
    * @param policy the policy
-   * @return what came of it, without the first two hours, in which replicas are first formed
+   * @return the result, without the warm-up
    */
   public static FormationResult run(FormationTrace trace, FormationPolicy policy) {
     return new FormationReplay(trace, policy).run();
@@ -75,7 +75,7 @@
     for (double now = -WARM_UP_SECONDS; now < end; now += TICK_SECONDS) {
       while (next < trace.events().size() && trace.events().get(next).atSeconds() <= now) {
         FormationTrace.Event event = trace.events().get(next++);
-        nodes.get(event.node()).happen(event.kind(), now);
+        nodes.get(event.node()).apply(event.kind(), now);
         failures += event.kind() == FormationTrace.Kind.FAIL ? 1 : 0;
       }
       step(now);
@@ -114,19 +114,19 @@
     lastViews = plan.changed().isEmpty() ? lastViews : Map.of();
     for (Order order : orders) {
       if (byName.get(order.node()).isAlive()) {
-        byName.get(order.node()).take(order, store, now);
+        byName.get(order.node()).accept(order, store, now);
       }
     }
   }
 
   private void measure() {
     Map<String, Integer> serving = new HashMap<>();
-    Set<String> busy = new HashSet<>();
+    Set<String> servingNodes = new HashSet<>();
     for (DomainState domain : domains.values()) {
       for (Replica replica : domain.replicas()) {
         if (!replica.draining() && isComplete(replica)) {
           serving.merge(replica.role(), 1, Integer::sum);
-          busy.addAll(replica.members());
+          servingNodes.addAll(replica.members());
         }
       }
     }
@@ -134,17 +134,19 @@
       int missing = role.replicasPerDataCentre() - serving.getOrDefault(role.name(), 0);
       downtimeSeconds += Math.max(0, missing) * TICK_SECONDS;
     }
-    unavoidableSeconds += unavoidablyMissing() * TICK_SECONDS;
+    unavoidableSeconds += unavoidablyMissingReplicas() * TICK_SECONDS;
     for (Map.Entry<String, VirtualNode> entry : byName.entrySet()) {
       if (entry.getValue().isAlive()) {
         healthySeconds += TICK_SECONDS;
-        strandedSeconds += busy.contains(entry.getKey()) ? 0 : TICK_SECONDS;
+        strandedSeconds += servingNodes.contains(entry.getKey()) ? 0 : TICK_SECONDS;
       }
     }
   }
 
-  /** Wanted replicas of the largest role for which no domain has enough living nodes left. */
-  private int unavoidablyMissing() {
+  /**
+   * Returns how many required replicas of the largest role no domain has enough running nodes for.
+   */
+  private int unavoidablyMissingReplicas() {
     Role largest =
         bundle.roles().stream().max(Comparator.comparingInt(Role::nodesPerReplica)).orElseThrow();
     int possible = 0;
@@ -162,21 +164,22 @@
   }
 
   /**
-   * Bounds: too few living nodes, and detection of each failure of a member; nodes that no set of
-   * wanted replicas can use.
+   * Computes the result with its lower bounds. The bound of the downtime is the time with too few
+   * running nodes plus the detection time of each member failure. The bound of the stranding is the
+   * time of the nodes that remain when domains are filled with replicas of the smallest role.
    */
   private FormationResult result() {
-    int wanted = 0;
+    int requiredNodes = 0;
     int smallest = Integer.MAX_VALUE;
     for (Role role : bundle.roles()) {
-      wanted += role.replicasPerDataCentre() * role.nodesPerReplica();
+      requiredNodes += role.replicasPerDataCentre() * role.nodesPerReplica();
       smallest = Math.min(smallest, role.nodesPerReplica());
     }
-    double memberShare = Math.min(1, (double) wanted / nodes.size());
+    double memberShare = Math.min(1, (double) requiredNodes / nodes.size());
     double downtimeBound =
         unavoidableSeconds + failures * memberShare * trace.fleet().detectionSeconds();
-    int left = trace.fleet().nodesPerDomain() % smallest * trace.fleet().domains();
-    double strandedBound = healthySeconds * left / nodes.size();
+    int leftOverNodes = trace.fleet().nodesPerDomain() % smallest * trace.fleet().domains();
+    double strandedBound = healthySeconds * leftOverNodes / nodes.size();
     double downtime = downtimeSeconds / SECONDS_PER_HOUR;
     double stranded = strandedSeconds / SECONDS_PER_HOUR;
     return new FormationResult(
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationResult.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationResult.java
@@ -5,13 +5,13 @@
 import java.util.Locale;
 
 /**
- * What came of a replay of nodes.
+ * The result of a formation replay.
  *
- * @param policy the policy's name
- * @param downtimeHours time that wanted replicas could not serve, replica-hours
- * @param strandedHours time that healthy nodes were in no complete replica, node-hours
- * @param loads loads of weights
- * @param weighted both measures under the bundle's weights
+ * @param policy the name of the policy
+ * @param downtimeHours time during which required replicas could not serve, replica-hours
+ * @param strandedHours time during which healthy nodes were in no complete replica, node-hours
+ * @param loads number of times that nodes loaded weights
+ * @param weighted sum of downtime and stranding, with the weights of the bundle
  * @param downtimeBound lower bound of the downtime, replica-hours
  * @param strandedBound lower bound of the stranding, node-hours
  */
@@ -24,7 +24,7 @@
     double downtimeBound,
     double strandedBound) {
 
-  /** Heading of the lines of {@link #line}. */
+  /** Heading for the lines that {@link #line} returns. */
   public static final String HEADING =
       String.format(
           Locale.ROOT,
@@ -37,11 +37,7 @@
           "BOUND r-h",
           "BOUND n-h");
 
-  /**
-   * The result in one line of a table.
-   *
-   * @return the line
-   */
+  /** Returns the result as one line of a table. */
   public String line() {
     return String.format(
         Locale.ROOT,
@@ -56,19 +52,19 @@
   }
 
   /**
-   * Compares the result with what the trace states.
+   * Compares the result with the expectation of the trace.
    *
-   * @param stated the stated outcome
-   * @return each point that is not met; empty when all are
+   * @param expectation the expectation
+   * @return a text for each bound that is not met; empty when all are met
    */
-  public List<String> unmetExpectations(FormationTrace.Expectation stated) {
-    List<String> misses = new ArrayList<>();
-    if (downtimeHours > stated.downtimeHoursAtMost()) {
-      misses.add("downtime " + downtimeHours + " r-h is over " + stated.downtimeHoursAtMost());
+  public List<String> unmetExpectations(FormationTrace.Expectation expectation) {
+    List<String> unmet = new ArrayList<>();
+    if (downtimeHours > expectation.downtimeHoursAtMost()) {
+      unmet.add("downtime " + downtimeHours + " r-h is over " + expectation.downtimeHoursAtMost());
     }
-    if (strandedHours > stated.strandedHoursAtMost()) {
-      misses.add("stranding " + strandedHours + " n-h is over " + stated.strandedHoursAtMost());
+    if (strandedHours > expectation.strandedHoursAtMost()) {
+      unmet.add("stranding " + strandedHours + " n-h is over " + expectation.strandedHoursAtMost());
     }
-    return misses;
+    return unmet;
   }
 }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationTrace.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationTrace.java
@@ -6,10 +6,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A trace of nodes: JSON lines, the fleet first, then what happens to nodes in the order of time.
+ * A trace of node events as JSON lines: first the fleet, then the events in chronological order.
  *
  * @param fleet the nodes and the bundle
- * @param events what happens
+ * @param events the events
  */
 public record FormationTrace(Fleet fleet, List<Event> events) {
 
@@ -19,16 +19,16 @@
   }
 
   /**
-   * The nodes of one data centre, and what they are for.
+   * The nodes of one data centre and their bundle.
    *
-   * @param name names the trace
-   * @param domains fabric domains
-   * @param nodesPerDomain nodes of each
-   * @param hours how long the trace is, hours
-   * @param detectionSeconds time from a node's silence until it is noticed, seconds
-   * @param gigabytesPerSecond rate of the weight store, for all loads together
+   * @param name the name of the trace
+   * @param domains number of fabric domains
+   * @param nodesPerDomain number of nodes in each domain
+   * @param hours duration of the trace, hours
+   * @param detectionSeconds time until the failure of a node is detected, seconds
+   * @param gigabytesPerSecond total throughput of the weight store
    * @param bundle the bundle in force
-   * @param expect the outcome that the trace states; null for none
+   * @param expect the expected result; null for none
    */
   public record Fleet(
       String name,
@@ -41,50 +41,46 @@
       @Nullable Expectation expect) {}
 
   /**
-   * The stated outcome of a trace.
+   * The expected result of a trace.
    *
-   * @param downtimeHoursAtMost group downtime, replica-hours
-   * @param strandedHoursAtMost stranded nodes, node-hours
+   * @param downtimeHoursAtMost maximum downtime, replica-hours
+   * @param strandedHoursAtMost maximum time of stranded nodes, node-hours
    */
   public record Expectation(double downtimeHoursAtMost, double strandedHoursAtMost) {}
 
-  /** What happens to a node. */
+  /** The kind of a node event. */
   public enum Kind {
-    /** It goes silent and its memory is lost. */
+    /** The node stops answering and loses its state. */
     FAIL,
-    /** It goes silent and keeps its memory. */
+    /** The node stops answering and keeps its state. */
     PAUSE,
-    /** It comes back. */
+    /** The node answers again. */
     RETURN,
-    /** The platform is about to take it away. */
+    /** The platform is about to remove the node. */
     LEAVE
   }
 
   /**
-   * One event.
+   * A node event.
    *
-   * @param atSeconds when it happens
-   * @param node the node's number, from 0; domain by domain
-   * @param kind what happens
+   * @param atSeconds time of the event, seconds from the start
+   * @param node index of the node, from 0, counted domain by domain
+   * @param kind the kind of the event
    */
   public record Event(double atSeconds, int node, Kind kind) {}
 
   /**
-   * Reads a trace.
+   * Parses a trace.
    *
    * @param text JSON lines
-   * @return the trace, or the first line that is wrong
+   * @return the trace, or a problem with the first invalid line
    */
   public static Result<FormationTrace> parse(String text) {
     return JsonLines.parse(text, Fleet.class, Event.class)
-        .map(lines -> new FormationTrace(lines.head(), lines.entries()));
+        .map(lines -> new FormationTrace(lines.header(), lines.entries()));
   }
 
-  /**
-   * Writes the trace.
-   *
-   * @return JSON lines
-   */
+  /** Formats the trace as JSON lines. */
   public String format() {
     return new JsonLines<>(fleet, events).format();
   }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/JsonLines.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/JsonLines.java
@@ -8,14 +8,14 @@
 import org.fawnvale.core.result.Result;
 
 /**
- * A text of JSON lines: a head, then entries of one kind.
+ * JSON lines: a header, then entries of one type.
  *
- * @param head the first line
- * @param entries the further lines
- * @param <H> the kind of the head
- * @param <E> the kind of the entries
+ * @param header the header, from the first line
+ * @param entries the entries, from the other lines
+ * @param <H> the type of the header
+ * @param <E> the type of the entries
  */
-record JsonLines<H, E>(H head, List<E> entries) {
+record JsonLines<H, E>(H header, List<E> entries) {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -23,35 +23,35 @@
     entries = List.copyOf(entries);
   }
 
-  /** Reads a text, or names the first line that is wrong. */
+  /** Parses a text, or returns a problem with the first invalid line. */
   static <H, E> Result<JsonLines<H, E>> parse(String text, Class<H> headType, Class<E> entryType) {
     String[] lines = text.split("\n");
     List<E> entries = new ArrayList<>();
     int number = 1;
     try {
-      H head = MAPPER.readValue(lines[0], headType);
+      H header = MAPPER.readValue(lines[0], headType);
       while (number < lines.length) {
         number++;
         if (!lines[number - 1].isBlank()) {
           entries.add(MAPPER.readValue(lines[number - 1], entryType));
         }
       }
-      return Result.success(new JsonLines<>(head, entries));
+      return Result.success(new JsonLines<>(header, entries));
     } catch (JsonProcessingException e) {
       return Result.failure(
           Problem.invalid(
               "line " + number,
               null,
               e.getOriginalMessage() + ".",
-              "Write it as docs/TRACES.md says."));
+              "Use the format that docs/TRACES.md describes."));
     }
   }
 
-  /** Writes the text. */
+  /** Formats the header and the entries as JSON lines. */
   String format() {
     StringBuilder text = new StringBuilder();
     try {
-      text.append(MAPPER.writeValueAsString(head)).append('\n');
+      text.append(MAPPER.writeValueAsString(header)).append('\n');
       for (E entry : entries) {
         text.append(MAPPER.writeValueAsString(entry)).append('\n');
       }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/ReplayResult.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/ReplayResult.java
@@ -6,17 +6,17 @@
 import java.util.Map;
 
 /**
- * What came of a replay.
+ * The result of a request replay.
  *
- * @param policy the policy's name
- * @param requests how many requests there were
- * @param goodput share of requests that were answered within their deadline
+ * @param policy the name of the policy
+ * @param requests number of requests
+ * @param goodput share of requests that completed within their deadline
  * @param firstToken50 median time to the first token of answered requests, milliseconds
- * @param firstToken95 the same for 95 in 100
- * @param firstToken99 the same for 99 in 100
- * @param cacheHits share of prompt characters that were found cached
+ * @param firstToken95 95th percentile of the same, milliseconds
+ * @param firstToken99 99th percentile of the same, milliseconds
+ * @param cacheHits share of prompt characters that were cached
  * @param refused share of requests that were refused
- * @param retries retries for each request
+ * @param retries average number of retries per request
  * @param workspaceGoodput goodput of each workspace
  */
 public record ReplayResult(
@@ -31,7 +31,7 @@
     double retries,
     Map<String, Double> workspaceGoodput) {
 
-  /** Heading of the lines of {@link #line}. */
+  /** Heading for the lines that {@link #line} returns. */
   public static final String HEADING =
       String.format(
           Locale.ROOT,
@@ -51,20 +51,12 @@
     workspaceGoodput = Map.copyOf(workspaceGoodput);
   }
 
-  /**
-   * Goodput of the workspace that has the least.
-   *
-   * @return the share
-   */
-  public double worstWorkspace() {
+  /** Returns the lowest goodput of a workspace. */
+  public double lowestWorkspaceGoodput() {
     return workspaceGoodput.values().stream().mapToDouble(Double::doubleValue).min().orElse(1);
   }
 
-  /**
-   * The result in one line of a table.
-   *
-   * @return the line
-   */
+  /** Returns the result as one line of a table. */
   public String line() {
     return String.format(
         Locale.ROOT,
@@ -77,31 +69,34 @@
         cacheHits,
         refused,
         retries,
-        worstWorkspace());
+        lowestWorkspaceGoodput());
   }
 
   /**
-   * Compares the result with what the trace states.
+   * Compares the result with the expectation of the trace.
    *
-   * @param stated the stated outcome
-   * @return each point that is not met; empty when all are
+   * @param expectation the expectation
+   * @return a text for each bound that is not met; empty when all are met
    */
-  public List<String> unmetExpectations(RequestTrace.Expectation stated) {
-    List<String> misses = new ArrayList<>();
-    if (goodput < stated.goodputAtLeast()) {
-      misses.add("goodput " + goodput + " is under " + stated.goodputAtLeast());
+  public List<String> unmetExpectations(RequestTrace.Expectation expectation) {
+    List<String> unmet = new ArrayList<>();
+    if (goodput < expectation.goodputAtLeast()) {
+      unmet.add("goodput " + goodput + " is under " + expectation.goodputAtLeast());
     }
-    if (firstToken95 > stated.firstToken95AtMostMillis()) {
-      misses.add(
-          "first token of 95 in 100 "
+    if (firstToken95 > expectation.firstToken95AtMostMillis()) {
+      unmet.add(
+          "95th percentile of the time to the first token "
               + firstToken95
               + " ms is over "
-              + stated.firstToken95AtMostMillis());
+              + expectation.firstToken95AtMostMillis());
     }
-    if (worstWorkspace() < stated.workspaceGoodputAtLeast()) {
-      misses.add(
-          "worst workspace " + worstWorkspace() + " is under " + stated.workspaceGoodputAtLeast());
+    if (lowestWorkspaceGoodput() < expectation.workspaceGoodputAtLeast()) {
+      unmet.add(
+          "worst workspace "
+              + lowestWorkspaceGoodput()
+              + " is under "
+              + expectation.workspaceGoodputAtLeast());
     }
-    return misses;
+    return unmet;
   }
 }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/RequestReplay.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/RequestReplay.java
@@ -20,7 +20,10 @@
 import org.fawnvale.core.routing.ReplicaLoad;
 import org.jspecify.annotations.Nullable;
 
-/** Runs a trace of requests through several daemons' decisions, before replicas in virtual time. */
+/**
+ * Replays a trace of requests through the decision code of several daemons against simulated
+ * replicas.
+ */
 public final class RequestReplay {
 
   private static final double NANOS_PER_MILLI = 1e6;
@@ -35,14 +38,14 @@
   private final List<VirtualDaemon> daemons = new ArrayList<>();
   private final Queue<Event> events =
       new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::number));
-  private final List<Flight> flights = new ArrayList<>();
+  private final List<ReplayedRequest> replayed = new ArrayList<>();
   private long eventNumber;
   private double now;
 
   private record Event(double at, long number, Runnable action) {}
 
-  /** One request on its way. */
-  static final class Flight {
+  /** The state of one request during the replay. */
+  static final class ReplayedRequest {
     private final RequestTrace.Request request;
     private final Prefix prefix;
     private final Set<String> tried = new HashSet<>();
@@ -52,12 +55,14 @@
     private double endedAt = Double.NaN;
     private int cachedCharacters;
 
-    Flight(RequestTrace.Request request) {
+    ReplayedRequest(RequestTrace.Request request) {
       this.request = request;
       this.prefix = Prefix.of(prompt(request));
     }
 
-    /** A text whose first part is the family's, and whose rest no other request has. */
+    /**
+     * Generates a prompt: a prefix common to the family, then text that is unique to the request.
+     */
     private static String prompt(RequestTrace.Request request) {
       StringBuilder text = new StringBuilder(request.characters());
       while (text.length() < request.sharedCharacters()) {
@@ -84,17 +89,17 @@
     }
   }
 
-  /** One daemon: its own queue, loads, guesses and retry budgets. */
+  /** A simulated daemon with its own queue, load estimates, prefix index and retry budgets. */
   private final class VirtualDaemon {
     private final PrefixIndex index = RoutingPolicy.newIndex();
     private final RoutingPolicy.Picker picker;
-    private final AdmissionQueue<Flight> queue = AdmissionQueue.create(WAITING_PER_FLOW);
+    private final AdmissionQueue<ReplayedRequest> queue = AdmissionQueue.create(WAITING_PER_FLOW);
     private final List<Candidate> candidates = new ArrayList<>();
     private final Map<String, VirtualReplica> byKey = new HashMap<>();
     private final Map<String, RetryBudget> budgets = new HashMap<>();
 
     VirtualDaemon(RandomGenerator random) {
-      picker = policy.chooser().create(index, random);
+      picker = policy.pickerFactory().create(index, random);
       for (int i = 0; i < replicas.size(); i++) {
         String key = "replica-" + i;
         candidates.add(new Candidate(key, new ReplicaLoad(), trace.fleet().maximumConcurrent()));
@@ -102,64 +107,74 @@
       }
     }
 
-    void arrive(Flight flight) {
-      budget(flight).earn();
+    void arrive(ReplayedRequest replayedRequest) {
+      budget(replayedRequest).earn();
       if (!policy.queues()) {
-        pick(flight).ifPresentOrElse(each -> send(flight, each), () -> flight.refused = true);
+        pick(replayedRequest)
+            .ifPresentOrElse(
+                each -> send(replayedRequest, each), () -> replayedRequest.refused = true);
         return;
       }
-      RequestTrace.Request request = flight.request();
+      RequestTrace.Request request = replayedRequest.request();
       RequestClass requestClass =
           RequestClass.parse(request.requestClass()).orElse(RequestClass.STANDARD);
       double share = trace.fleet().shares().getOrDefault(request.workspace(), 1.0);
       double weight = share * requestClass.weight();
-      flight.refused =
+      replayedRequest.refused =
           queue
-              .offer(flow(request), weight, nanos(flight.deadline()), nanos(now), flight)
+              .offer(
+                  flow(request),
+                  weight,
+                  nanos(replayedRequest.deadline()),
+                  nanos(now),
+                  replayedRequest)
               .isPresent();
       dispatch();
     }
 
-    private RetryBudget budget(Flight flight) {
+    private RetryBudget budget(ReplayedRequest replayedRequest) {
       return budgets.computeIfAbsent(
-          flight.request().workspace(), name -> RetryBudget.create(RETRY_SHARE, RETRY_RESERVE));
+          replayedRequest.request().workspace(),
+          name -> RetryBudget.create(RETRY_SHARE, RETRY_RESERVE));
     }
 
     void dispatch() {
-      queue.dispatch(nanos(now), this::pick, this::send, flight -> flight.refused = true);
+      queue.dispatch(
+          nanos(now), this::pick, this::send, replayedRequest -> replayedRequest.refused = true);
     }
 
-    private Optional<Candidate> pick(Flight flight) {
+    private Optional<Candidate> pick(ReplayedRequest replayedRequest) {
       return picker.pick(
           candidates,
-          flight.prefix(),
+          replayedRequest.prefix(),
           candidate ->
-              !byKey.get(candidate.key()).isLost() && !flight.tried.contains(candidate.key()));
+              !byKey.get(candidate.key()).isLost()
+                  && !replayedRequest.tried.contains(candidate.key()));
     }
 
-    private void send(Flight flight, Candidate candidate) {
-      flight.attempts++;
-      flight.tried.add(candidate.key());
-      int expected = index.cachedCharacters(candidate.key(), flight.prefix());
-      index.store(candidate.key(), flight.prefix());
+    private void send(ReplayedRequest replayedRequest, Candidate candidate) {
+      replayedRequest.attempts++;
+      replayedRequest.tried.add(candidate.key());
+      int expected = index.cachedCharacters(candidate.key(), replayedRequest.prefix());
+      index.store(candidate.key(), replayedRequest.prefix());
       candidate.load().started();
       VirtualReplica replica = byKey.get(candidate.key());
-      VirtualReplica.Attempt attempt = new VirtualReplica.Attempt(flight, replica);
+      VirtualReplica.Attempt attempt = new VirtualReplica.Attempt(replayedRequest, replica);
       double sent = now;
       attempts.put(attempt, new Sent(this, candidate, sent, expected));
-      if (replica.take(attempt, now)) {
+      if (replica.accept(attempt, now)) {
         schedule(attempt);
       }
     }
 
-    void fail(Flight flight, Candidate candidate) {
+    void fail(ReplayedRequest replayedRequest, Candidate candidate) {
       candidate.load().ended(-1);
       boolean mayRetry =
-          flight.attempts < MAXIMUM_ATTEMPTS
-              && now < flight.deadline()
-              && budget(flight).trySpend();
+          replayedRequest.attempts < MAXIMUM_ATTEMPTS
+              && now < replayedRequest.deadline()
+              && budget(replayedRequest).trySpend();
       if (mayRetry) {
-        pick(flight).ifPresent(next -> send(flight, next));
+        pick(replayedRequest).ifPresent(next -> send(replayedRequest, next));
       }
     }
   }
@@ -181,12 +196,12 @@
   }
 
   /**
-   * Runs a trace.
+   * Replays a trace.
    *
    * @param trace the trace
    * @param policy the policy
-   * @param random random numbers; the same ones give the same result
-   * @return what came of it
+   * @param random random numbers; an equally seeded generator gives the same result
+   * @return the result
    */
   public static ReplayResult run(RequestTrace trace, RoutingPolicy policy, RandomGenerator random) {
     return new RequestReplay(trace, policy, random).run();
@@ -195,10 +210,10 @@
   private ReplayResult run() {
     int number = 0;
     for (RequestTrace.Request request : trace.requests()) {
-      Flight flight = new Flight(request);
-      flights.add(flight);
+      ReplayedRequest replayedRequest = new ReplayedRequest(request);
+      replayed.add(replayedRequest);
       VirtualDaemon daemon = daemons.get(number++ % daemons.size());
-      at(request.atMillis(), () -> daemon.arrive(flight));
+      at(request.atMillis(), () -> daemon.arrive(replayedRequest));
     }
     double last = trace.requests().get(trace.requests().size() - 1).atMillis();
     for (double tick = 0; tick < 2 * last; tick += trace.fleet().loadLagMillis()) {
@@ -227,12 +242,12 @@
   private void firstToken(VirtualReplica.Attempt attempt) {
     Sent sent = attempts.get(attempt);
     if (sent != null) {
-      Flight flight = attempt.flight();
-      flight.firstTokenAt = now;
-      flight.cachedCharacters = attempt.cachedCharacters();
+      ReplayedRequest replayedRequest = attempt.replayedRequest();
+      replayedRequest.firstTokenAt = now;
+      replayedRequest.cachedCharacters = attempt.cachedCharacters();
       sent.candidate()
           .load()
-          .firstToken(now - sent.at(), flight.prefix().characters() - sent.expected());
+          .firstToken(now - sent.at(), replayedRequest.prefix().characters() - sent.expected());
     }
   }
 
@@ -241,9 +256,11 @@
     if (sent == null) {
       return;
     }
-    attempt.flight().endedAt = now;
+    attempt.replayedRequest().endedAt = now;
     sent.candidate().load().ended(now - sent.at());
-    sent.daemon().queue.recordServiceTime(flow(attempt.flight().request()), nanos(now - sent.at()));
+    sent.daemon()
+        .queue
+        .recordServiceTime(flow(attempt.replayedRequest().request()), nanos(now - sent.at()));
     VirtualReplica.Attempt next = attempt.replica().end(now);
     if (next != null) {
       schedule(next);
@@ -252,12 +269,12 @@
   }
 
   private void lose(VirtualReplica replica) {
-    replica.lose();
+    replica.fail();
     List<VirtualReplica.Attempt> broken =
         attempts.keySet().stream().filter(attempt -> attempt.replica() == replica).toList();
     for (VirtualReplica.Attempt attempt : broken) {
       Sent sent = attempts.remove(attempt);
-      sent.daemon().fail(attempt.flight(), sent.candidate());
+      sent.daemon().fail(attempt.replayedRequest(), sent.candidate());
     }
   }
 
@@ -283,31 +300,32 @@
     Map<String, int[]> byWorkspace = new HashMap<>();
     long characters = 0;
     long cached = 0;
-    int good = 0;
+    int inTimeCount = 0;
     int refused = 0;
     int retries = 0;
-    for (Flight flight : flights) {
-      int[] counts = byWorkspace.computeIfAbsent(flight.request().workspace(), name -> new int[2]);
-      boolean inTime = flight.endedAt <= flight.deadline();
+    for (ReplayedRequest replayedRequest : replayed) {
+      int[] counts =
+          byWorkspace.computeIfAbsent(replayedRequest.request().workspace(), name -> new int[2]);
+      boolean inTime = replayedRequest.endedAt <= replayedRequest.deadline();
       counts[0]++;
       counts[1] += inTime ? 1 : 0;
-      good += inTime ? 1 : 0;
-      refused += flight.refused ? 1 : 0;
-      retries += Math.max(0, flight.attempts - 1);
-      if (!Double.isNaN(flight.endedAt)) {
-        firstTokens.add(flight.firstTokenAt - flight.request().atMillis());
-        characters += flight.request().characters();
-        cached += flight.cachedCharacters;
+      inTimeCount += inTime ? 1 : 0;
+      refused += replayedRequest.refused ? 1 : 0;
+      retries += Math.max(0, replayedRequest.attempts - 1);
+      if (!Double.isNaN(replayedRequest.endedAt)) {
+        firstTokens.add(replayedRequest.firstTokenAt - replayedRequest.request().atMillis());
+        characters += replayedRequest.request().characters();
+        cached += replayedRequest.cachedCharacters;
       }
     }
     firstTokens.sort(null);
     Map<String, Double> goodput = new HashMap<>();
     byWorkspace.forEach((name, counts) -> goodput.put(name, (double) counts[1] / counts[0]));
-    double all = flights.size();
+    double all = replayed.size();
     return new ReplayResult(
         policy.name(),
-        flights.size(),
-        good / all,
+        replayed.size(),
+        inTimeCount / all,
         percentile(firstTokens, 0.5),
         percentile(firstTokens, 0.95),
         percentile(firstTokens, 0.99),
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/RequestTrace.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/RequestTrace.java
@@ -6,9 +6,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A trace of requests: JSON lines, the fleet first, then the requests in the order of arrival.
+ * A trace of requests as JSON lines: first the fleet, then the requests in the order of arrival.
  *
- * @param fleet what serves them
+ * @param fleet the daemons and replicas that serve the requests
  * @param requests the requests
  */
 public record RequestTrace(Fleet fleet, List<Request> requests) {
@@ -19,20 +19,22 @@
   }
 
   /**
-   * The fleet of a trace.
+   * The daemons and replicas of a trace.
    *
-   * @param name names the trace
-   * @param daemons daemons that share the requests
-   * @param replicas replicas of the model
-   * @param maximumConcurrent requests that each replica runs at once
-   * @param tokenMillis time of each token, milliseconds
-   * @param prefillMicrosPerCharacter time of each prompt character that is not cached, microseconds
-   * @param cachedBlocks prompt blocks that each replica's cache holds
-   * @param loadLagMillis how late load reports are, milliseconds
-   * @param slowFactor how much slower the first replica is; 1 for as fast as the others
-   * @param lostAtMillis when the second replica is lost; negative for never
-   * @param shares the workspaces' shares
-   * @param expect the outcome that the trace states; null for none
+   * @param name the name of the trace
+   * @param daemons number of daemons that share the requests
+   * @param replicas number of replicas of the model
+   * @param maximumConcurrent requests that each replica runs concurrently
+   * @param tokenMillis decode time per token, milliseconds
+   * @param prefillMicrosPerCharacter prefill time per prompt character that is not cached,
+   *     microseconds
+   * @param cachedBlocks capacity of each replica's cache, in prompt blocks
+   * @param loadLagMillis period of load reports, milliseconds
+   * @param slowFactor factor by which the first replica is slower; 1 for no difference
+   * @param lostAtMillis when the second replica fails, milliseconds from the start; negative for
+   *     never
+   * @param shares shares by workspace
+   * @param expect the expected result; null for none
    */
   public record Fleet(
       String name,
@@ -49,12 +51,12 @@
       @Nullable Expectation expect) {}
 
   /**
-   * The stated outcome of a trace.
+   * The expected result of a trace.
    *
-   * @param goodputAtLeast smallest share of requests that are answered within their deadline
-   * @param firstToken95AtMostMillis longest first token of 95 in 100 answered requests,
+   * @param goodputAtLeast minimum share of requests that complete within their deadline
+   * @param firstToken95AtMostMillis maximum 95th percentile of the time to the first token,
    *     milliseconds
-   * @param workspaceGoodputAtLeast smallest such share of any one workspace
+   * @param workspaceGoodputAtLeast minimum goodput of each workspace
    */
   public record Expectation(
       double goodputAtLeast, double firstToken95AtMostMillis, double workspaceGoodputAtLeast) {}
@@ -62,14 +64,14 @@
   /**
    * One request.
    *
-   * @param atMillis when it arrives
-   * @param workspace its workspace
-   * @param requestClass its class
-   * @param family names the prefix that its prompt shares with others
-   * @param sharedCharacters length of that prefix
-   * @param characters length of the whole prompt
-   * @param tokens length of the answer
-   * @param deadlineMillis time until nobody waits for it, milliseconds
+   * @param atMillis arrival time, milliseconds from the start
+   * @param workspace the workspace of the caller
+   * @param requestClass the class of the request
+   * @param family identifies requests that share a prompt prefix
+   * @param sharedCharacters length of the shared prefix, in characters
+   * @param characters length of the whole prompt, in characters
+   * @param tokens length of the response, in tokens
+   * @param deadlineMillis time from arrival to the deadline, milliseconds
    */
   public record Request(
       double atMillis,
@@ -82,21 +84,17 @@
       double deadlineMillis) {}
 
   /**
-   * Reads a trace.
+   * Parses a trace.
    *
    * @param text JSON lines
-   * @return the trace, or the first line that is wrong
+   * @return the trace, or a problem with the first invalid line
    */
   public static Result<RequestTrace> parse(String text) {
     return JsonLines.parse(text, Fleet.class, Request.class)
-        .map(lines -> new RequestTrace(lines.head(), lines.entries()));
+        .map(lines -> new RequestTrace(lines.header(), lines.entries()));
   }
 
-  /**
-   * Writes the trace.
-   *
-   * @return JSON lines
-   */
+  /** Formats the trace as JSON lines. */
   public String format() {
     return new JsonLines<>(fleet, requests).format();
   }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/RoutingPolicy.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/RoutingPolicy.java
@@ -14,53 +14,50 @@
 import org.fawnvale.core.routing.Router;
 
 /**
- * A way to pick a replica, and whether requests wait in the daemon's fair queue for it.
+ * A policy for selecting replicas, with or without a fair queue at the daemon.
  *
- * @param name its name
- * @param queues true to admit and queue at the daemon, false to send at once
- * @param chooser makes the picker of one daemon
+ * @param name the name of the policy
+ * @param queues true for admission control and a queue at the daemon, false to send immediately
+ * @param pickerFactory creates the picker of each daemon
  */
-public record RoutingPolicy(String name, boolean queues, Chooser chooser) {
+public record RoutingPolicy(String name, boolean queues, PickerFactory pickerFactory) {
 
   private static final int CACHED_BLOCKS = 4096;
 
-  /** Picks a replica. */
+  /** Selects a replica for a request. */
   @FunctionalInterface
   interface Picker {
     Optional<Candidate> pick(
         List<Candidate> candidates, Prefix prefix, Predicate<Candidate> usable);
   }
 
-  /** Makes the picker of one daemon. */
+  /** Creates the picker of a daemon. */
   @FunctionalInterface
-  public interface Chooser {
+  public interface PickerFactory {
 
     /**
-     * Makes a picker.
+     * Creates a picker.
      *
-     * @param index the daemon's guesses of what is cached
-     * @param random the daemon's random numbers
-     * @return the picker
+     * @param index the prefix index of the daemon
+     * @param random the random numbers of the daemon
      */
     Picker create(PrefixIndex index, RandomGenerator random);
   }
 
-  /**
-   * All policies: the daemon's own, the same with a part left out, and the baselines.
-   *
-   * @return the policies by name
-   */
+  /** Returns all policies by name: the daemons' policy, variants of it, and the baselines. */
   public static Map<String, RoutingPolicy> all() {
     Map<String, RoutingPolicy> policies = new LinkedHashMap<>();
-    add(policies, own("expected", true, Router.Settings.DEFAULT));
-    add(policies, own("expected-without-cache", true, new Router.Settings(16, 0, false, 0)));
-    add(policies, own("expected-without-affinity", true, new Router.Settings(16, 0, true, 0)));
-    add(policies, own("expected-without-queue", false, new Router.Settings(16, 2, true, 1e9)));
-    add(policies, own("expected-of-four", true, new Router.Settings(4, 2, true, 0)));
-    add(policies, own("expected-overcommit-0.25", true, new Router.Settings(16, 2, true, 0.25)));
-    add(policies, new RoutingPolicy("least-outstanding", false, (index, random) -> leastOwn()));
-    add(policies, new RoutingPolicy("round-robin", false, (index, random) -> inTurn()));
-    add(policies, new RoutingPolicy("random", false, (index, random) -> atRandom(random)));
+    add(policies, router("expected", true, Router.Settings.DEFAULT));
+    add(policies, router("expected-without-cache", true, new Router.Settings(16, 0, false, 0)));
+    add(policies, router("expected-without-affinity", true, new Router.Settings(16, 0, true, 0)));
+    add(policies, router("expected-without-queue", false, new Router.Settings(16, 2, true, 1e9)));
+    add(policies, router("expected-of-four", true, new Router.Settings(4, 2, true, 0)));
+    add(policies, router("expected-overcommit-0.25", true, new Router.Settings(16, 2, true, 0.25)));
+    add(
+        policies,
+        new RoutingPolicy("least-outstanding", false, (index, random) -> leastOutstanding()));
+    add(policies, new RoutingPolicy("round-robin", false, (index, random) -> roundRobin()));
+    add(policies, new RoutingPolicy("random", false, (index, random) -> uniformRandom(random)));
     return policies;
   }
 
@@ -68,7 +65,7 @@
     policies.put(policy.name(), policy);
   }
 
-  private static RoutingPolicy own(String name, boolean queues, Router.Settings settings) {
+  private static RoutingPolicy router(String name, boolean queues, Router.Settings settings) {
     return new RoutingPolicy(
         name,
         queues,
@@ -79,32 +76,36 @@
         });
   }
 
-  private static Picker leastOwn() {
+  private static Picker leastOutstanding() {
     return (candidates, prefix, usable) ->
         candidates.stream()
             .filter(usable)
             .min(Comparator.comparingInt(candidate -> candidate.load().own()));
   }
 
-  private static Picker inTurn() {
+  private static Picker roundRobin() {
     int[] next = {0};
     return (candidates, prefix, usable) -> {
-      List<Candidate> left = new ArrayList<>(candidates);
-      left.removeIf(usable.negate());
+      List<Candidate> usableCandidates = new ArrayList<>(candidates);
+      usableCandidates.removeIf(usable.negate());
       next[0]++;
-      return left.isEmpty() ? Optional.empty() : Optional.of(left.get(next[0] % left.size()));
+      return usableCandidates.isEmpty()
+          ? Optional.empty()
+          : Optional.of(usableCandidates.get(next[0] % usableCandidates.size()));
     };
   }
 
-  private static Picker atRandom(RandomGenerator random) {
+  private static Picker uniformRandom(RandomGenerator random) {
     return (candidates, prefix, usable) -> {
-      List<Candidate> left = new ArrayList<>(candidates);
-      left.removeIf(usable.negate());
-      return left.isEmpty() ? Optional.empty() : Optional.of(left.get(random.nextInt(left.size())));
+      List<Candidate> usableCandidates = new ArrayList<>(candidates);
+      usableCandidates.removeIf(usable.negate());
+      return usableCandidates.isEmpty()
+          ? Optional.empty()
+          : Optional.of(usableCandidates.get(random.nextInt(usableCandidates.size())));
     };
   }
 
-  /** The index of a new daemon. */
+  /** Creates the prefix index of a daemon. */
   static PrefixIndex newIndex() {
     return PrefixIndex.create(CACHED_BLOCKS);
   }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/VirtualNode.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/VirtualNode.java
@@ -6,7 +6,9 @@
 import org.fawnvale.core.planning.NodeView;
 import org.jspecify.annotations.Nullable;
 
-/** A node in virtual time; it takes orders at once and loads weights as the store allows. */
+/**
+ * A simulated node; it accepts orders immediately and loads weights at the throughput of the store.
+ */
 final class VirtualNode {
 
   private final String name;
@@ -25,15 +27,15 @@
     this.domain = domain;
   }
 
-  void happen(FormationTrace.Kind kind, double now) {
+  void apply(FormationTrace.Kind kind, double now) {
     switch (kind) {
       case FAIL -> {
-        silence(now);
+        stopAnswering(now);
         order = null;
         loaded = null;
         loading = null;
       }
-      case PAUSE -> silence(now);
+      case PAUSE -> stopAnswering(now);
       case RETURN -> {
         alive = true;
         leaving = false;
@@ -42,7 +44,7 @@
     }
   }
 
-  private void silence(double now) {
+  private void stopAnswering(double now) {
     if (alive) {
       failures++;
       silentSince = now;
@@ -58,8 +60,8 @@
     return alive;
   }
 
-  /** Takes an order; the store books a load when the weights are not there. */
-  boolean take(Order next, VirtualStore store, double now) {
+  /** Accepts an order. Returns true when the node has to load weights for it. */
+  boolean accept(Order next, VirtualStore store, double now) {
     order = next;
     String wanted = next.version() == null ? null : next.model() + "@" + next.version();
     if (wanted == null || wanted.equals(loaded) || wanted.equals(loading)) {
@@ -67,7 +69,7 @@
     }
     loaded = null;
     loading = wanted;
-    readyAt = store.book(next.weightGigabytes(), now);
+    readyAt = store.scheduleLoad(next.weightGigabytes(), now);
     return true;
   }
 
@@ -87,7 +89,9 @@
         && loaded.equals(order.model() + "@" + order.version());
   }
 
-  /** The planner's view: silence shows only after the detection time. */
+  /**
+   * Returns the planner's view of the node, which shows a failure only after the detection time.
+   */
   NodeView view(double now, double detectionSeconds) {
     Node node = new Node(name, "dc", domain, "", "", null, leaving);
     double silent = alive ? 0 : now - silentSince - detectionSeconds;
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/VirtualReplica.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/VirtualReplica.java
@@ -6,31 +6,31 @@
 import java.util.Map;
 import org.fawnvale.core.routing.Prefix;
 
-/** A replica in virtual time: some requests at once, the others in the order they came. */
+/** A simulated replica; it runs a limited number of requests concurrently and queues the others. */
 final class VirtualReplica {
 
   private final RequestTrace.Fleet fleet;
-  private final double factor;
+  private final double slowFactor;
   private final Map<Long, Boolean> cache = new LinkedHashMap<>(16, 0.75f, true);
   private final Deque<Attempt> waiting = new ArrayDeque<>();
   private int running;
   private boolean lost;
 
-  /** One request at one replica. */
+  /** An attempt to run a request at a replica. */
   static final class Attempt {
-    private final RequestReplay.Flight flight;
+    private final RequestReplay.ReplayedRequest replayedRequest;
     private final VirtualReplica replica;
     private double firstTokenAt;
     private double endsAt;
     private int cachedCharacters;
 
-    Attempt(RequestReplay.Flight flight, VirtualReplica replica) {
-      this.flight = flight;
+    Attempt(RequestReplay.ReplayedRequest replayedRequest, VirtualReplica replica) {
+      this.replayedRequest = replayedRequest;
       this.replica = replica;
     }
 
-    RequestReplay.Flight flight() {
-      return flight;
+    RequestReplay.ReplayedRequest replayedRequest() {
+      return replayedRequest;
     }
 
     VirtualReplica replica() {
@@ -50,9 +50,9 @@
     }
   }
 
-  VirtualReplica(RequestTrace.Fleet fleet, double factor) {
+  VirtualReplica(RequestTrace.Fleet fleet, double slowFactor) {
     this.fleet = fleet;
-    this.factor = factor;
+    this.slowFactor = slowFactor;
   }
 
   int outstanding() {
@@ -63,13 +63,13 @@
     return lost;
   }
 
-  void lose() {
+  void fail() {
     lost = true;
     waiting.clear();
   }
 
-  /** Takes a request; true when it starts at once. */
-  boolean take(Attempt attempt, double now) {
+  /** Accepts a request. Returns true when it starts immediately, false when it is queued. */
+  boolean accept(Attempt attempt, double now) {
     if (running >= fleet.maximumConcurrent()) {
       waiting.add(attempt);
       return false;
@@ -78,7 +78,7 @@
     return true;
   }
 
-  /** Ends a request; returns the one that starts in its place, or null. */
+  /** Ends a request. Returns the queued request that starts next, or null. */
   @org.jspecify.annotations.Nullable
   Attempt end(double now) {
     running--;
@@ -91,17 +91,18 @@
 
   private void begin(Attempt attempt, double now) {
     running++;
-    RequestTrace.Request request = attempt.flight().request();
-    attempt.cachedCharacters = use(attempt.flight().prefix());
+    RequestTrace.Request request = attempt.replayedRequest().request();
+    attempt.cachedCharacters = updateCache(attempt.replayedRequest().prefix());
     double prefill =
         (request.characters() - attempt.cachedCharacters)
             * fleet.prefillMicrosPerCharacter()
             / 1000;
-    attempt.firstTokenAt = now + (prefill + fleet.tokenMillis()) * factor;
-    attempt.endsAt = attempt.firstTokenAt + (request.tokens() - 1) * fleet.tokenMillis() * factor;
+    attempt.firstTokenAt = now + (prefill + fleet.tokenMillis()) * slowFactor;
+    attempt.endsAt =
+        attempt.firstTokenAt + (request.tokens() - 1) * fleet.tokenMillis() * slowFactor;
   }
 
-  private int use(Prefix prefix) {
+  private int updateCache(Prefix prefix) {
     int cached = 0;
     while (cached < prefix.length() && cache.get(prefix.block(cached)) != null) {
       cached++;
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/VirtualStore.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/VirtualStore.java
@@ -1,6 +1,6 @@
 package org.fawnvale.core.replay;
 
-/** The weight store in virtual time: loads wait for each other, first come, first served. */
+/** A simulated weight store that serves loads one after the other, first come, first served. */
 final class VirtualStore {
 
   private final double gigabytesPerSecond;
@@ -11,7 +11,8 @@
     this.gigabytesPerSecond = gigabytesPerSecond;
   }
 
-  double book(double gigabytes, double now) {
+  /** Schedules a load and returns the time at which it completes, seconds. */
+  double scheduleLoad(double gigabytes, double now) {
     loads++;
     freeAt = Math.max(freeAt, now) + gigabytes / gigabytesPerSecond;
     return freeAt;
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/package-info.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/package-info.java
@@ -1,4 +1,4 @@
-/** Recorded traces, run through the same decisions as a daemon's, in virtual time. */
+/** Replay of traces through the daemons' decision code against simulated nodes and replicas. */
 @NullMarked
 package org.fawnvale.core.replay;
 
