--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/Plan.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/Plan.java
@@ -4,7 +4,7 @@
 import org.fawnvale.core.model.DomainState;
 
 /**
- * The changes that the planner wants to make.
+ * The changes to make to the fabric domains of a data centre.
  *
  * @param changed the new states of the domains that change
  * @param steps a log line for each change, with its cause
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/Planner.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/Planner.java
@@ -327,8 +327,8 @@
                         !isExtra(replica) && replica.members().stream().anyMatch(health::isLost));
   }
 
-  private void fill(Role role, int wanted) {
-    while (existingReplicas(role) < wanted) {
+  private void fill(Role role, int targetCount) {
+    while (existingReplicas(role) < targetCount) {
       if (rebuilding >= settings.maximumRebuilding()) {
         return;
       }
@@ -360,22 +360,22 @@
    * spares.
    */
   private Optional<DomainDraft> domainFor(Role role) {
-    String wanted = weights(role.model(), versionOf(role));
+    String requiredWeights = weights(role.model(), versionOf(role));
     Comparator<DomainDraft> order =
         settings.uses(Feature.PREFER_LOADED)
-            ? Comparator.comparingInt((DomainDraft draft) -> loads(draft, role, wanted))
-                .thenComparingInt(draft -> spares(draft, wanted).size())
+            ? Comparator.comparingInt((DomainDraft draft) -> loads(draft, role, requiredWeights))
+                .thenComparingInt(draft -> spares(draft, requiredWeights).size())
             : Comparator.comparingInt(drafts::indexOf);
     return drafts.stream()
-        .filter(draft -> spares(draft, wanted).size() >= role.nodesPerReplica())
+        .filter(draft -> spares(draft, requiredWeights).size() >= role.nodesPerReplica())
         .filter(draft -> mayForm(draft, role))
         .min(order);
   }
 
-  private int loads(DomainDraft draft, Role role, String wanted) {
+  private int loads(DomainDraft draft, Role role, String requiredWeights) {
     return (int)
-        spares(draft, wanted).subList(0, role.nodesPerReplica()).stream()
-            .filter(node -> !input.nodes().get(node).holds(wanted))
+        spares(draft, requiredWeights).subList(0, role.nodesPerReplica()).stream()
+            .filter(node -> !input.nodes().get(node).holds(requiredWeights))
             .count();
   }
 
@@ -388,9 +388,9 @@
   }
 
   /** Returns the domain's usable nodes outside all replicas, the preferred ones first. */
-  private List<String> spares(DomainDraft draft, String wanted) {
+  private List<String> spares(DomainDraft draft, String requiredWeights) {
     Comparator<NodeView> order =
-        Comparator.comparing((NodeView view) -> !view.holds(wanted))
+        Comparator.comparing((NodeView view) -> !view.holds(requiredWeights))
             .thenComparingInt(NodeView::failures);
     List<NodeView> free = new ArrayList<>();
     for (String name : nodesOfDomain.getOrDefault(draft.domain(), List.of())) {
@@ -406,7 +406,7 @@
     return free.stream().map(view -> view.node().name()).toList();
   }
 
-  private boolean isSurplus(Replica replica, Role role, int wanted) {
+  private boolean isSurplus(Replica replica, Role role, int targetCount) {
     List<Replica> same =
         allReplicas()
             .filter(each -> each.role().equals(role.name()) && !each.draining())
@@ -414,7 +414,7 @@
                 Comparator.comparing((Replica each) -> !health.isServing(each))
                     .thenComparing(Replica::generation))
             .toList();
-    return same.indexOf(replica) >= wanted;
+    return same.indexOf(replica) >= targetCount;
   }
 
   /**
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/VirtualNode.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/VirtualNode.java
@@ -63,12 +63,14 @@
   /** Accepts an order. Returns true when the node has to load weights for it. */
   boolean accept(Order next, VirtualStore store, double now) {
     order = next;
-    String wanted = next.version() == null ? null : next.model() + "@" + next.version();
-    if (wanted == null || wanted.equals(loaded) || wanted.equals(loading)) {
+    String requiredWeights = next.version() == null ? null : next.model() + "@" + next.version();
+    if (requiredWeights == null
+        || requiredWeights.equals(loaded)
+        || requiredWeights.equals(loading)) {
       return false;
     }
     loaded = null;
-    loading = wanted;
+    loading = requiredWeights;
     readyAt = store.scheduleLoad(next.weightGigabytes(), now);
     return true;
   }
--- a/fawnvale-core/src/main/java/org/fawnvale/core/routing/PrefixIndex.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/routing/PrefixIndex.java
@@ -53,7 +53,7 @@
    *
    * @param replica the replica's key
    */
-  public synchronized void forget(String replica) {
+  public synchronized void remove(String replica) {
     replicas.remove(replica);
   }
 
