--- a/fawnvale-core/src/main/java/org/fawnvale/core/check/Checked.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/check/CheckedDocument.java
@@ -5,16 +5,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A document that was checked.
+ * The result of validating a document.
  *
  * @param value the document; null when there are problems
- * @param problems all problems that were found
+ * @param problems all problems; empty for a valid document
  * @param <T> the type of the document
  */
-public record Checked<T>(@Nullable T value, List<Problem> problems) {
+public record CheckedDocument<T>(@Nullable T value, List<Problem> problems) {
 
   /** Copies the list. */
-  public Checked {
+  public CheckedDocument {
     problems = List.copyOf(problems);
   }
 }
