--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/Verdict.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/ClaimResult.java
@@ -9,8 +9,9 @@
  * @param verdict the verdict
  * @param owner who holds the key, when somebody does
  */
-public record Verdict(ClaimSlot.Verdict verdict, @Nullable String owner) {
+public record ClaimResult(ClaimSlot.Verdict verdict, @Nullable String owner) {
 
   /** Nothing was claimed, since the platform cannot be reached. */
-  public static final Verdict UNAVAILABLE = new Verdict(ClaimSlot.Verdict.UNAVAILABLE, null);
+  public static final ClaimResult UNAVAILABLE =
+      new ClaimResult(ClaimSlot.Verdict.UNAVAILABLE, null);
 }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/ClaimService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/ClaimService.java
@@ -28,15 +28,15 @@
  */
 public final class ClaimService implements Service {
 
-  private static final long FORWARD_MILLIS = 1000;
+  private static final long FORWARD_TIMEOUT_MILLIS = 1000;
 
   private final Context context;
   private final PeerService peers;
   private final List<SlotBatcher> batchers = new ArrayList<>();
-  private final Map<Long, Asked> asked = new ConcurrentHashMap<>();
+  private final Map<Long, PendingClaim> pendingClaims = new ConcurrentHashMap<>();
   private final AtomicLong numbers = new AtomicLong();
 
-  private record Asked(Link link, CompletableFuture<Verdict> verdict) {}
+  private record PendingClaim(Link link, CompletableFuture<ClaimResult> verdict) {}
 
   /**
    * Creates the service.
@@ -56,9 +56,9 @@
 
   @Override
   public void start() {
-    peers.on(Message.ClaimRequest.class, this::requested);
-    peers.on(Message.ClaimReply.class, this::replied);
-    peers.onClosed(this::closed);
+    peers.on(Message.ClaimRequest.class, this::onRequest);
+    peers.on(Message.ClaimReply.class, this::onReply);
+    peers.onClosed(this::onLinkClosed);
   }
 
   @Override
@@ -74,13 +74,14 @@
    * @param timeoutMillis how long to wait, milliseconds
    * @return the verdict; granted only when the owner holds the key for the whole window
    */
-  public Verdict claim(String keyDigest, String owner, long timeoutMillis) {
+  public ClaimResult claim(String keyDigest, String owner, long timeoutMillis) {
     int slot = ClaimSlot.slotOf(keyDigest);
     Link batcher = batcherOf(slot);
     if (batcher == null) {
       return await(batchers.get(slot).submit(keyDigest, owner, false), timeoutMillis);
     }
-    Verdict verdict = ask(batcher, keyDigest, owner, Math.min(timeoutMillis, FORWARD_MILLIS));
+    ClaimResult verdict =
+        requestFrom(batcher, keyDigest, owner, Math.min(timeoutMillis, FORWARD_TIMEOUT_MILLIS));
     if (verdict.verdict() != ClaimSlot.Verdict.UNAVAILABLE) {
       return verdict;
     }
@@ -95,9 +96,9 @@
    * @param timeoutMillis how long to wait, milliseconds
    * @return true when the key is free again
    */
-  public boolean giveBack(String keyDigest, String owner, long timeoutMillis) {
+  public boolean release(String keyDigest, String owner, long timeoutMillis) {
     SlotBatcher batcher = batchers.get(ClaimSlot.slotOf(keyDigest));
-    Verdict verdict = await(batcher.submit(keyDigest, owner, true), timeoutMillis);
+    ClaimResult verdict = await(batcher.submit(keyDigest, owner, true), timeoutMillis);
     return verdict.verdict() == ClaimSlot.Verdict.GRANTED;
   }
 
@@ -109,32 +110,32 @@
     return peers.linkTo(chosen);
   }
 
-  private Verdict ask(Link link, String keyDigest, String owner, long timeoutMillis) {
+  private ClaimResult requestFrom(Link link, String keyDigest, String owner, long timeoutMillis) {
     long number = numbers.incrementAndGet();
-    Asked question = new Asked(link, new CompletableFuture<>());
-    asked.put(number, question);
+    PendingClaim pending = new PendingClaim(link, new CompletableFuture<>());
+    pendingClaims.put(number, pending);
     try {
       if (!link.send(new Message.ClaimRequest(number, keyDigest, owner))) {
-        return Verdict.UNAVAILABLE;
+        return ClaimResult.UNAVAILABLE;
       }
-      return await(question.verdict(), timeoutMillis);
+      return await(pending.verdict(), timeoutMillis);
     } finally {
-      asked.remove(number);
+      pendingClaims.remove(number);
     }
   }
 
-  private static Verdict await(CompletableFuture<Verdict> verdict, long timeoutMillis) {
+  private static ClaimResult await(CompletableFuture<ClaimResult> verdict, long timeoutMillis) {
     try {
       return verdict.get(Math.max(1, timeoutMillis), TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      return Verdict.UNAVAILABLE;
+      return ClaimResult.UNAVAILABLE;
     } catch (ExecutionException | TimeoutException e) {
-      return Verdict.UNAVAILABLE;
+      return ClaimResult.UNAVAILABLE;
     }
   }
 
-  private void requested(Link link, Message.ClaimRequest request) {
+  private void onRequest(Link link, Message.ClaimRequest request) {
     batchers
         .get(ClaimSlot.slotOf(request.key()))
         .submit(request.key(), request.owner(), false)
@@ -145,18 +146,18 @@
                         request.number(), verdict.verdict().name(), verdict.owner())));
   }
 
-  private void replied(Link link, Message.ClaimReply reply) {
-    Asked question = asked.get(reply.number());
-    if (question != null && question.link() == link) {
+  private void onReply(Link link, Message.ClaimReply reply) {
+    PendingClaim pending = pendingClaims.get(reply.number());
+    if (pending != null && pending.link() == link) {
       ClaimSlot.Verdict verdict = ClaimSlot.Verdict.valueOf(reply.verdict());
-      question.verdict().complete(new Verdict(verdict, reply.owner()));
+      pending.verdict().complete(new ClaimResult(verdict, reply.owner()));
     }
   }
 
-  private void closed(Link link) {
-    for (Asked question : asked.values()) {
-      if (question.link() == link) {
-        question.verdict().complete(Verdict.UNAVAILABLE);
+  private void onLinkClosed(Link link) {
+    for (PendingClaim pending : pendingClaims.values()) {
+      if (pending.link() == link) {
+        pending.verdict().complete(ClaimResult.UNAVAILABLE);
       }
     }
   }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/SlotBatcher.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/SlotBatcher.java
@@ -29,7 +29,7 @@
 final class SlotBatcher {
 
   private static final Logger LOG = LogManager.getLogger("claim");
-  private static final int TRIES = 6;
+  private static final int MAXIMUM_ATTEMPTS = 6;
 
   private final int slot;
   private final ObjectStore store;
@@ -38,13 +38,13 @@
   private final long windowMillis;
   private List<Pending> waiting = new ArrayList<>();
   private boolean writing;
-  private @Nullable Version copy;
+  private @Nullable CachedSlot cached;
 
   /** A claim, or a giving back, that waits for its write. */
   private record Pending(
-      String key, String owner, boolean givesBack, CompletableFuture<Verdict> verdict) {}
+      String key, String owner, boolean isRelease, CompletableFuture<ClaimResult> verdict) {}
 
-  private record Version(long version, ClaimSlot slot) {}
+  private record CachedSlot(long version, ClaimSlot slot) {}
 
   SlotBatcher(
       int slot, ObjectStore store, Executor executor, LongSupplier wallClock, long windowMillis) {
@@ -55,8 +55,8 @@
     this.windowMillis = windowMillis;
   }
 
-  CompletableFuture<Verdict> submit(String key, String owner, boolean givesBack) {
-    Pending pending = new Pending(key, owner, givesBack, new CompletableFuture<>());
+  CompletableFuture<ClaimResult> submit(String key, String owner, boolean isRelease) {
+    Pending pending = new Pending(key, owner, isRelease, new CompletableFuture<>());
     boolean start;
     synchronized (this) {
       waiting.add(pending);
@@ -76,7 +76,7 @@
         commit(batch);
       } catch (RuntimeException e) {
         LOG.error("Claims of slot {} failed; they are refused.", slot, e);
-        batch.forEach(pending -> settle(pending, ClaimSlot.Verdict.UNAVAILABLE, null));
+        batch.forEach(pending -> completeOne(pending, ClaimSlot.Verdict.UNAVAILABLE, null));
       }
       batch = takeBatch();
     }
@@ -91,33 +91,33 @@
 
   private void commit(List<Pending> batch) {
     boolean maybeWritten = false;
-    for (int i = 0; i < TRIES; i++) {
-      boolean remembered = copy != null;
-      Version current = remembered ? copy : read();
-      copy = current;
+    for (int i = 0; i < MAXIMUM_ATTEMPTS; i++) {
+      boolean fromCache = cached != null;
+      CachedSlot current = fromCache ? cached : read();
+      cached = current;
       if (current == null) {
         continue;
       }
-      Map<String, String> granted = judge(batch, current.slot());
-      boolean refusesSome = batch.stream().anyMatch(each -> !granted.containsKey(each.key()));
-      if (remembered && refusesSome) {
-        copy = null; // Only what the platform holds now may refuse a key.
+      Map<String, String> granted = findGrantable(batch, current.slot());
+      boolean anyRefused = batch.stream().anyMatch(each -> !granted.containsKey(each.key()));
+      if (fromCache && anyRefused) {
+        cached = null; // Only what the platform holds now may refuse a key.
         continue;
       }
       ClaimSlot next = next(current.slot(), granted, batch);
       if (next.equals(current.slot())) {
-        settleAll(batch, next);
+        completeAll(batch, next);
         return;
       }
       byte[] value = Documents.write(next);
       WriteResult result = store.put(ObjectNames.claims(slot), current.version(), value);
       if (result instanceof WriteResult.Written written) {
-        copy = new Version(written.version(), next);
-        settleAll(batch, next);
+        cached = new CachedSlot(written.version(), next);
+        completeAll(batch, next);
         return;
       }
       maybeWritten |= result instanceof WriteResult.Unknown;
-      copy = null;
+      cached = null;
       if (result instanceof WriteResult.NotWritten) {
         break;
       }
@@ -130,18 +130,18 @@
     if (maybeWritten) {
       LOG.warn("Claims of slot {} may be written or not; their requests are not run.", slot);
     }
-    batch.forEach(pending -> settle(pending, ClaimSlot.Verdict.UNAVAILABLE, null));
+    batch.forEach(pending -> completeOne(pending, ClaimSlot.Verdict.UNAVAILABLE, null));
   }
 
-  private Map<String, String> judge(List<Pending> batch, ClaimSlot current) {
+  private Map<String, String> findGrantable(List<Pending> batch, ClaimSlot current) {
     long now = wallClock.getAsLong();
     Map<String, String> granted = new HashMap<>();
     for (Pending pending : batch) {
-      boolean mayHave =
-          !pending.givesBack()
+      boolean grantable =
+          !pending.isRelease()
               && current.judge(pending.key(), pending.owner(), now) == ClaimSlot.Verdict.GRANTED
               && current.claims().size() + granted.size() < ClaimSlot.MAXIMUM_CLAIMS;
-      if (mayHave) {
+      if (grantable) {
         granted.putIfAbsent(pending.key(), pending.owner());
       }
     }
@@ -151,51 +151,52 @@
   private ClaimSlot next(ClaimSlot current, Map<String, String> granted, List<Pending> batch) {
     long now = wallClock.getAsLong();
     boolean changes =
-        granted.keySet().stream().anyMatch(key -> !holds(current, key, granted.get(key), now));
+        granted.keySet().stream().anyMatch(key -> !isHeldBy(current, key, granted.get(key), now));
     ClaimSlot next = changes ? current.with(granted, now, now + windowMillis) : current;
     for (Pending pending : batch) {
-      if (pending.givesBack()) {
+      if (pending.isRelease()) {
         next = next.without(pending.key(), pending.owner());
       }
     }
     return next;
   }
 
-  private static boolean holds(ClaimSlot slot, String key, String owner, long now) {
+  private static boolean isHeldBy(ClaimSlot slot, String key, String owner, long now) {
     ClaimSlot.Claim held = slot.claims().get(key);
     return held != null && held.expiresMillis() > now && held.owner().equals(owner);
   }
 
-  private void settleAll(List<Pending> batch, ClaimSlot written) {
+  private void completeAll(List<Pending> batch, ClaimSlot written) {
     for (Pending pending : batch) {
       ClaimSlot.Claim held = written.claims().get(pending.key());
-      if (pending.givesBack()) {
-        settle(pending, ClaimSlot.Verdict.GRANTED, null);
+      if (pending.isRelease()) {
+        completeOne(pending, ClaimSlot.Verdict.GRANTED, null);
       } else if (held == null) {
-        settle(pending, ClaimSlot.Verdict.FULL, null);
+        completeOne(pending, ClaimSlot.Verdict.FULL, null);
       } else if (held.owner().equals(pending.owner())) {
-        settle(pending, ClaimSlot.Verdict.GRANTED, held.owner());
+        completeOne(pending, ClaimSlot.Verdict.GRANTED, held.owner());
       } else {
-        settle(pending, ClaimSlot.Verdict.HELD, held.owner());
+        completeOne(pending, ClaimSlot.Verdict.HELD, held.owner());
       }
     }
   }
 
-  private static void settle(Pending pending, ClaimSlot.Verdict verdict, @Nullable String owner) {
-    pending.verdict().complete(new Verdict(verdict, owner));
+  private static void completeOne(
+      Pending pending, ClaimSlot.Verdict verdict, @Nullable String owner) {
+    pending.verdict().complete(new ClaimResult(verdict, owner));
   }
 
-  private @Nullable Version read() {
+  private @Nullable CachedSlot read() {
     return store.get(ObjectNames.claims(slot)).fold(this::parse, problem -> null);
   }
 
-  private Version parse(Optional<StoredObject> found) {
+  private CachedSlot parse(Optional<StoredObject> found) {
     if (found.isEmpty()) {
-      return new Version(ObjectStore.ABSENT, ClaimSlot.EMPTY);
+      return new CachedSlot(ObjectStore.ABSENT, ClaimSlot.EMPTY);
     }
     try {
       ClaimSlot parsed = Documents.read(found.get().value(), ClaimSlot.class);
-      return new Version(found.get().version(), parsed);
+      return new CachedSlot(found.get().version(), parsed);
     } catch (IOException e) {
       throw new IllegalStateException("Claims of slot " + slot + " cannot be read.", e);
     }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/KeptAnswers.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/AnswerCache.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 
 /** Whole answers to unsafe requests, kept for a while for callers who repeat their key. */
-final class KeptAnswers {
+final class AnswerCache {
 
   private final Map<String, Answer.Whole> answers;
 
-  KeptAnswers(int maximum) {
+  AnswerCache(int maximum) {
     this.answers =
         new LinkedHashMap<>() {
           private static final long serialVersionUID = 1L;
@@ -21,7 +21,7 @@
         };
   }
 
-  synchronized void keep(String keyDigest, Answer.Whole answer) {
+  synchronized void put(String keyDigest, Answer.Whole answer) {
     answers.put(keyDigest, answer);
   }
 
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/OnceGuard.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/AtMostOnceExecutor.java
@@ -7,8 +7,8 @@
 import org.fawnvale.core.claims.MadeKeys;
 import org.fawnvale.core.outcome.Outcome;
 import org.fawnvale.daemon.Context;
+import org.fawnvale.daemon.claim.ClaimResult;
 import org.fawnvale.daemon.claim.ClaimService;
-import org.fawnvale.daemon.claim.Verdict;
 
 /**
  * Lets each unsafe request run at most once.
@@ -17,29 +17,30 @@
  * daemon made is honoured here, once, without any write; one that another daemon made is handed to
  * that daemon.
  */
-final class OnceGuard {
+final class AtMostOnceExecutor {
 
-  private static final long CLAIM_MILLIS = 5000;
+  private static final long CLAIM_TIMEOUT_MILLIS = 5000;
 
   private final Context context;
   private final ClaimService claims;
   private final MadeKeys madeKeys;
-  private final KeptAnswers kept;
-  private final MakerRoute makers;
+  private final AnswerCache cache;
+  private final IssuerRoute issuerRoute;
   private final AtomicLong attempts = new AtomicLong();
 
   /** Hands a request to the daemon that made its key. */
   @FunctionalInterface
-  interface MakerRoute {
+  interface IssuerRoute {
     Optional<Answer> send(MadeKeys.Maker maker, CallerRequest request);
   }
 
-  OnceGuard(Context context, ClaimService claims, MadeKeys madeKeys, MakerRoute makers) {
+  AtMostOnceExecutor(
+      Context context, ClaimService claims, MadeKeys madeKeys, IssuerRoute issuerRoute) {
     this.context = context;
     this.claims = claims;
     this.madeKeys = madeKeys;
-    this.kept = new KeptAnswers(context.settings().limits().keptAnswers());
-    this.makers = makers;
+    this.cache = new AnswerCache(context.settings().limits().keptAnswers());
+    this.issuerRoute = issuerRoute;
   }
 
   String makeKey() {
@@ -51,7 +52,7 @@
     String key = request.key();
     if (key == null) {
       CallerRequest keyed = request.withKey(madeKeys.make());
-      return runMade(keyed, runner);
+      return runIssued(keyed, runner);
     }
     Optional<MadeKeys.Maker> maker = MadeKeys.makerOf(key);
     if (maker.isEmpty()) {
@@ -59,24 +60,24 @@
     }
     boolean own = maker.get().incarnation().equals(context.identity().incarnation());
     if (own) {
-      return runMade(request, runner);
+      return runIssued(request, runner);
     }
     if (request.forwarded()) {
-      return gone();
+      return issuerGone();
     }
-    return makers.send(maker.get(), request).orElseGet(OnceGuard::gone);
+    return issuerRoute.send(maker.get(), request).orElseGet(AtMostOnceExecutor::issuerGone);
   }
 
-  private static Answer gone() {
-    return Refusals.unknown("The daemon that made this key is gone; it may have run.", false);
+  private static Answer issuerGone() {
+    return ErrorAnswers.unknown("The daemon that made this key is gone; it may have run.", false);
   }
 
-  private Answer runMade(CallerRequest request, Function<CallerRequest, Answer> runner) {
+  private Answer runIssued(CallerRequest request, Function<CallerRequest, Answer> runner) {
     String key = request.key();
     String digest = digest(request);
     MadeKeys.Use use = madeKeys.use(key);
     if (use == MadeKeys.Use.FOREIGN) {
-      return Refusals.badInput(
+      return ErrorAnswers.badInput(
           "bad_key", "The key " + key + " was never made.", "Fetch one by POST /v1/request-keys.");
     }
     if (use == MadeKeys.Use.AGAIN) {
@@ -86,58 +87,58 @@
     if (didNotRun(answer)) {
       madeKeys.giveBack(key);
     }
-    keep(digest, answer);
+    cacheAnswer(digest, answer);
     return answer;
   }
 
   private Answer runClaimed(CallerRequest request, Function<CallerRequest, Answer> runner) {
     String digest = digest(request);
     String owner = context.holder() + "/" + attempts.incrementAndGet();
-    long timeout = Math.min(CLAIM_MILLIS, request.deadline().remainingMillis());
+    long timeout = Math.min(CLAIM_TIMEOUT_MILLIS, request.deadline().remainingMillis());
     long asked = context.nowNanos();
-    Verdict verdict = claims.claim(digest, owner, timeout);
+    ClaimResult verdict = claims.claim(digest, owner, timeout);
     switch (verdict.verdict()) {
       case GRANTED -> {
-        if (isOld(asked)) {
-          return Refusals.unavailable("The claim of its key took too long.", 1);
+        if (isTooOld(asked)) {
+          return ErrorAnswers.unavailable("The claim of its key took too long.", 1);
         }
         Answer answer = runner.apply(request);
         if (didNotRun(answer)) {
-          claims.giveBack(digest, owner, CLAIM_MILLIS);
+          claims.release(digest, owner, CLAIM_TIMEOUT_MILLIS);
         }
-        keep(digest, answer);
+        cacheAnswer(digest, answer);
         return answer;
       }
       case HELD -> {
         return repeated(digest);
       }
       case FULL -> {
-        return Refusals.overloaded("Too many request keys are remembered at the moment.", 60);
+        return ErrorAnswers.overloaded("Too many request keys are remembered at the moment.", 60);
       }
       default -> {
-        return Refusals.unavailable("The platform did not take the claim of its key.", 1);
+        return ErrorAnswers.unavailable("The platform did not take the claim of its key.", 1);
       }
     }
   }
 
   /** A claim that is older than half its window may lapse before the request has run. */
-  private boolean isOld(long askedNanos) {
+  private boolean isTooOld(long askedNanos) {
     long millis = (context.nowNanos() - askedNanos) / 1_000_000;
     return millis > context.settings().timing().claimWindowMillis() / 2;
   }
 
   private Answer repeated(String digest) {
-    Optional<Answer.Whole> answer = kept.find(digest);
+    Optional<Answer.Whole> answer = cache.find(digest);
     if (answer.isPresent()) {
       return answer.get();
     }
     String message = "A request with this key was taken before; it may have run.";
-    return Refusals.repeated(message, new Outcome.Unknown(message));
+    return ErrorAnswers.repeated(message, new Outcome.Unknown(message));
   }
 
-  private void keep(String digest, Answer answer) {
+  private void cacheAnswer(String digest, Answer answer) {
     if (answer instanceof Answer.Whole whole && whole.outcome() instanceof Outcome.Answered) {
-      kept.keep(digest, whole);
+      cache.put(digest, whole);
     }
   }
 
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/CallerService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/CallerService.java
@@ -19,7 +19,7 @@
 import org.fawnvale.core.model.Workspace;
 import org.fawnvale.core.outcome.Outcome;
 import org.fawnvale.daemon.Context;
-import org.fawnvale.daemon.http.HttpFront;
+import org.fawnvale.daemon.http.BoundedHttpServer;
 import org.fawnvale.daemon.metrics.DaemonMetrics;
 import org.fawnvale.daemon.state.Documents;
 import org.fawnvale.daemon.state.FleetState;
@@ -46,9 +46,9 @@
 
   private static final Logger LOG = LogManager.getLogger("gateway");
   private static final int OK = 200;
-  private static final int LONGEST_KEY = 200;
+  private static final int MAXIMUM_KEY_LENGTH = 200;
   private static final String BEARER = "Bearer ";
-  private static final String CUT =
+  private static final String STREAM_ERROR_EVENT =
       "event: error\ndata: {\"error\":{\"code\":\"outcome_unknown\","
           + "\"message\":\"The stream broke off.\","
           + "\"remedy\":\"Repeat the request if it is safe to run twice.\","
@@ -57,30 +57,30 @@
   private final Context context;
   private final FleetState state;
   private final Gateway gateway;
-  private final OnceGuard once;
-  private final InFlight inFlight;
+  private final AtMostOnceExecutor atMostOnce;
+  private final InFlightCounter inFlight;
   private final DaemonMetrics metrics;
-  private final HttpFront front;
+  private final BoundedHttpServer server;
   private final AtomicLong requests = new AtomicLong();
-  private volatile boolean leaving;
-  private volatile boolean warm;
+  private volatile boolean stopping;
+  private volatile boolean warmedUp;
   private volatile long startedNanos;
 
   CallerService(
       Context context,
       FleetState state,
       Gateway gateway,
-      OnceGuard once,
-      InFlight inFlight,
+      AtMostOnceExecutor atMostOnce,
+      InFlightCounter inFlight,
       DaemonMetrics metrics) {
     this.context = context;
     this.state = state;
     this.gateway = gateway;
-    this.once = once;
+    this.atMostOnce = atMostOnce;
     this.inFlight = inFlight;
     this.metrics = metrics;
-    this.front =
-        new HttpFront(
+    this.server =
+        new BoundedHttpServer(
             "callers",
             context.settings().callers(),
             context.settings().limits().connections(),
@@ -90,14 +90,14 @@
   @Override
   public void start() throws ServiceException {
     startedNanos = context.nowNanos();
-    front.start();
+    server.start();
     LOG.info("Callers are served on {}:{}.", context.settings().callers().address(), port());
   }
 
   /** Turns readiness off, waits for the balancer to notice, then for all requests under way. */
   @Override
   public void stop() {
-    leaving = true;
+    stopping = true;
     try {
       TimeUnit.MILLISECONDS.sleep(context.settings().timing().stopGraceMillis());
     } catch (InterruptedException e) {
@@ -105,7 +105,7 @@
     }
     boolean done = inFlight.closeAndAwait(context.settings().limits().maximumDeadlineMillis());
     LOG.info("Requests under way have ended: {}.", done);
-    front.stop();
+    server.stop();
   }
 
   /**
@@ -114,7 +114,7 @@
    * @return the port
    */
   public int port() {
-    return front.port();
+    return server.port();
   }
 
   private void handle(ClassicHttpRequest request, ClassicHttpResponse response) throws IOException {
@@ -124,11 +124,11 @@
       return;
     }
     if (!inFlight.tryEnter()) {
-      send(Refusals.unavailable("The daemon is stopping.", 1), response, null, 0);
+      send(ErrorAnswers.unavailable("The daemon is stopping.", 1), response, null, 0);
       return;
     }
     boolean streams = false;
-    long began = context.nowNanos();
+    long startNanos = context.nowNanos();
     try {
       CallerRequest checked = null;
       Answer answer;
@@ -138,49 +138,49 @@
       } catch (RefusedException e) {
         answer = e.answer;
       }
-      streams = send(answer, response, checked, began);
+      streams = send(answer, response, checked, startNanos);
     } finally {
       if (!streams) {
-        inFlight.leave();
+        inFlight.exit();
       }
     }
   }
 
   private void health(ClassicHttpResponse response) {
-    boolean ready = !leaving && state.view().bundle() != null && hasWarmedUp();
-    response.setCode(ready ? OK : Refusals.UNAVAILABLE);
+    boolean ready = !stopping && state.view().bundle() != null && hasWarmedUp();
+    response.setCode(ready ? OK : ErrorAnswers.UNAVAILABLE);
     Map<String, Object> body =
-        Map.of("ready", ready, "leaving", leaving, "bundle", state.view().rollout().accepted());
+        Map.of("ready", ready, "leaving", stopping, "bundle", state.view().rollout().accepted());
     response.setEntity(new ByteArrayEntity(Documents.write(body), ContentType.APPLICATION_JSON));
   }
 
   /** A daemon that has just started has no evidence yet; it waits for some, but not for ever. */
   private boolean hasWarmedUp() {
     long limit = TimeUnit.MILLISECONDS.toNanos(2 * context.settings().timing().freshMillis());
-    warm = warm || gateway.canServe() || context.nowNanos() - startedNanos > limit;
-    return warm;
+    warmedUp = warmedUp || gateway.hasReadyTarget() || context.nowNanos() - startedNanos > limit;
+    return warmedUp;
   }
 
   private Answer answer(CallerRequest checked, ClassicHttpRequest request) {
     String path = checked.path();
     if ("/v1/request-keys".equals(path)) {
       return "POST".equals(request.getMethod())
-          ? json(Map.of("key", once.makeKey()))
-          : Refusals.notFound("Keys are fetched by POST.");
+          ? json(Map.of("key", atMostOnce.makeKey()))
+          : ErrorAnswers.notFound("Keys are fetched by POST.");
     }
     if ("/v1/models".equals(path)) {
       return models(checked.workspace());
     }
     boolean chat = Gateway.CHAT_PATH.equals(path) && "POST".equals(request.getMethod());
     if (!chat && !path.startsWith(Gateway.SERVICES_PATH)) {
-      return Refusals.notFound("There is nothing at " + request.getMethod() + " " + path + ".");
+      return ErrorAnswers.notFound("There is nothing at " + request.getMethod() + " " + path + ".");
     }
     LOG.debug("Request {} of {} begins at {}.", checked.id(), checked.workspace(), path);
     if (!checked.unsafe()) {
       return gateway.run(checked);
     }
     Optional<Answer> refused = gateway.check(checked);
-    return refused.isPresent() ? refused.get() : once.run(checked, gateway::run);
+    return refused.isPresent() ? refused.get() : atMostOnce.run(checked, gateway::run);
   }
 
   private Answer models(String workspace) {
@@ -230,12 +230,12 @@
   private String workspace(ClassicHttpRequest request) throws RefusedException {
     String text = header(request, "Authorization");
     if (text == null || !text.startsWith(BEARER)) {
-      throw new RefusedException(Refusals.unauthenticated());
+      throw new RefusedException(ErrorAnswers.unauthenticated());
     }
     return context
         .keys()
         .workspace(text.substring(BEARER.length()).strip())
-        .orElseThrow(() -> new RefusedException(Refusals.unauthenticated()));
+        .orElseThrow(() -> new RefusedException(ErrorAnswers.unauthenticated()));
   }
 
   private long deadline(ClassicHttpRequest request) throws RefusedException {
@@ -277,15 +277,15 @@
 
   private static @Nullable String key(ClassicHttpRequest request) throws RefusedException {
     String text = header(request, KEY_HEADER);
-    if (text != null && (text.isBlank() || text.length() > LONGEST_KEY)) {
-      throw badHeader(KEY_HEADER, text, "a text of 1 to " + LONGEST_KEY + " characters");
+    if (text != null && (text.isBlank() || text.length() > MAXIMUM_KEY_LENGTH)) {
+      throw badHeader(KEY_HEADER, text, "a text of 1 to " + MAXIMUM_KEY_LENGTH + " characters");
     }
     return text;
   }
 
   private static RefusedException badHeader(String name, String value, String allowed) {
     return new RefusedException(
-        Refusals.badInput(
+        ErrorAnswers.badInput(
             "bad_header", "The header " + name + " is '" + value + "'.", "Give " + allowed + "."));
   }
 
@@ -295,12 +295,12 @@
     }
     int limit = context.settings().limits().bodyBytes();
     if (request.getEntity().getContentLength() > limit) {
-      throw new RefusedException(Refusals.tooLarge(limit));
+      throw new RefusedException(ErrorAnswers.tooLarge(limit));
     }
     try (InputStream in = request.getEntity().getContent()) {
       byte[] body = in.readNBytes(limit + 1);
       if (body.length > limit) {
-        throw new RefusedException(Refusals.tooLarge(limit));
+        throw new RefusedException(ErrorAnswers.tooLarge(limit));
       }
       return body;
     }
@@ -313,7 +313,10 @@
 
   /** Prepares the response; true when its body is copied later, by the server. */
   private boolean send(
-      Answer answer, ClassicHttpResponse response, @Nullable CallerRequest request, long began) {
+      Answer answer,
+      ClassicHttpResponse response,
+      @Nullable CallerRequest request,
+      long startNanos) {
     response.setCode(answer.status());
     answer.headers().forEach(response::setHeader);
     if (request != null) {
@@ -327,42 +330,42 @@
             answer.headers().getOrDefault("Content-Type", "application/octet-stream"));
     response.removeHeaders("Content-Type");
     if (answer instanceof Answer.Whole whole) {
-      note(request, whole.outcome().label(), began);
+      recordOutcome(request, whole.outcome().label(), startNanos);
       response.setEntity(new ByteArrayEntity(whole.body(), type));
       return false;
     }
     Answer.Streamed streamed = (Answer.Streamed) answer;
     response.setEntity(
-        new EntityTemplate(-1, type, null, out -> stream(streamed, out, request, began)));
+        new EntityTemplate(-1, type, null, out -> stream(streamed, out, request, startNanos)));
     return true;
   }
 
   /** A stream that breaks off ends with an error event and a connection that is cut. */
   private void stream(
-      Answer.Streamed streamed, OutputStream out, @Nullable CallerRequest request, long began)
+      Answer.Streamed streamed, OutputStream out, @Nullable CallerRequest request, long startNanos)
       throws IOException {
     try {
       CopyResult result = streamed.body().copyTo(out);
       if (result instanceof CopyResult.Whole) {
-        note(request, new Outcome.Answered().label(), began);
+        recordOutcome(request, new Outcome.Answered().label(), startNanos);
         return;
       }
-      note(request, "unknown", began);
+      recordOutcome(request, "unknown", startNanos);
       if (result instanceof CopyResult.Torn torn) {
-        out.write(CUT.getBytes(java.nio.charset.StandardCharsets.UTF_8));
+        out.write(STREAM_ERROR_EVENT.getBytes(java.nio.charset.StandardCharsets.UTF_8));
         out.flush();
         throw new IOException("The stream broke off: " + torn.reason());
       }
       throw new IOException("The caller went away.");
     } finally {
-      inFlight.leave();
+      inFlight.exit();
     }
   }
 
-  private void note(@Nullable CallerRequest request, String outcome, long began) {
+  private void recordOutcome(@Nullable CallerRequest request, String outcome, long startNanos) {
     if (request != null) {
-      long nanos = context.nowNanos() - began;
-      metrics.request(request.workspace(), request.requestClass(), outcome, nanos);
+      long nanos = context.nowNanos() - startNanos;
+      metrics.recordRequest(request.workspace(), request.requestClass(), outcome, nanos);
       LOG.debug("Request {} of {} ended: {}.", request.id(), request.workspace(), outcome);
     }
   }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Refusals.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/ErrorAnswers.java
@@ -3,7 +3,7 @@
 import org.fawnvale.core.outcome.Outcome;
 
 /** The answers to requests that were not run, or whose outcome is unknown. */
-final class Refusals {
+final class ErrorAnswers {
 
   static final int BAD_REQUEST = 400;
   static final int UNAUTHENTICATED = 401;
@@ -18,7 +18,7 @@
 
   private static final long RETRY_SECONDS = 1;
 
-  private Refusals() {}
+  private ErrorAnswers() {}
 
   static Answer.Whole badInput(String code, String message, String remedy) {
     return Answer.error(BAD_REQUEST, notRun(message, 0), code, message, remedy);
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Exchange.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Exchange.java
@@ -28,26 +28,32 @@
   private static final double NANOS_PER_MILLI = 1e6;
   private static final String EVENT_STREAM = "text/event-stream";
 
-  private final GatewayParts parts;
+  private final SharedComponents shared;
   private final CallerRequest request;
   private final Pool pool;
-  private final Pool.Wish wish;
+  private final Pool.TargetRequest targetRequest;
   private final String upstreamPath;
   private final RetryBudget budget;
   private final Set<String> tried = new HashSet<>();
-  private boolean everLeft;
+  private boolean anyMayHaveRun;
 
   Exchange(
-      GatewayParts parts,
+      SharedComponents shared,
       CallerRequest request,
       Pool pool,
-      Pool.Wish wish,
+      Pool.TargetRequest targetRequest,
       String upstreamPath,
       RetryBudget budget) {
-    this.parts = parts;
+    this.shared = shared;
     this.request = request;
     this.pool = pool;
-    this.wish = new Pool.Wish(wish.flow(), wish.weight(), wish.prefix(), wish.deadline(), tried);
+    this.targetRequest =
+        new Pool.TargetRequest(
+            targetRequest.flow(),
+            targetRequest.weight(),
+            targetRequest.prefix(),
+            targetRequest.deadline(),
+            tried);
     this.upstreamPath = upstreamPath;
     this.budget = budget;
   }
@@ -56,7 +62,7 @@
   private sealed interface Attempt {
     record Done(Answer answer) implements Attempt {}
 
-    record Again(String reason, boolean left) implements Attempt {}
+    record Retry(String reason, boolean mayHaveRun) implements Attempt {}
   }
 
   /** Runs the request on the target of its turn, and on others when that fails. */
@@ -69,23 +75,23 @@
       if (attempt instanceof Attempt.Done done) {
         return done.answer();
       }
-      Attempt.Again again = (Attempt.Again) attempt;
-      everLeft |= again.left();
-      Optional<Target> next = next(i, again);
+      Attempt.Retry retry = (Attempt.Retry) attempt;
+      anyMayHaveRun |= retry.mayHaveRun();
+      Optional<Target> next = next(i, retry);
       if (next.isEmpty()) {
-        return giveUp(again);
+        return giveUp(retry);
       }
       target = next.get();
     }
   }
 
-  private Optional<Target> next(int attempts, Attempt.Again again) {
-    boolean mayRepeat = !again.left() || !request.unsafe() && isRepeatable();
-    boolean worthIt = attempts < MAXIMUM_ATTEMPTS && !request.deadline().hasPassed();
-    if (!mayRepeat || !worthIt || !budget.trySpend()) {
+  private Optional<Target> next(int attempts, Attempt.Retry retry) {
+    boolean mayRepeat = !retry.mayHaveRun() || !request.unsafe() && isRepeatable();
+    boolean withinLimits = attempts < MAXIMUM_ATTEMPTS && !request.deadline().hasPassed();
+    if (!mayRepeat || !withinLimits || !budget.trySpend()) {
       return Optional.empty();
     }
-    return pool.again(wish);
+    return pool.pickForRetry(targetRequest);
   }
 
   /** A plain service's call is repeated only when its method says that this changes nothing. */
@@ -95,39 +101,39 @@
         || "HEAD".equals(request.method());
   }
 
-  private Answer giveUp(Attempt.Again last) {
-    if (everLeft) {
-      return Refusals.unknown(
+  private Answer giveUp(Attempt.Retry last) {
+    if (anyMayHaveRun) {
+      return ErrorAnswers.unknown(
           "No whole answer came: " + last.reason() + ".", request.deadline().hasPassed());
     }
-    return Refusals.unavailable("No upstream ran it: " + last.reason() + ".", 1);
+    return ErrorAnswers.unavailable("No upstream ran it: " + last.reason() + ".", 1);
   }
 
   private Attempt attempt(Target target) {
-    if (!parts.mayServe(target)) {
-      end(target, -1);
-      return new Attempt.Again("the upstream is no longer ready", false);
+    if (!shared.mayServe(target)) {
+      finish(target, -1);
+      return new Attempt.Retry("the upstream is no longer ready", false);
     }
-    long sent = parts.nowNanos();
-    OpenResult opened = parts.upstream().open(message(target), request.deadline());
+    long sent = shared.nowNanos();
+    OpenResult opened = shared.upstream().open(message(target), request.deadline());
     if (opened instanceof OpenResult.Opened answered) {
-      return opened(target, answered.answer(), sent);
+      return handleAnswer(target, answered.answer(), sent);
     }
-    end(target, -1);
+    finish(target, -1);
     if (opened instanceof OpenResult.Refused) {
-      return new Attempt.Again("the upstream refused it", false);
+      return new Attempt.Retry("the upstream refused it", false);
     }
     if (opened instanceof OpenResult.NotSent notSent) {
-      suspectUnlessLate(target);
-      return new Attempt.Again(notSent.reason(), false);
+      suspectUnlessExpired(target);
+      return new Attempt.Retry(notSent.reason(), false);
     }
-    suspectUnlessLate(target);
-    return new Attempt.Again(((OpenResult.Failed) opened).reason(), true);
+    suspectUnlessExpired(target);
+    return new Attempt.Retry(((OpenResult.Failed) opened).reason(), true);
   }
 
-  private void suspectUnlessLate(Target target) {
+  private void suspectUnlessExpired(Target target) {
     if (!request.deadline().hasPassed()) {
-      parts.suspect(target);
+      shared.suspect(target);
     }
   }
 
@@ -142,32 +148,32 @@
         target.node().path() + upstreamPath,
         headers,
         request.body(),
-        parts.nextHop(),
+        shared.nextHop(),
         engine,
         request.unsafe());
   }
 
-  private Attempt opened(Target target, OpenAnswer answer, long sent) {
+  private Attempt handleAnswer(Target target, OpenAnswer answer, long sent) {
     String key = target.candidate().key();
-    int cached = parts.index().cachedCharacters(key, wish.prefix());
-    parts.index().store(key, wish.prefix());
+    int cached = shared.index().cachedCharacters(key, targetRequest.prefix());
+    shared.index().store(key, targetRequest.prefix());
     if (answer.isEventStream()) {
       Map<String, String> headers = Map.of("Content-Type", EVENT_STREAM);
       return new Attempt.Done(
           new Answer.Streamed(
               answer.status(),
               headers,
-              out -> copy(target, answer, new TokenClock(target, sent, cached, out))));
+              out -> copy(target, answer, new TokenTimer(target, sent, cached, out))));
     }
     try (answer) {
-      Result<byte[]> body = answer.readWhole(parts.settings().limits().answerBytes());
-      long millis = TimeUnit.NANOSECONDS.toMillis(parts.nowNanos() - sent);
-      end(target, body.isSuccess() ? millis : -1);
+      Result<byte[]> body = answer.readWhole(shared.settings().limits().answerBytes());
+      long millis = TimeUnit.NANOSECONDS.toMillis(shared.nowNanos() - sent);
+      finish(target, body.isSuccess() ? millis : -1);
       return body.fold(
           bytes -> new Attempt.Done(whole(answer, bytes)),
           problem -> {
-            suspectUnlessLate(target);
-            return new Attempt.Again(problem.message(), true);
+            suspectUnlessExpired(target);
+            return new Attempt.Retry(problem.message(), true);
           });
     }
   }
@@ -179,29 +185,29 @@
     return new Answer.Whole(outcome, answer.status(), headers, body);
   }
 
-  private CopyResult copy(Target target, OpenAnswer answer, TokenClock clock) {
+  private CopyResult copy(Target target, OpenAnswer answer, TokenTimer timer) {
     try (answer) {
-      CopyResult result = answer.copyTo(clock, parts.settings().limits().answerBytes());
+      CopyResult result = answer.copyTo(timer, shared.settings().limits().answerBytes());
       boolean whole = result instanceof CopyResult.Whole;
-      long millis = TimeUnit.NANOSECONDS.toMillis(parts.nowNanos() - clock.sent);
-      end(target, whole ? millis : -1);
+      long millis = TimeUnit.NANOSECONDS.toMillis(shared.nowNanos() - timer.sent);
+      finish(target, whole ? millis : -1);
       if (result instanceof CopyResult.Torn) {
-        suspectUnlessLate(target);
+        suspectUnlessExpired(target);
       }
       return result;
     }
   }
 
-  private void end(Target target, double millis) {
+  private void finish(Target target, double millis) {
     target.candidate().load().ended(millis);
     if (millis >= 0) {
-      pool.served(wish.flow(), (long) (millis * NANOS_PER_MILLI));
+      pool.recordServiceTime(targetRequest.flow(), (long) (millis * NANOS_PER_MILLI));
     }
     pool.dispatch();
   }
 
   /** Measures the time to the first piece and between pieces. */
-  private final class TokenClock extends OutputStream {
+  private final class TokenTimer extends OutputStream {
 
     private final Target target;
     private final OutputStream out;
@@ -210,7 +216,7 @@
     private long last;
     private boolean first = true;
 
-    TokenClock(Target target, long sent, int cached, OutputStream out) {
+    TokenTimer(Target target, long sent, int cached, OutputStream out) {
       this.target = target;
       this.out = out;
       this.sent = sent;
@@ -225,15 +231,20 @@
 
     @Override
     public void write(byte[] buffer, int offset, int length) throws IOException {
-      long now = parts.nowNanos();
+      long now = shared.nowNanos();
       if (first) {
-        parts.metrics().firstToken(request.workspace(), request.requestClass(), now - last);
+        shared
+            .metrics()
+            .recordTimeToFirstToken(request.workspace(), request.requestClass(), now - last);
         target
             .candidate()
             .load()
-            .firstToken((now - sent) / NANOS_PER_MILLI, wish.prefix().characters() - cached);
+            .firstToken(
+                (now - sent) / NANOS_PER_MILLI, targetRequest.prefix().characters() - cached);
       } else {
-        parts.metrics().betweenTokens(request.workspace(), request.requestClass(), now - last);
+        shared
+            .metrics()
+            .recordInterTokenTime(request.workspace(), request.requestClass(), now - last);
       }
       first = false;
       last = now;
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/ForwardService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/ForwardService.java
@@ -30,13 +30,13 @@
 /** Hands requests to other daemons over the links, and runs those that are handed here. */
 public final class ForwardService implements Service {
 
-  private static final int PIECES = 4096;
+  private static final int MAXIMUM_BUFFERED_PIECES = 4096;
   private static final String EVENT_STREAM = "text/event-stream";
 
   private final Context context;
   private final PeerService peers;
-  private final InFlight inFlight;
-  private final Map<Long, Asked> asked = new ConcurrentHashMap<>();
+  private final InFlightCounter inFlight;
+  private final Map<Long, PendingForward> pendingForwards = new ConcurrentHashMap<>();
   private final Set<String> cancelled = ConcurrentHashMap.newKeySet();
   private final Set<String> running = ConcurrentHashMap.newKeySet();
   private final AtomicLong numbers = new AtomicLong();
@@ -50,26 +50,26 @@
     MAKER
   }
 
-  private record Asked(Link link, BlockingQueue<Message> pieces) {}
+  private record PendingForward(Link link, BlockingQueue<Message> pieces) {}
 
-  ForwardService(Context context, PeerService peers, InFlight inFlight) {
+  ForwardService(Context context, PeerService peers, InFlightCounter inFlight) {
     this.context = context;
     this.peers = peers;
     this.inFlight = inFlight;
   }
 
-  void runWith(BiFunction<CallerRequest, Purpose, Answer> nextRunner) {
-    this.runner = nextRunner;
+  void setRunner(BiFunction<CallerRequest, Purpose, Answer> newRunner) {
+    this.runner = newRunner;
   }
 
   @Override
   public void start() {
-    peers.on(Message.Forward.class, this::received);
+    peers.on(Message.Forward.class, this::onForward);
     peers.on(Message.ForwardCancel.class, (link, cancel) -> cancel(link, cancel.number()));
-    peers.on(Message.ForwardHead.class, (link, piece) -> piece(link, piece.number(), piece));
-    peers.on(Message.ForwardChunk.class, (link, piece) -> piece(link, piece.number(), piece));
-    peers.on(Message.ForwardEnd.class, (link, piece) -> piece(link, piece.number(), piece));
-    peers.onClosed(this::closed);
+    peers.on(Message.ForwardHead.class, (link, piece) -> onPiece(link, piece.number(), piece));
+    peers.on(Message.ForwardChunk.class, (link, piece) -> onPiece(link, piece.number(), piece));
+    peers.on(Message.ForwardEnd.class, (link, piece) -> onPiece(link, piece.number(), piece));
+    peers.onClosed(this::onLinkClosed);
   }
 
   @Override
@@ -85,7 +85,7 @@
       boolean other = !dataCentre.equals(context.identity().dataCentre());
       if (other && tried.add(dataCentre)) {
         Optional<Answer> answer = send(link, request, Purpose.SPILL);
-        if (answer.isPresent() && !isNotRun(answer.get())) {
+        if (answer.isPresent() && !didNotRun(answer.get())) {
           return answer;
         }
       }
@@ -93,12 +93,12 @@
     return Optional.empty();
   }
 
-  private static boolean isNotRun(Answer answer) {
+  private static boolean didNotRun(Answer answer) {
     return answer instanceof Answer.Whole whole && whole.outcome() instanceof Outcome.NotRun;
   }
 
   /** Hands a request to the daemon that made its key; nothing when that one is gone. */
-  Optional<Answer> toMaker(MadeKeys.Maker maker, CallerRequest request) {
+  Optional<Answer> sendToIssuer(MadeKeys.Maker maker, CallerRequest request) {
     Link link = peers.linkTo(maker.daemon());
     if (link == null || !link.peer().incarnation().equals(maker.incarnation())) {
       return Optional.empty();
@@ -108,19 +108,20 @@
 
   private Optional<Answer> send(Link link, CallerRequest request, Purpose purpose) {
     long number = numbers.incrementAndGet();
-    Asked question = new Asked(link, new LinkedBlockingQueue<>(PIECES));
-    asked.put(number, question);
+    PendingForward pending =
+        new PendingForward(link, new LinkedBlockingQueue<>(MAXIMUM_BUFFERED_PIECES));
+    pendingForwards.put(number, pending);
     if (!link.send(forward(number, request, purpose))) {
-      asked.remove(number);
+      pendingForwards.remove(number);
       return Optional.empty();
     }
-    Message first = next(question, request.deadline());
+    Message first = next(pending, request.deadline());
     if (first instanceof Message.ForwardHead head) {
-      return Optional.of(answer(number, question, head, request.deadline()));
+      return Optional.of(answer(number, pending, head, request.deadline()));
     }
-    giveUp(number, question);
+    giveUp(number, pending);
     return Optional.of(
-        Refusals.unknown(
+        ErrorAnswers.unknown(
             "The daemon that it was handed to did not answer.", request.deadline().hasPassed()));
   }
 
@@ -143,15 +144,16 @@
         request.body());
   }
 
-  private Answer answer(long number, Asked question, Message.ForwardHead head, Deadline deadline) {
+  private Answer answer(
+      long number, PendingForward pending, Message.ForwardHead head, Deadline deadline) {
     String type = head.headers().getOrDefault("Content-Type", "");
     if (type.startsWith(EVENT_STREAM)) {
       return new Answer.Streamed(
-          head.status(), head.headers(), out -> copy(number, question, deadline, out));
+          head.status(), head.headers(), out -> copy(number, pending, deadline, out));
     }
     ByteArrayOutputStream body = new ByteArrayOutputStream();
-    if (!(copy(number, question, deadline, body) instanceof CopyResult.Whole)) {
-      return Refusals.unknown("The answer of the other data centre broke off.", false);
+    if (!(copy(number, pending, deadline, body) instanceof CopyResult.Whole)) {
+      return ErrorAnswers.unknown("The answer of the other data centre broke off.", false);
     }
     Outcome outcome = outcome(head.headers());
     return new Answer.Whole(outcome, head.status(), head.headers(), body.toByteArray());
@@ -165,61 +167,62 @@
     };
   }
 
-  private CopyResult copy(long number, Asked question, Deadline deadline, OutputStream out) {
+  private CopyResult copy(
+      long number, PendingForward pending, Deadline deadline, OutputStream out) {
     long copied = 0;
-    Message piece = next(question, deadline);
+    Message piece = next(pending, deadline);
     while (piece instanceof Message.ForwardChunk chunk) {
       try {
         out.write(chunk.bytes());
         out.flush();
       } catch (IOException e) {
-        giveUp(number, question);
+        giveUp(number, pending);
         return new CopyResult.ReceiverGone(copied);
       }
       copied += chunk.bytes().length;
-      piece = next(question, deadline);
+      piece = next(pending, deadline);
     }
     if (piece instanceof Message.ForwardEnd end && end.whole() && end.length() == copied) {
-      asked.remove(number);
+      pendingForwards.remove(number);
       return new CopyResult.Whole(copied);
     }
-    giveUp(number, question);
+    giveUp(number, pending);
     return new CopyResult.Torn(copied, "the other data centre's answer broke off");
   }
 
-  private @Nullable Message next(Asked question, Deadline deadline) {
+  private @Nullable Message next(PendingForward pending, Deadline deadline) {
     try {
       long wait = deadline.timeoutMillis(Integer.MAX_VALUE);
-      return question.pieces().poll(wait, TimeUnit.MILLISECONDS);
+      return pending.pieces().poll(wait, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return null;
     }
   }
 
-  private void giveUp(long number, Asked question) {
-    asked.remove(number);
-    question.link().send(new Message.ForwardCancel(number));
+  private void giveUp(long number, PendingForward pending) {
+    pendingForwards.remove(number);
+    pending.link().send(new Message.ForwardCancel(number));
   }
 
   /** Only the link that the request went over may answer it. */
-  private void piece(Link link, long number, Message message) {
-    Asked question = asked.get(number);
-    if (question == null || question.link() != link) {
+  private void onPiece(Link link, long number, Message message) {
+    PendingForward pending = pendingForwards.get(number);
+    if (pending == null || pending.link() != link) {
       return;
     }
-    if (!question.pieces().offer(message)) {
-      asked.remove(number);
+    if (!pending.pieces().offer(message)) {
+      pendingForwards.remove(number);
     }
   }
 
-  private void closed(Link link) {
-    asked
+  private void onLinkClosed(Link link) {
+    pendingForwards
         .values()
         .forEach(
-            question -> {
-              if (question.link() == link) {
-                question.pieces().offer(new Message.ForwardEnd(0, -1, false));
+            pending -> {
+              if (pending.link() == link) {
+                pending.pieces().offer(new Message.ForwardEnd(0, -1, false));
               }
             });
     String prefix = System.identityHashCode(link) + "/";
@@ -237,7 +240,7 @@
     }
   }
 
-  private void received(Link link, Message.Forward forward) {
+  private void onForward(Link link, Message.Forward forward) {
     running.add(key(link, forward.number()));
     context.executor().execute(() -> run(link, forward));
   }
@@ -246,14 +249,14 @@
     String key = key(link, forward.number());
     if (!inFlight.tryEnter()) {
       running.remove(key);
-      write(link, forward.number(), Refusals.unavailable("The daemon is stopping.", 1));
+      write(link, forward.number(), ErrorAnswers.unavailable("The daemon is stopping.", 1));
       return;
     }
     try {
       Purpose purpose = Purpose.valueOf(forward.headers().get("purpose"));
       write(link, forward.number(), runner.apply(request(forward), purpose));
     } finally {
-      inFlight.leave();
+      inFlight.exit();
       running.remove(key);
       cancelled.remove(key);
     }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Gateway.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Gateway.java
@@ -25,18 +25,18 @@
   private static final double RETRY_SHARE = 0.1;
   private static final double RETRY_RESERVE = 10;
 
-  private final GatewayParts parts;
+  private final SharedComponents shared;
   private final FleetState state;
   private final RoutingTable routing;
   private final Router router;
   private final Context context;
-  private final OnwardRoute onward;
+  private final SpillRoute spillRoute;
   private final Map<String, Pool> pools = new ConcurrentHashMap<>();
   private final Map<String, RetryBudget> budgets = new ConcurrentHashMap<>();
 
   /** Hands a request to another data centre. */
   @FunctionalInterface
-  public interface OnwardRoute {
+  public interface SpillRoute {
 
     /**
      * Hands a request on.
@@ -49,17 +49,17 @@
 
   Gateway(
       Context context,
-      GatewayParts parts,
+      SharedComponents shared,
       FleetState state,
       RoutingTable routing,
       Router router,
-      OnwardRoute onward) {
+      SpillRoute spillRoute) {
     this.context = context;
-    this.parts = parts;
+    this.shared = shared;
     this.state = state;
     this.routing = routing;
     this.router = router;
-    this.onward = onward;
+    this.spillRoute = spillRoute;
   }
 
   /** What a request was found to ask for. */
@@ -84,28 +84,30 @@
     Pool pool = pools.computeIfAbsent(route.poolKey(), this::pool);
     double share =
         state.view().bundle().workspace(request.workspace()).map(Workspace::share).orElse(1.0);
-    Pool.Wish wish =
-        new Pool.Wish(
+    Pool.TargetRequest targetRequest =
+        new Pool.TargetRequest(
             request.workspace() + "/" + request.requestClass().label(),
             share * request.requestClass().weight(),
             route.prefix(),
             request.deadline(),
             Set.of());
-    Turn turn = pool.await(wish);
-    if (turn instanceof Turn.Granted granted) {
-      parts.metrics().waited(request.workspace(), request.requestClass(), granted.waitedNanos());
+    AdmissionResult admission = pool.await(targetRequest);
+    if (admission instanceof AdmissionResult.Granted granted) {
+      shared
+          .metrics()
+          .recordQueueTime(request.workspace(), request.requestClass(), granted.waitedNanos());
       RetryBudget budget =
           budgets.computeIfAbsent(
               request.workspace(), name -> RetryBudget.create(RETRY_SHARE, RETRY_RESERVE));
-      return new Exchange(parts, request, pool, wish, route.upstreamPath(), budget)
+      return new Exchange(shared, request, pool, targetRequest, route.upstreamPath(), budget)
           .run(granted.target());
     }
-    return elsewhere(request, (Turn.Denied) turn);
+    return spillOrRefuse(request, (AdmissionResult.Denied) admission);
   }
 
-  private Answer elsewhere(CallerRequest request, Turn.Denied denied) {
+  private Answer spillOrRefuse(CallerRequest request, AdmissionResult.Denied denied) {
     if (!request.forwarded() && !request.deadline().hasPassed()) {
-      Optional<Answer> answer = onward.send(request);
+      Optional<Answer> answer = spillRoute.send(request);
       if (answer.isPresent()) {
         return answer.get();
       }
@@ -113,14 +115,14 @@
     String reason = denied.notRun().reason();
     long retryAfter = denied.notRun().retryAfterSeconds();
     return denied.overloaded()
-        ? Refusals.overloaded(reason, retryAfter)
-        : Refusals.unavailable(reason, retryAfter);
+        ? ErrorAnswers.overloaded(reason, retryAfter)
+        : ErrorAnswers.unavailable(reason, retryAfter);
   }
 
   private Pool pool(String key) {
     return new Pool(
         () -> routing.targets(key),
-        parts::mayServe,
+        shared::mayServe,
         router,
         context.nanoClock(),
         context.settings().limits().waitingPerWorkspace());
@@ -132,8 +134,8 @@
   }
 
   /** Tells whether anything in the own data centre may serve. */
-  boolean canServe() {
-    return routing.all().stream().anyMatch(parts::mayServe);
+  boolean hasReadyTarget() {
+    return routing.all().stream().anyMatch(shared::mayServe);
   }
 
   int waiting() {
@@ -143,11 +145,11 @@
   private Object route(CallerRequest request) {
     Bundle bundle = state.view().bundle();
     if (bundle == null) {
-      return Refusals.unavailable("No bundle is in force yet.", 1);
+      return ErrorAnswers.unavailable("No bundle is in force yet.", 1);
     }
     Optional<Workspace> workspace = bundle.workspace(request.workspace());
     if (workspace.isEmpty()) {
-      return Refusals.forbidden(
+      return ErrorAnswers.forbidden(
           "The workspace " + request.workspace() + " is not in the bundle in force.");
     }
     return request.path().startsWith(SERVICES_PATH)
@@ -160,10 +162,10 @@
         .fold(
             input -> {
               if (bundle.model(input.model()).isEmpty()) {
-                return Refusals.notFound("There is no model " + input.model() + ".");
+                return ErrorAnswers.notFound("There is no model " + input.model() + ".");
               }
               if (!workspace.models().contains(input.model())) {
-                return Refusals.forbidden(
+                return ErrorAnswers.forbidden(
                     "The workspace may not call the model " + input.model() + ".");
               }
               String key = RoutingTable.modelKey(input.model());
@@ -173,7 +175,7 @@
   }
 
   private static Answer badInput(Problem problem) {
-    return Refusals.badInput("bad_" + problem.key(), problem.message(), problem.remedy());
+    return ErrorAnswers.badInput("bad_" + problem.key(), problem.message(), problem.remedy());
   }
 
   private static Object serviceRoute(CallerRequest request, Bundle bundle, Workspace workspace) {
@@ -181,10 +183,10 @@
     int slash = rest.indexOf('/');
     String name = slash < 0 ? rest : rest.substring(0, slash);
     if (bundle.service(name).isEmpty()) {
-      return Refusals.notFound("There is no plain service " + name + ".");
+      return ErrorAnswers.notFound("There is no plain service " + name + ".");
     }
     if (!workspace.services().contains(name)) {
-      return Refusals.forbidden("The workspace may not call the service " + name + ".");
+      return ErrorAnswers.forbidden("The workspace may not call the service " + name + ".");
     }
     String path = slash < 0 ? "/" : rest.substring(slash);
     return new Route(RoutingTable.serviceKey(name), path, Prefix.of(""));
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/GatewayServices.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/GatewayServices.java
@@ -19,10 +19,11 @@
  * @param forward requests handed between daemons
  * @param inFlight requests under way
  */
-public record GatewayServices(CallerService callers, ForwardService forward, InFlight inFlight) {
+public record GatewayServices(
+    CallerService callers, ForwardService forward, InFlightCounter inFlight) {
 
   private static final int CACHED_BLOCKS_PER_REPLICA = 4096;
-  private static final long DISPATCH_MILLIS = 20;
+  private static final long DISPATCH_INTERVAL_MILLIS = 20;
 
   /**
    * Puts the services together.
@@ -46,25 +47,30 @@
       PeerService peers,
       ClaimService claims,
       DaemonMetrics metrics) {
-    InFlight inFlight = new InFlight();
+    InFlightCounter inFlight = new InFlightCounter();
     ForwardService forward = new ForwardService(context, peers, inFlight);
     PrefixIndex index = PrefixIndex.create(CACHED_BLOCKS_PER_REPLICA);
     Router router = Router.create(index, Router.Settings.DEFAULT);
-    GatewayParts parts = new GatewayParts(context, table, upstream, metrics, index);
-    Gateway gateway = new Gateway(context, parts, state, routing, router, forward::spill);
+    SharedComponents shared = new SharedComponents(context, table, upstream, metrics, index);
+    Gateway gateway = new Gateway(context, shared, state, routing, router, forward::spill);
     MadeKeys madeKeys =
         MadeKeys.create(context.identity().daemon(), context.identity().incarnation());
-    OnceGuard once = new OnceGuard(context, claims, madeKeys, forward::toMaker);
-    forward.runWith(
+    AtMostOnceExecutor atMostOnce =
+        new AtMostOnceExecutor(context, claims, madeKeys, forward::sendToIssuer);
+    forward.setRunner(
         (request, purpose) ->
             purpose == ForwardService.Purpose.MAKER
-                ? once.run(request, gateway::run)
+                ? atMostOnce.run(request, gateway::run)
                 : gateway.run(request));
-    CallerService callers = new CallerService(context, state, gateway, once, inFlight, metrics);
+    CallerService callers =
+        new CallerService(context, state, gateway, atMostOnce, inFlight, metrics);
     context
         .scheduler()
         .scheduleWithFixedDelay(
-            gateway::dispatch, DISPATCH_MILLIS, DISPATCH_MILLIS, TimeUnit.MILLISECONDS);
+            gateway::dispatch,
+            DISPATCH_INTERVAL_MILLIS,
+            DISPATCH_INTERVAL_MILLIS,
+            TimeUnit.MILLISECONDS);
     metrics.gauge("fawnvale.in.flight", "", "Requests under way.", inFlight::count);
     metrics.gauge("fawnvale.waiting", "", "Requests that wait.", gateway::waiting);
     return new GatewayServices(callers, forward, inFlight);
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/InFlight.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/InFlightCounter.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Counts requests under way, so that a planned stop waits for all of them. */
-public final class InFlight {
+public final class InFlightCounter {
 
   private int count;
   private boolean closed;
@@ -22,7 +22,7 @@
   }
 
   /** Notes a request that has ended. */
-  public synchronized void leave() {
+  public synchronized void exit() {
     count--;
     notifyAll();
   }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Pool.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Pool.java
@@ -27,9 +27,11 @@
   private final TurnQueue<Waiter> queue;
 
   /** What a request asks for. */
-  record Wish(String flow, double weight, Prefix prefix, Deadline deadline, Set<String> excluded) {}
+  record TargetRequest(
+      String flow, double weight, Prefix prefix, Deadline deadline, Set<String> excluded) {}
 
-  private record Waiter(Wish wish, long sinceNanos, CompletableFuture<Turn> turn) {}
+  private record Waiter(
+      TargetRequest targetRequest, long sinceNanos, CompletableFuture<AdmissionResult> result) {}
 
   Pool(
       Supplier<TargetList> targets,
@@ -45,46 +47,53 @@
   }
 
   /** Waits for a turn, or says at once that there will be none in time. */
-  Turn await(Wish wish) {
-    Waiter waiter = new Waiter(wish, nanoClock.getAsLong(), new CompletableFuture<>());
-    Optional<Turn> denied = enqueue(waiter);
+  AdmissionResult await(TargetRequest targetRequest) {
+    Waiter waiter = new Waiter(targetRequest, nanoClock.getAsLong(), new CompletableFuture<>());
+    Optional<AdmissionResult> denied = enqueue(waiter);
     if (denied.isPresent()) {
       return denied.get();
     }
     dispatch();
     try {
       return waiter
-          .turn()
-          .get(wish.deadline().timeoutMillis(Long.MAX_VALUE), TimeUnit.MILLISECONDS);
+          .result()
+          .get(targetRequest.deadline().timeoutMillis(Long.MAX_VALUE), TimeUnit.MILLISECONDS);
     } catch (TimeoutException e) {
-      return leave(waiter);
+      return withdraw(waiter);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      return leave(waiter);
+      return withdraw(waiter);
     } catch (ExecutionException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private synchronized Optional<Turn> enqueue(Waiter waiter) {
+  private synchronized Optional<AdmissionResult> enqueue(Waiter waiter) {
     if (targets.get().targets().stream().noneMatch(mayServe)) {
       return Optional.of(
-          new Turn.Denied(new Outcome.NotRun("Nothing here can serve it now.", 1), false));
+          new AdmissionResult.Denied(
+              new Outcome.NotRun("Nothing here can serve it now.", 1), false));
     }
-    Wish wish = waiter.wish();
+    TargetRequest targetRequest = waiter.targetRequest();
     return queue
-        .offer(wish.flow(), wish.weight(), wish.deadline().atNanos(), waiter.sinceNanos(), waiter)
-        .map(notRun -> new Turn.Denied(notRun, true));
+        .offer(
+            targetRequest.flow(),
+            targetRequest.weight(),
+            targetRequest.deadline().atNanos(),
+            waiter.sinceNanos(),
+            waiter)
+        .map(notRun -> new AdmissionResult.Denied(notRun, true));
   }
 
   /** Takes a waiter out whose time is over; a turn that was granted meanwhile is kept. */
-  private synchronized Turn leave(Waiter waiter) {
+  private synchronized AdmissionResult withdraw(Waiter waiter) {
     queue.removeIf(each -> each == waiter);
-    return waiter.turn().getNow(late());
+    return waiter.result().getNow(deniedByDeadline());
   }
 
-  private static Turn late() {
-    return new Turn.Denied(new Outcome.NotRun("Its deadline passed while it waited.", 1), true);
+  private static AdmissionResult deniedByDeadline() {
+    return new AdmissionResult.Denied(
+        new Outcome.NotRun("Its deadline passed while it waited.", 1), true);
   }
 
   /** Gives turns to those who wait, as far as there is room. */
@@ -92,35 +101,37 @@
     long now = nanoClock.getAsLong();
     queue.dispatch(
         now,
-        waiter -> pick(waiter.wish()),
+        waiter -> pick(waiter.targetRequest()),
         (waiter, target) -> grant(waiter, target, now),
-        waiter -> waiter.turn().complete(late()));
+        waiter -> waiter.result().complete(deniedByDeadline()));
   }
 
   private static void grant(Waiter waiter, Target target, long nowNanos) {
     target.candidate().load().started();
-    waiter.turn().complete(new Turn.Granted(target, nowNanos - waiter.sinceNanos()));
+    waiter.result().complete(new AdmissionResult.Granted(target, nowNanos - waiter.sinceNanos()));
   }
 
   /** Picks another target for a request that had its turn; it goes ahead of those who wait. */
-  synchronized Optional<Target> again(Wish wish) {
-    Optional<Target> target = pick(wish);
+  synchronized Optional<Target> pickForRetry(TargetRequest targetRequest) {
+    Optional<Target> target = pick(targetRequest);
     target.ifPresent(each -> each.candidate().load().started());
     return target;
   }
 
-  private Optional<Target> pick(Wish wish) {
+  private Optional<Target> pick(TargetRequest targetRequest) {
     TargetList list = targets.get();
     Predicate<Candidate> usable =
         candidate ->
-            !wish.excluded().contains(candidate.key()) && mayServe.test(list.target(candidate));
+            !targetRequest.excluded().contains(candidate.key())
+                && mayServe.test(list.target(candidate));
     return router
-        .pick(list.candidates(), wish.prefix(), usable, ThreadLocalRandom.current()::nextInt)
+        .pick(
+            list.candidates(), targetRequest.prefix(), usable, ThreadLocalRandom.current()::nextInt)
         .map(list::target);
   }
 
   /** Notes how long a request of a flow ran. */
-  synchronized void served(String flow, long nanos) {
+  synchronized void recordServiceTime(String flow, long nanos) {
     queue.served(flow, nanos);
   }
 
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/GatewayParts.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/SharedComponents.java
@@ -9,7 +9,7 @@
 import org.fawnvale.upstream.UpstreamClient;
 
 /** What all requests share. */
-final class GatewayParts {
+final class SharedComponents {
 
   private final Context context;
   private final ReadinessTable table;
@@ -18,7 +18,7 @@
   private final PrefixIndex index;
   private final AtomicLong hops = new AtomicLong();
 
-  GatewayParts(
+  SharedComponents(
       Context context,
       ReadinessTable table,
       UpstreamClient upstream,
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/http/HttpFront.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/http/BoundedHttpServer.java
@@ -24,21 +24,21 @@
 import org.jspecify.annotations.Nullable;
 
 /** One HTTP server with a bound on its connections, its headers and its idle time. */
-public final class HttpFront {
+public final class BoundedHttpServer {
 
   private static final int IDLE_SECONDS = 60;
   private static final int MAXIMUM_HEADERS = 100;
   private static final int MAXIMUM_LINE_BYTES = 16 * 1024;
 
   /** How long the rest of an answer may take to leave: a caller that does not read holds it up. */
-  private static final long FLUSH_MILLIS = 2_000;
+  private static final long FLUSH_TIMEOUT_MILLIS = 2_000;
 
   private final String name;
   private final DaemonSettings.Listener listener;
   private final int maximumConnections;
   private final HttpRequestHandler handler;
   private final AtomicInteger connections = new AtomicInteger();
-  private final AnswersUnderWay answers = new AnswersUnderWay();
+  private final PendingResponses pendingResponses = new PendingResponses();
   private @Nullable HttpServer server;
 
   /**
@@ -49,7 +49,7 @@
    * @param maximumConnections connections at once; a further one is closed
    * @param handler answers requests
    */
-  public HttpFront(
+  public BoundedHttpServer(
       String name,
       DaemonSettings.Listener listener,
       int maximumConnections,
@@ -86,7 +86,7 @@
               .setCanonicalHostName(listener.address())
               .setListenerPort(listener.port())
               .setSocketConfig(socket)
-              .setConnectionFactory(new CountingFactory(config))
+              .setConnectionFactory(new LimitedConnectionFactory(config))
               .setRequestRouter((request, context) -> handler);
       if (tls != null) {
         bootstrap.setSslContext(tls);
@@ -123,18 +123,18 @@
   public void stop() {
     HttpServer running = server;
     if (running != null) {
-      answers.awaitThoseUnderWay(FLUSH_MILLIS);
+      pendingResponses.awaitPending(FLUSH_TIMEOUT_MILLIS);
       running.close(CloseMode.IMMEDIATE);
     }
   }
 
   /** Makes connections as long as there are not too many. */
-  private final class CountingFactory
+  private final class LimitedConnectionFactory
       implements HttpConnectionFactory<DefaultBHttpServerConnection> {
 
     private final Http1Config config;
 
-    CountingFactory(Http1Config config) {
+    LimitedConnectionFactory(Http1Config config) {
       this.config = config;
     }
 
@@ -154,7 +154,7 @@
   private final class CountedConnection extends DefaultBHttpServerConnection {
 
     private boolean counted = true;
-    private boolean finalAnswer;
+    private boolean finalResponse;
 
     CountedConnection(Http1Config config) {
       super(listener.certificateFile() == null ? "http" : "https", config);
@@ -164,15 +164,15 @@
     public @Nullable ClassicHttpRequest receiveRequestHeader() throws HttpException, IOException {
       ClassicHttpRequest request = super.receiveRequestHeader();
       if (request != null) {
-        finalAnswer = false;
-        answers.begin(this);
+        finalResponse = false;
+        pendingResponses.begin(this);
       }
       return request;
     }
 
     @Override
     public void sendResponseHeader(ClassicHttpResponse response) throws HttpException, IOException {
-      finalAnswer = response.getCode() >= HttpStatus.SC_SUCCESS;
+      finalResponse = response.getCode() >= HttpStatus.SC_SUCCESS;
       super.sendResponseHeader(response);
     }
 
@@ -180,26 +180,26 @@
     @Override
     public void flush() throws IOException {
       super.flush();
-      if (finalAnswer) {
-        answers.end(this);
+      if (finalResponse) {
+        pendingResponses.end(this);
       }
     }
 
     @Override
     public void close() throws IOException {
-      discount();
+      releaseSlot();
       super.close();
-      answers.end(this);
+      pendingResponses.end(this);
     }
 
     @Override
     public void close(CloseMode mode) {
-      discount();
+      releaseSlot();
       super.close(mode);
-      answers.end(this);
+      pendingResponses.end(this);
     }
 
-    private synchronized void discount() {
+    private synchronized void releaseSlot() {
       if (counted) {
         counted = false;
         connections.decrementAndGet();
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/http/AnswersUnderWay.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/http/PendingResponses.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** The connections whose answers have not left yet, so that a stop cuts none of them short. */
-final class AnswersUnderWay {
+final class PendingResponses {
 
   private final Set<Object> connections = new HashSet<>();
 
@@ -25,17 +25,17 @@
    *
    * @param timeoutMillis how long to wait, in milliseconds
    */
-  synchronized void awaitThoseUnderWay(long timeoutMillis) {
-    Set<Object> awaited = new HashSet<>(connections);
+  synchronized void awaitPending(long timeoutMillis) {
+    Set<Object> remaining = new HashSet<>(connections);
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
     try {
-      while (!awaited.isEmpty()) {
+      while (!remaining.isEmpty()) {
         long left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
         if (left <= 0) {
           return;
         }
         wait(left);
-        awaited.retainAll(connections);
+        remaining.retainAll(connections);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/metrics/DaemonMetrics.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/metrics/DaemonMetrics.java
@@ -35,7 +35,8 @@
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
   private final Map<TimerKey, Timer> timers = new ConcurrentHashMap<>();
 
-  private record TimerKey(String name, String workspace, RequestClass requestClass, String label) {}
+  private record TimerKey(
+      String name, String workspace, RequestClass requestClass, String outcome) {}
 
   /**
    * Notes a request that has ended.
@@ -45,7 +46,8 @@
    * @param outcome its outcome's label
    * @param nanos how long it took, nanoseconds
    */
-  public void request(String workspace, RequestClass requestClass, String outcome, long nanos) {
+  public void recordRequest(
+      String workspace, RequestClass requestClass, String outcome, long nanos) {
     timer("fawnvale.request", workspace, requestClass, outcome).record(nanos, NANOS);
   }
 
@@ -56,7 +58,7 @@
    * @param requestClass its class
    * @param nanos how long, nanoseconds
    */
-  public void waited(String workspace, RequestClass requestClass, long nanos) {
+  public void recordQueueTime(String workspace, RequestClass requestClass, long nanos) {
     timer("fawnvale.queue", workspace, requestClass, "").record(nanos, NANOS);
   }
 
@@ -67,7 +69,7 @@
    * @param requestClass its class
    * @param nanos how long, nanoseconds
    */
-  public void firstToken(String workspace, RequestClass requestClass, long nanos) {
+  public void recordTimeToFirstToken(String workspace, RequestClass requestClass, long nanos) {
     timer("fawnvale.first.token", workspace, requestClass, "").record(nanos, NANOS);
   }
 
@@ -78,12 +80,12 @@
    * @param requestClass its class
    * @param nanos how long, nanoseconds
    */
-  public void betweenTokens(String workspace, RequestClass requestClass, long nanos) {
+  public void recordInterTokenTime(String workspace, RequestClass requestClass, long nanos) {
     timer("fawnvale.between.tokens", workspace, requestClass, "").record(nanos, NANOS);
   }
 
-  private Timer timer(String name, String workspace, RequestClass requestClass, String label) {
-    TimerKey key = new TimerKey(name, workspace, requestClass, label);
+  private Timer timer(String name, String workspace, RequestClass requestClass, String outcome) {
+    TimerKey key = new TimerKey(name, workspace, requestClass, outcome);
     return timers.computeIfAbsent(key, this::build);
   }
 
@@ -93,8 +95,8 @@
             .tag("workspace", key.workspace())
             .tag("class", key.requestClass().label())
             .serviceLevelObjectives(BUCKETS);
-    if (!key.label().isEmpty()) {
-      builder.tag("outcome", key.label());
+    if (!key.outcome().isEmpty()) {
+      builder.tag("outcome", key.outcome());
     }
     return builder.register(registry);
   }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/OperatorService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/OperatorService.java
@@ -20,7 +20,7 @@
 import org.fawnvale.core.result.Problem;
 import org.fawnvale.core.result.ProblemKind;
 import org.fawnvale.daemon.Context;
-import org.fawnvale.daemon.http.HttpFront;
+import org.fawnvale.daemon.http.BoundedHttpServer;
 import org.fawnvale.daemon.metrics.DaemonMetrics;
 import org.fawnvale.daemon.state.Documents;
 import org.fawnvale.daemon.state.FleetState;
@@ -45,7 +45,7 @@
   private final BundleDesk desk;
   private final StatusDesk status;
   private final DaemonMetrics metrics;
-  private final HttpFront front;
+  private final BoundedHttpServer server;
 
   /**
    * Creates the service.
@@ -69,8 +69,8 @@
     this.desk = new BundleDesk(state, stateService::written, store);
     this.status = status;
     this.metrics = metrics;
-    this.front =
-        new HttpFront(
+    this.server =
+        new BoundedHttpServer(
             "operators",
             context.settings().operators(),
             MAXIMUM_CONNECTIONS,
@@ -79,13 +79,13 @@
 
   @Override
   public void start() throws ServiceException {
-    front.start();
+    server.start();
     LOG.info("Operators are served on {}:{}.", context.settings().operators().address(), port());
   }
 
   @Override
   public void stop() {
-    front.stop();
+    server.stop();
   }
 
   /**
@@ -94,7 +94,7 @@
    * @return the port
    */
   public int port() {
-    return front.port();
+    return server.port();
   }
 
   /** A reply of this port. */
--- a/fawnvale-daemon/src/test/java/org/fawnvale/daemon/claim/SlotBatcherFuzzTest.java
+++ b/fawnvale-daemon/src/test/java/org/fawnvale/daemon/claim/SlotBatcherFuzzTest.java
@@ -63,7 +63,7 @@
     for (int i = 0; i < DAEMONS; i++) {
       daemons.add(new Daemon(store, wallMillis));
     }
-    Map<String, List<CompletableFuture<Verdict>>> asked = new HashMap<>();
+    Map<String, List<CompletableFuture<ClaimResult>>> asked = new HashMap<>();
     Map<String, String> oracle = new HashMap<>();
     List<String> violations = new ArrayList<>();
     int attempts = 0;
@@ -76,12 +76,12 @@
         case CLAIM -> {
           attempts++;
           String owner = step.daemon() + "/" + attempts;
-          CompletableFuture<Verdict> verdict = daemon.batcher.submit(key, owner, false);
+          CompletableFuture<ClaimResult> verdict = daemon.batcher.submit(key, owner, false);
           verdict.thenAccept(each -> note(oracle, violations, key, owner, each));
           asked.computeIfAbsent(key, name -> new ArrayList<>()).add(verdict);
         }
         case COMMIT -> daemon.commit();
-        default -> giveBack(daemon, key, oracle);
+        default -> release(daemon, key, oracle);
       }
       assertThat(violations).isEmpty();
     }
@@ -102,7 +102,7 @@
       List<String> violations,
       String key,
       String owner,
-      Verdict verdict) {
+      ClaimResult verdict) {
     if (verdict.verdict() == ClaimSlot.Verdict.GRANTED) {
       String holder = oracle.put(key, owner);
       if (holder != null) {
@@ -111,7 +111,7 @@
     }
   }
 
-  private static void giveBack(Daemon daemon, String key, Map<String, String> oracle) {
+  private static void release(Daemon daemon, String key, Map<String, String> oracle) {
     String owner = oracle.get(key);
     if (owner != null) {
       oracle.remove(key);
--- a/fawnvale-daemon/src/test/java/org/fawnvale/daemon/http/HttpFrontTest.java
+++ b/fawnvale-daemon/src/test/java/org/fawnvale/daemon/http/BoundedHttpServerTest.java
@@ -15,26 +15,26 @@
 import org.junit.jupiter.api.Test;
 
 /** A stop that comes while an answer is being written. */
-class HttpFrontTest {
+class BoundedHttpServerTest {
 
   private static final String EVENTS = "data: one\n\ndata: [DONE]\n\n";
 
-  private HttpFront front;
+  private BoundedHttpServer server;
   private Thread stopper;
 
   @Test
-  void aStopLetsTheEndOfAnAnswerLeaveThatItsHandlerHasWritten() throws Exception {
+  void stopSendsTheRestOfAnAnswerThatItsHandlerHasWritten() throws Exception {
     DaemonSettings.Listener listener = new DaemonSettings.Listener("127.0.0.1", 0, null, null);
-    front =
-        new HttpFront(
+    server =
+        new BoundedHttpServer(
             "callers",
             listener,
             10,
             (request, response, context) ->
                 response.setEntity(
                     new EntityTemplate(-1, ContentType.TEXT_PLAIN, null, this::writeAndStop)));
-    front.start();
-    URI uri = URI.create("http://127.0.0.1:" + front.port() + "/");
+    server.start();
+    URI uri = URI.create("http://127.0.0.1:" + server.port() + "/");
     HttpResponse<String> answer =
         HttpClient.newHttpClient()
             .send(HttpRequest.newBuilder(uri).build(), HttpResponse.BodyHandlers.ofString());
@@ -45,7 +45,7 @@
   /** The handler is done with the answer, and the daemon stops before the server sends the rest. */
   private void writeAndStop(OutputStream out) throws IOException {
     out.write(EVENTS.getBytes(StandardCharsets.UTF_8));
-    stopper = new Thread(front::stop);
+    stopper = new Thread(server::stop);
     stopper.start();
     while (stopper.getState() != Thread.State.TERMINATED
         && stopper.getState() != Thread.State.TIMED_WAITING) {
