--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/ClaimResult.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/ClaimResult.java
@@ -4,14 +4,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What became of a claim.
+ * The result of a claim.
  *
- * @param verdict the verdict
- * @param owner who holds the key, when somebody does
+ * @param verdict whether the key was granted, and if not, why
+ * @param owner the current owner of the key; null when it has none or the owner is unknown
  */
 public record ClaimResult(ClaimSlot.Verdict verdict, @Nullable String owner) {
 
-  /** Nothing was claimed, since the platform cannot be reached. */
+  /** The claim could not be confirmed, for example because the platform is not reachable. */
   public static final ClaimResult UNAVAILABLE =
       new ClaimResult(ClaimSlot.Verdict.UNAVAILABLE, null);
 }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/ClaimService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/ClaimService.java
@@ -21,10 +21,11 @@
 import org.fawnvale.wire.Message;
 
 /**
- * Claims request keys.
+ * Claims request keys in the platform's store.
  *
- * <p>Each slot is batched by one of the linked daemons, so that many daemons share a write. Which
- * one is only a guess that saves writes; the conditional update decides.
+ * <p>Rendezvous hashing assigns each slot to one of the linked daemons, which batches the claims of
+ * all daemons into few writes. The assignment only saves writes: daemons may disagree on it, and
+ * the store's conditional update keeps claims exclusive.
  */
 public final class ClaimService implements Service {
 
@@ -41,9 +42,9 @@
   /**
    * Creates the service.
    *
-   * @param context what every service needs
-   * @param store the platform
-   * @param peers links to the daemons that batch
+   * @param context settings, clocks and executors of the daemon
+   * @param store the platform's object store
+   * @param peers links to the daemons that batch claims
    */
   public ClaimService(Context context, ObjectStore store, PeerService peers) {
     this.context = context;
@@ -63,16 +64,16 @@
 
   @Override
   public void stop() {
-    // Claims that wait end with the platform's answers.
+    // Pending claims complete when the platform answers or their timeout expires.
   }
 
   /**
-   * Claims a key and waits for the verdict.
+   * Claims a key and waits for the result. Blocks the calling thread.
    *
    * @param keyDigest the key's digest
-   * @param owner who will run the request; no other request has the same
+   * @param owner identifies this attempt to run the request; unique among all requests
    * @param timeoutMillis how long to wait, milliseconds
-   * @return the verdict; granted only when the owner holds the key for the whole window
+   * @return the result; granted only if the owner holds the key for the whole claim window
    */
   public ClaimResult claim(String keyDigest, String owner, long timeoutMillis) {
     int slot = ClaimSlot.slotOf(keyDigest);
@@ -89,12 +90,12 @@
   }
 
   /**
-   * Gives a claim back, because the request did not run.
+   * Releases a claim whose request did not run.
    *
    * @param keyDigest the key's digest
-   * @param owner who holds it
+   * @param owner the owner that the claim was made for
    * @param timeoutMillis how long to wait, milliseconds
-   * @return true when the key is free again
+   * @return true when the store confirmed that this owner no longer holds the key
    */
   public boolean release(String keyDigest, String owner, long timeoutMillis) {
     SlotBatcher batcher = batchers.get(ClaimSlot.slotOf(keyDigest));
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/SlotBatcher.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/SlotBatcher.java
@@ -20,11 +20,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Claims the keys of one slot in group commits: all that wait while a write is under way go into
- * the next one.
+ * Claims the keys of one slot in group commits: claims that arrive during a write are combined into
+ * the next write.
  *
- * <p>Safety lies in the conditional update alone. The copy of the slot may be old and other daemons
- * may batch the same slot; both cost a conflict, after which the slot is read anew.
+ * <p>Only the conditional update keeps claims exclusive. The cached slot may be stale, and other
+ * daemons may batch the same slot; either leads to a write conflict, after which the slot is read
+ * again.
  */
 final class SlotBatcher {
 
@@ -40,7 +41,7 @@
   private boolean writing;
   private @Nullable CachedSlot cached;
 
-  /** A claim, or a giving back, that waits for its write. */
+  /** A claim or a release that waits to be written. */
   private record Pending(
       String key, String owner, boolean isRelease, CompletableFuture<ClaimResult> verdict) {}
 
@@ -75,7 +76,7 @@
       try {
         commit(batch);
       } catch (RuntimeException e) {
-        LOG.error("Claims of slot {} failed; they are refused.", slot, e);
+        LOG.error("Could not commit the claims of slot {}; refusing their requests.", slot, e);
         batch.forEach(pending -> completeOne(pending, ClaimSlot.Verdict.UNAVAILABLE, null));
       }
       batch = takeBatch();
@@ -101,7 +102,7 @@
       Map<String, String> granted = findGrantable(batch, current.slot());
       boolean anyRefused = batch.stream().anyMatch(each -> !granted.containsKey(each.key()));
       if (fromCache && anyRefused) {
-        cached = null; // Only what the platform holds now may refuse a key.
+        cached = null; // A stale cached slot must not refuse a key: read it again.
         continue;
       }
       ClaimSlot next = next(current.slot(), granted, batch);
@@ -125,10 +126,14 @@
     giveUp(batch, maybeWritten);
   }
 
-  /** A claim that may be written stays the owner's; since it is not run, nobody runs it. */
+  /**
+   * Fails all claims of the batch. A claim whose write has an unknown result may be in the store;
+   * it blocks its key until it expires, and its request is not run.
+   */
   private void giveUp(List<Pending> batch, boolean maybeWritten) {
     if (maybeWritten) {
-      LOG.warn("Claims of slot {} may be written or not; their requests are not run.", slot);
+      LOG.warn(
+          "Result of writing the claims of slot {} is unknown; their requests are not run.", slot);
     }
     batch.forEach(pending -> completeOne(pending, ClaimSlot.Verdict.UNAVAILABLE, null));
   }
@@ -198,7 +203,7 @@
       ClaimSlot parsed = Documents.read(found.get().value(), ClaimSlot.class);
       return new CachedSlot(found.get().version(), parsed);
     } catch (IOException e) {
-      throw new IllegalStateException("Claims of slot " + slot + " cannot be read.", e);
+      throw new IllegalStateException("Claims of slot " + slot + " are not a valid document.", e);
     }
   }
 }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/package-info.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/package-info.java
@@ -1,4 +1,4 @@
-/** Claims of request keys through the platform. */
+/** Claims request keys in the platform's store, so that a request with a key runs at most once. */
 @NullMarked
 package org.fawnvale.daemon.claim;
 
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/AdmissionResult.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/AdmissionResult.java
@@ -2,22 +2,22 @@
 
 import org.fawnvale.core.outcome.Outcome;
 
-/** What came of waiting for a turn. */
+/** The result of a request's wait in a pool's admission queue. */
 public sealed interface AdmissionResult {
 
   /**
-   * The request may go to a target, and counts as work there until it is ended.
+   * The request may be sent to a target. It counts towards the target's load until it ends.
    *
-   * @param target where to
-   * @param waitedNanos how long it waited, nanoseconds
+   * @param target the target to send the request to
+   * @param waitedNanos how long the request waited, nanoseconds
    */
   record Granted(Target target, long waitedNanos) implements AdmissionResult {}
 
   /**
-   * There is no turn.
+   * The request was not admitted.
    *
-   * @param notRun why not, and when to come back
-   * @param overloaded true when there is too much work, false when nothing could serve
+   * @param notRun the reason, and when the caller may retry
+   * @param overloaded true when the queue is full or too slow; false when no target is ready
    */
   record Denied(Outcome.NotRun notRun, boolean overloaded) implements AdmissionResult {}
 }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Answer.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Answer.java
@@ -7,30 +7,30 @@
 import org.fawnvale.daemon.state.Documents;
 import org.fawnvale.upstream.CopyResult;
 
-/** What a caller gets. */
+/** The answer to a caller's request. */
 public sealed interface Answer {
 
-  /** Header that says what became of the request. */
+  /** Header with the outcome of the request: whether it was answered, did not run or is unknown. */
   String OUTCOME_HEADER = "Fawnvale-Outcome";
 
   /**
-   * The HTTP status.
+   * Returns the HTTP status code.
    *
-   * @return the status
+   * @return the status code
    */
   int status();
 
   /**
-   * Headers, the content type among them.
+   * Returns the HTTP headers, including the content type.
    *
    * @return the headers
    */
   Map<String, String> headers();
 
   /**
-   * An answer that is there as a whole.
+   * An answer whose body is held in memory.
    *
-   * @param outcome what became of the request
+   * @param outcome whether the request was answered, did not run or is unknown
    * @param status the HTTP status
    * @param headers the headers
    * @param body the body
@@ -45,11 +45,11 @@
   }
 
   /**
-   * An answer that arrives piece by piece.
+   * An answer whose body is copied to the caller while it arrives from the upstream.
    *
    * @param status the HTTP status
    * @param headers the headers
-   * @param body its pieces
+   * @param body copies the body to the caller
    */
   record Streamed(int status, Map<String, String> headers, Body body) implements Answer {
 
@@ -59,27 +59,28 @@
     }
   }
 
-  /** The pieces of an answer; copied once. */
+  /** The body of a streamed answer; it can be copied once. */
   @FunctionalInterface
   interface Body {
 
     /**
-     * Copies the pieces as they arrive, and frees all that the request held.
+     * Copies the body as it arrives, then releases the connection and the target's capacity.
      *
-     * @param out the receiver
-     * @return how it ended; a receiver must be told of any other end than a whole one
+     * @param out receives the body
+     * @return how the copying ended; unless the body is complete, the caller of this method must
+     *     signal the failure to the receiver
      */
     CopyResult copyTo(OutputStream out);
   }
 
   /**
-   * An answer with a typed error as its body.
+   * Creates an answer with a JSON error as its body.
    *
    * @param status the HTTP status
-   * @param outcome what became of the request
-   * @param code the error's code
+   * @param outcome whether the request was answered, did not run or is unknown
+   * @param code the error code, for programs
    * @param message what is wrong
-   * @param remedy what to do about it
+   * @param remedy what the caller can do about it
    * @return the answer
    */
   static Whole error(int status, Outcome outcome, String code, String message, String remedy) {
@@ -94,19 +95,19 @@
   }
 
   /**
-   * The body of an error.
+   * The JSON body of an error answer.
    *
-   * @param error the error
+   * @param error the details
    */
   record ErrorBody(ErrorDetail error) {}
 
   /**
-   * An error.
+   * The details of an error, as JSON.
    *
-   * @param code what sort of error it is
+   * @param code the error code, for programs
    * @param message what is wrong
-   * @param remedy what to do about it
-   * @param outcome what became of the request
+   * @param remedy what the caller can do about it
+   * @param outcome whether the request was answered, did not run or is unknown
    */
   record ErrorDetail(String code, String message, String remedy, String outcome) {}
 }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/AnswerCache.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/AnswerCache.java
@@ -4,7 +4,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Whole answers to unsafe requests, kept for a while for callers who repeat their key. */
+/**
+ * The latest answers to unsafe requests, by the digest of the request key. Callers that repeat a
+ * key get the cached answer. The oldest entry is evicted first.
+ */
 final class AnswerCache {
 
   private final Map<String, Answer.Whole> answers;
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/AtMostOnceExecutor.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/AtMostOnceExecutor.java
@@ -11,11 +11,11 @@
 import org.fawnvale.daemon.claim.ClaimService;
 
 /**
- * Lets each unsafe request run at most once.
+ * Runs each unsafe request at most once per request key.
  *
- * <p>A caller's own key is claimed through the platform before anything is sent. A key that this
- * daemon made is honoured here, once, without any write; one that another daemon made is handed to
- * that daemon.
+ * <p>A key that the caller chose is claimed in the platform's store before the request is sent. A
+ * key that this incarnation of the daemon issued is checked in memory. A request with a key that
+ * another daemon issued is forwarded to that daemon.
  */
 final class AtMostOnceExecutor {
 
@@ -28,7 +28,9 @@
   private final IssuerRoute issuerRoute;
   private final AtomicLong attempts = new AtomicLong();
 
-  /** Hands a request to the daemon that made its key. */
+  /**
+   * Forwards a request to the daemon that issued its key; empty if that daemon is not reachable.
+   */
   @FunctionalInterface
   interface IssuerRoute {
     Optional<Answer> send(MadeKeys.Maker maker, CallerRequest request);
@@ -47,7 +49,7 @@
     return madeKeys.make();
   }
 
-  /** Runs a request under its key, unless that key was used before. */
+  /** Runs a request unless its key was used before; issues a key if the request has none. */
   Answer run(CallerRequest request, Function<CallerRequest, Answer> runner) {
     String key = request.key();
     if (key == null) {
@@ -69,7 +71,8 @@
   }
 
   private static Answer issuerGone() {
-    return ErrorAnswers.unknown("The daemon that made this key is gone; it may have run.", false);
+    return ErrorAnswers.unknown(
+        "The daemon that issued this key is not reachable; the request may have run.", false);
   }
 
   private Answer runIssued(CallerRequest request, Function<CallerRequest, Answer> runner) {
@@ -78,7 +81,9 @@
     MadeKeys.Use use = madeKeys.use(key);
     if (use == MadeKeys.Use.FOREIGN) {
       return ErrorAnswers.badInput(
-          "bad_key", "The key " + key + " was never made.", "Fetch one by POST /v1/request-keys.");
+          "bad_key",
+          "The key " + key + " was not issued by this daemon.",
+          "Fetch one by POST /v1/request-keys.");
     }
     if (use == MadeKeys.Use.AGAIN) {
       return repeated(digest);
@@ -100,7 +105,7 @@
     switch (verdict.verdict()) {
       case GRANTED -> {
         if (isTooOld(asked)) {
-          return ErrorAnswers.unavailable("The claim of its key took too long.", 1);
+          return ErrorAnswers.unavailable("Claiming the request key took too long.", 1);
         }
         Answer answer = runner.apply(request);
         if (didNotRun(answer)) {
@@ -113,15 +118,15 @@
         return repeated(digest);
       }
       case FULL -> {
-        return ErrorAnswers.overloaded("Too many request keys are remembered at the moment.", 60);
+        return ErrorAnswers.overloaded("Too many request keys are claimed at the moment.", 60);
       }
       default -> {
-        return ErrorAnswers.unavailable("The platform did not take the claim of its key.", 1);
+        return ErrorAnswers.unavailable("The request key could not be claimed in the platform.", 1);
       }
     }
   }
 
-  /** A claim that is older than half its window may lapse before the request has run. */
+  /** Returns whether the claim took more than half its window and may expire during the request. */
   private boolean isTooOld(long askedNanos) {
     long millis = (context.nowNanos() - askedNanos) / 1_000_000;
     return millis > context.settings().timing().claimWindowMillis() / 2;
@@ -132,7 +137,7 @@
     if (answer.isPresent()) {
       return answer.get();
     }
-    String message = "A request with this key was taken before; it may have run.";
+    String message = "A request with this key was accepted before; it may have run.";
     return ErrorAnswers.repeated(message, new Outcome.Unknown(message));
   }
 
@@ -146,7 +151,7 @@
     return answer instanceof Answer.Whole whole && whole.outcome() instanceof Outcome.NotRun;
   }
 
-  /** Keys of different workspaces never meet. */
+  /** Hashes the key with the workspace, so that equal keys of different workspaces are distinct. */
   private static String digest(CallerRequest request) {
     return DigestUtils.sha256Hex(request.workspace() + "\n" + request.key()).substring(0, 32);
   }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/CallerRequest.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/CallerRequest.java
@@ -5,20 +5,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A caller's request whose head was checked.
+ * A caller's request after its headers have been validated.
  *
- * @param id identifies the request in logs and at upstreams
- * @param workspace the workspace that the caller proved
- * @param requestClass how soon it is wanted
- * @param deadline after which nobody waits for the answer
- * @param unsafe true when it may run at most once
+ * @param id the request's id in logs and at upstreams
+ * @param workspace the workspace that the caller's API key belongs to
+ * @param requestClass the priority class: interactive, standard or batch
+ * @param deadline the time after which the caller no longer waits for the answer
+ * @param unsafe true when the request may run at most once
  * @param key the request key; null when the caller gave none
  * @param method the HTTP method
- * @param path the path with its query
+ * @param path the path, including the query
  * @param contentType the body's content type
  * @param body the body
- * @param forwarded true when another daemon has handed it on; then it is not handed on again, and
- *     its key is already claimed
+ * @param forwarded true when another daemon forwarded the request; this daemon then doesn't forward
+ *     it again
  */
 public record CallerRequest(
     String id,
@@ -34,10 +34,10 @@
     boolean forwarded) {
 
   /**
-   * The same request under a key.
+   * Returns a copy of the request with another request key.
    *
-   * @param nextKey the key
-   * @return the changed copy
+   * @param nextKey the request key
+   * @return the copy
    */
   public CallerRequest withKey(String nextKey) {
     return new CallerRequest(
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/CallerService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/CallerService.java
@@ -29,19 +29,21 @@
 import org.fawnvale.upstream.Deadline;
 import org.jspecify.annotations.Nullable;
 
-/** The callers' HTTP port. */
+/**
+ * Serves the callers' HTTP port: validates requests, passes them to the gateway, sends the answers.
+ */
 public final class CallerService implements Service {
 
   /** Header with the caller's request key. */
   public static final String KEY_HEADER = "Fawnvale-Request-Key";
 
-  /** Header that marks a request as unsafe to repeat. */
+  /** Header that marks a request that may run at most once. */
   public static final String UNSAFE_HEADER = "Fawnvale-Unsafe";
 
   /** Header with the request's deadline, milliseconds from now. */
   public static final String DEADLINE_HEADER = "Fawnvale-Deadline-Ms";
 
-  /** Header with the request's class. */
+  /** Header with the request's priority class. */
   public static final String CLASS_HEADER = "Fawnvale-Class";
 
   private static final Logger LOG = LogManager.getLogger("gateway");
@@ -91,10 +93,13 @@
   public void start() throws ServiceException {
     startedNanos = context.nowNanos();
     server.start();
-    LOG.info("Callers are served on {}:{}.", context.settings().callers().address(), port());
+    LOG.info("Listening for callers on {}:{}.", context.settings().callers().address(), port());
   }
 
-  /** Turns readiness off, waits for the balancer to notice, then for all requests under way. */
+  /**
+   * Reports not ready, waits the grace period for load balancers to react, then refuses new
+   * requests and waits for those in flight.
+   */
   @Override
   public void stop() {
     stopping = true;
@@ -104,14 +109,14 @@
       Thread.currentThread().interrupt();
     }
     boolean done = inFlight.closeAndAwait(context.settings().limits().maximumDeadlineMillis());
-    LOG.info("Requests under way have ended: {}.", done);
+    LOG.info("All requests in flight ended before the stop timeout: {}.", done);
     server.stop();
   }
 
   /**
-   * The port that it really listens on.
+   * Returns the port that the service listens on, also when the settings leave it to the system.
    *
-   * @return the port
+   * @return the port; 0 before the start
    */
   public int port() {
     return server.port();
@@ -154,7 +159,9 @@
     response.setEntity(new ByteArrayEntity(Documents.write(body), ContentType.APPLICATION_JSON));
   }
 
-  /** A daemon that has just started has no evidence yet; it waits for some, but not for ever. */
+  /**
+   * Returns whether a target was ready once, or twice the freshness period has passed since start.
+   */
   private boolean hasWarmedUp() {
     long limit = TimeUnit.MILLISECONDS.toNanos(2 * context.settings().timing().freshMillis());
     warmedUp = warmedUp || gateway.hasReadyTarget() || context.nowNanos() - startedNanos > limit;
@@ -166,16 +173,16 @@
     if ("/v1/request-keys".equals(path)) {
       return "POST".equals(request.getMethod())
           ? json(Map.of("key", atMostOnce.makeKey()))
-          : ErrorAnswers.notFound("Keys are fetched by POST.");
+          : ErrorAnswers.notFound("Request keys are issued by POST only.");
     }
     if ("/v1/models".equals(path)) {
       return models(checked.workspace());
     }
     boolean chat = Gateway.CHAT_PATH.equals(path) && "POST".equals(request.getMethod());
     if (!chat && !path.startsWith(Gateway.SERVICES_PATH)) {
-      return ErrorAnswers.notFound("There is nothing at " + request.getMethod() + " " + path + ".");
+      return ErrorAnswers.notFound("No resource at " + request.getMethod() + " " + path + ".");
     }
-    LOG.debug("Request {} of {} begins at {}.", checked.id(), checked.workspace(), path);
+    LOG.debug("Request {} of workspace {} started: {}.", checked.id(), checked.workspace(), path);
     if (!checked.unsafe()) {
       return gateway.run(checked);
     }
@@ -250,7 +257,7 @@
         return millis;
       }
     } catch (NumberFormatException e) {
-      // The same refusal as for a number out of range.
+      // Refused below like a number out of range.
     }
     throw badHeader(DEADLINE_HEADER, text, "a whole number from 1 to " + maximum);
   }
@@ -311,7 +318,7 @@
     return header == null ? null : header.getValue();
   }
 
-  /** Prepares the response; true when its body is copied later, by the server. */
+  /** Fills in the response. Returns true if the server copies the body later, as a stream. */
   private boolean send(
       Answer answer,
       ClassicHttpResponse response,
@@ -340,7 +347,10 @@
     return true;
   }
 
-  /** A stream that breaks off ends with an error event and a connection that is cut. */
+  /**
+   * Copies a streamed answer to the caller. If the upstream's stream is interrupted, sends an error
+   * event and throws, so that the server closes the connection.
+   */
   private void stream(
       Answer.Streamed streamed, OutputStream out, @Nullable CallerRequest request, long startNanos)
       throws IOException {
@@ -354,9 +364,9 @@
       if (result instanceof CopyResult.Torn torn) {
         out.write(STREAM_ERROR_EVENT.getBytes(java.nio.charset.StandardCharsets.UTF_8));
         out.flush();
-        throw new IOException("The stream broke off: " + torn.reason());
+        throw new IOException("The upstream's stream was interrupted: " + torn.reason());
       }
-      throw new IOException("The caller went away.");
+      throw new IOException("The caller closed the connection.");
     } finally {
       inFlight.exit();
     }
@@ -366,11 +376,12 @@
     if (request != null) {
       long nanos = context.nowNanos() - startNanos;
       metrics.recordRequest(request.workspace(), request.requestClass(), outcome, nanos);
-      LOG.debug("Request {} of {} ended: {}.", request.id(), request.workspace(), outcome);
+      LOG.debug(
+          "Request {} of workspace {} ended: {}.", request.id(), request.workspace(), outcome);
     }
   }
 
-  /** Carries a refusal out of the checks of a request's head. */
+  /** Thrown by the validation of a request; holds the error answer. */
   private static final class RefusedException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/ChatInput.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/ChatInput.java
@@ -9,10 +9,10 @@
 import org.fawnvale.core.routing.Prefix;
 
 /**
- * What routing needs of a chat completion's body.
+ * The parts of a chat completion request that routing uses.
  *
- * @param model the model
- * @param prefix the prompt's prefixes
+ * @param model the name of the requested model
+ * @param prefix the prompt's prefixes, by which the router finds cached blocks
  */
 record ChatInput(String model, Prefix prefix) {
 
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/ErrorAnswers.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/ErrorAnswers.java
@@ -2,7 +2,7 @@
 
 import org.fawnvale.core.outcome.Outcome;
 
-/** The answers to requests that were not run, or whose outcome is unknown. */
+/** Creates the error answers for requests that did not run or whose outcome is unknown. */
 final class ErrorAnswers {
 
   static final int BAD_REQUEST = 400;
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Exchange.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Exchange.java
@@ -17,10 +17,10 @@
 import org.fawnvale.upstream.UpstreamRequest;
 
 /**
- * One request's way through its attempts.
+ * Runs one request in one or more attempts, each on another target.
  *
- * <p>A request that cannot run twice is sent again only when it provably did not run. Any other is
- * sent again within the retry budget, never to the same target.
+ * <p>A request that must not run twice is retried only when the failed attempt provably did not run
+ * it. Every retry spends from the workspace's retry budget.
  */
 final class Exchange {
 
@@ -58,14 +58,14 @@
     this.budget = budget;
   }
 
-  /** What came of an attempt: an answer for the caller, or a reason to try again. */
+  /** The result of an attempt: an answer for the caller, or the reason why the attempt failed. */
   private sealed interface Attempt {
     record Done(Answer answer) implements Attempt {}
 
     record Retry(String reason, boolean mayHaveRun) implements Attempt {}
   }
 
-  /** Runs the request on the target of its turn, and on others when that fails. */
+  /** Runs the request on the target that the pool granted, and on other targets if that fails. */
   Answer run(Target first) {
     budget.earn();
     Target target = first;
@@ -94,7 +94,7 @@
     return pool.pickForRetry(targetRequest);
   }
 
-  /** A plain service's call is repeated only when its method says that this changes nothing. */
+  /** Chat requests may be repeated; calls of plain services only if their method is GET or HEAD. */
   private boolean isRepeatable() {
     return upstreamPath.startsWith("/v1/")
         || "GET".equals(request.method())
@@ -206,7 +206,7 @@
     pool.dispatch();
   }
 
-  /** Measures the time to the first piece and between pieces. */
+  /** Measures the time to the first piece of a stream and the time between its pieces. */
   private final class TokenTimer extends OutputStream {
 
     private final Target target;
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/ForwardService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/ForwardService.java
@@ -27,7 +27,7 @@
 import org.fawnvale.wire.Message;
 import org.jspecify.annotations.Nullable;
 
-/** Hands requests to other daemons over the links, and runs those that are handed here. */
+/** Forwards requests to other daemons over the peer links and runs those that they forward. */
 public final class ForwardService implements Service {
 
   private static final int MAXIMUM_BUFFERED_PIECES = 4096;
@@ -42,11 +42,14 @@
   private final AtomicLong numbers = new AtomicLong();
   private @Nullable BiFunction<CallerRequest, Purpose, Answer> runner;
 
-  /** Why a request is handed on. */
+  /** Why a request is forwarded. The names are sent to the other daemon. */
   enum Purpose {
-    /** Nothing in the sender's data centre can serve it; its key, if any, is claimed. */
+    /**
+     * The sender's data centre could not admit the request; the sender has already claimed its key,
+     * if it has one.
+     */
     SPILL,
-    /** The receiver made its key. */
+    /** The receiver issued the request's key. */
     MAKER
   }
 
@@ -74,10 +77,13 @@
 
   @Override
   public void stop() {
-    // Links are closed by their owner, which ends what waits here.
+    // PeerService closes the links, and onLinkClosed then ends the pending forwards.
   }
 
-  /** Hands a request to the first other data centre that takes it. */
+  /**
+   * Forwards a request to the other data centres in turn until one of them runs it. Returns empty
+   * if none did.
+   */
   Optional<Answer> spill(CallerRequest request) {
     Set<String> tried = new HashSet<>();
     for (Link link : peers.links()) {
@@ -97,7 +103,9 @@
     return answer instanceof Answer.Whole whole && whole.outcome() instanceof Outcome.NotRun;
   }
 
-  /** Hands a request to the daemon that made its key; nothing when that one is gone. */
+  /**
+   * Forwards a request to the daemon that issued its key; empty if that incarnation is not linked.
+   */
   Optional<Answer> sendToIssuer(MadeKeys.Maker maker, CallerRequest request) {
     Link link = peers.linkTo(maker.daemon());
     if (link == null || !link.peer().incarnation().equals(maker.incarnation())) {
@@ -122,7 +130,8 @@
     giveUp(number, pending);
     return Optional.of(
         ErrorAnswers.unknown(
-            "The daemon that it was handed to did not answer.", request.deadline().hasPassed()));
+            "The daemon that the request was forwarded to did not answer.",
+            request.deadline().hasPassed()));
   }
 
   private static Message.Forward forward(long number, CallerRequest request, Purpose purpose) {
@@ -153,7 +162,7 @@
     }
     ByteArrayOutputStream body = new ByteArrayOutputStream();
     if (!(copy(number, pending, deadline, body) instanceof CopyResult.Whole)) {
-      return ErrorAnswers.unknown("The answer of the other data centre broke off.", false);
+      return ErrorAnswers.unknown("The answer of the other daemon was interrupted.", false);
     }
     Outcome outcome = outcome(head.headers());
     return new Answer.Whole(outcome, head.status(), head.headers(), body.toByteArray());
@@ -187,7 +196,7 @@
       return new CopyResult.Whole(copied);
     }
     giveUp(number, pending);
-    return new CopyResult.Torn(copied, "the other data centre's answer broke off");
+    return new CopyResult.Torn(copied, "the answer of the other daemon was interrupted");
   }
 
   private @Nullable Message next(PendingForward pending, Deadline deadline) {
@@ -205,7 +214,7 @@
     pending.link().send(new Message.ForwardCancel(number));
   }
 
-  /** Only the link that the request went over may answer it. */
+  /** Queues a piece of an answer; ignores it unless it came over the link of the request. */
   private void onPiece(Link link, long number, Message message) {
     PendingForward pending = pendingForwards.get(number);
     if (pending == null || pending.link() != link) {
@@ -291,7 +300,7 @@
     link.send(new Message.ForwardEnd(number, out.written, result instanceof CopyResult.Whole));
   }
 
-  /** Sends what is written as pieces of an answer. */
+  /** Sends the written bytes over a link as pieces of an answer. */
   private final class LinkOutput extends OutputStream {
 
     private final Link link;
@@ -313,16 +322,17 @@
       byte[] piece = Arrays.copyOfRange(buffer, offset, offset + length);
       boolean gone = cancelled.contains(key(link, number));
       if (gone || !link.send(new Message.ForwardChunk(number, piece))) {
-        throw new IOException("The daemon that asked is gone.");
+        throw new IOException(
+            "The daemon that forwarded the request cancelled it or is not linked.");
       }
       written += length;
     }
   }
 
   /**
-   * Data centres that this daemon has links to.
+   * Returns the data centres that this daemon has links to.
    *
-   * @return their names
+   * @return the names of the data centres
    */
   public List<String> reachable() {
     return peers.links().stream().map(link -> link.peer().dataCentre()).distinct().toList();
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Gateway.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Gateway.java
@@ -13,10 +13,13 @@
 import org.fawnvale.daemon.Context;
 import org.fawnvale.daemon.state.FleetState;
 
-/** Takes checked requests to an upstream of the own data centre, or of another one. */
+/**
+ * Runs validated requests on an upstream of this data centre, or forwards them to another data
+ * centre when no upstream here can take them.
+ */
 public final class Gateway {
 
-  /** Header that identifies a request at upstreams and to callers. */
+  /** Header with the request's id, sent to upstreams and to callers. */
   public static final String REQUEST_ID_HEADER = "Fawnvale-Request-Id";
 
   static final String CHAT_PATH = "/v1/chat/completions";
@@ -34,15 +37,15 @@
   private final Map<String, Pool> pools = new ConcurrentHashMap<>();
   private final Map<String, RetryBudget> budgets = new ConcurrentHashMap<>();
 
-  /** Hands a request to another data centre. */
+  /** Forwards requests to other data centres. */
   @FunctionalInterface
   public interface SpillRoute {
 
     /**
-     * Hands a request on.
+     * Forwards a request to another data centre.
      *
      * @param request the request
-     * @return the answer, or nothing when no other data centre took it
+     * @return the answer, or empty when no other data centre ran the request
      */
     Optional<Answer> send(CallerRequest request);
   }
@@ -62,16 +65,16 @@
     this.spillRoute = spillRoute;
   }
 
-  /** What a request was found to ask for. */
+  /** The pool and the upstream path of a request. */
   private record Route(String poolKey, String upstreamPath, Prefix prefix) {}
 
-  /** Checks that a request may be run at all; gives the answer when it may not. */
+  /** Returns the error answer if the request cannot be routed, otherwise empty. */
   Optional<Answer> check(CallerRequest request) {
     Object routeOrAnswer = route(request);
     return routeOrAnswer instanceof Answer answer ? Optional.of(answer) : Optional.empty();
   }
 
-  /** Runs a request to its answer. */
+  /** Runs a request and returns its answer; a streamed answer is still to be copied. */
   Answer run(CallerRequest request) {
     Object routeOrAnswer = route(request);
     if (routeOrAnswer instanceof Answer answer) {
@@ -128,12 +131,12 @@
         context.settings().limits().waitingPerWorkspace());
   }
 
-  /** Gives turns to all who wait; called when evidence or loads have changed. */
+  /** Admits queued requests of all pools while targets have capacity; called periodically. */
   void dispatch() {
     pools.values().forEach(Pool::dispatch);
   }
 
-  /** Tells whether anything in the own data centre may serve. */
+  /** Returns whether any target in this data centre is ready. */
   boolean hasReadyTarget() {
     return routing.all().stream().anyMatch(shared::mayServe);
   }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/GatewayServices.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/GatewayServices.java
@@ -13,11 +13,11 @@
 import org.fawnvale.upstream.UpstreamClient;
 
 /**
- * The services of the data path, put together.
+ * The services of the data path.
  *
- * @param callers the callers' port
- * @param forward requests handed between daemons
- * @param inFlight requests under way
+ * @param callers serves the callers' HTTP port
+ * @param forward exchanges requests with other daemons
+ * @param inFlight counts the requests in flight
  */
 public record GatewayServices(
     CallerService callers, ForwardService forward, InFlightCounter inFlight) {
@@ -26,16 +26,16 @@
   private static final long DISPATCH_INTERVAL_MILLIS = 20;
 
   /**
-   * Puts the services together.
+   * Creates the services, schedules the dispatch of queued requests and registers gauges.
    *
-   * @param context what every service needs
-   * @param state what is agreed
-   * @param table evidence on the nodes
-   * @param routing the targets
-   * @param upstream sends requests
+   * @param context settings, clocks and executors of the daemon
+   * @param state the fleet state that the daemons agree on
+   * @param table which nodes are alive and ready
+   * @param routing the targets of each model and plain service
+   * @param upstream sends requests to nodes
    * @param peers links to the other daemons
-   * @param claims claims request keys
-   * @param metrics takes measurements
+   * @param claims claims request keys in the platform's store
+   * @param metrics records the measurements
    * @return the services, not yet started
    */
   public static GatewayServices create(
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/InFlightCounter.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/InFlightCounter.java
@@ -2,16 +2,16 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Counts requests under way, so that a planned stop waits for all of them. */
+/** Counts the requests in flight so that a planned stop can wait until all of them have ended. */
 public final class InFlightCounter {
 
   private int count;
   private boolean closed;
 
   /**
-   * Notes a request that begins.
+   * Counts a new request, unless the counter is closed.
    *
-   * @return false when no new request may begin
+   * @return false when the counter is closed and the request must be refused
    */
   public synchronized boolean tryEnter() {
     if (closed) {
@@ -21,17 +21,17 @@
     return true;
   }
 
-  /** Notes a request that has ended. */
+  /** Removes a request that has ended from the count. */
   public synchronized void exit() {
     count--;
     notifyAll();
   }
 
   /**
-   * Lets no new request begin and waits for those under way.
+   * Closes the counter to new requests and waits until those in flight have ended.
    *
    * @param timeoutMillis how long to wait, milliseconds
-   * @return true when none is left
+   * @return true when all requests have ended; false after the timeout or an interrupt
    */
   public synchronized boolean closeAndAwait(long timeoutMillis) {
     closed = true;
@@ -52,9 +52,9 @@
   }
 
   /**
-   * Requests under way.
+   * Returns the number of requests in flight.
    *
-   * @return how many
+   * @return the number of requests
    */
   public synchronized int count() {
     return count;
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Pool.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Pool.java
@@ -17,7 +17,7 @@
 import org.fawnvale.core.routing.Router;
 import org.fawnvale.upstream.Deadline;
 
-/** The targets of one model or service, and the requests that wait for them. */
+/** The targets of one model or plain service and the queue of requests that wait for them. */
 final class Pool {
 
   private final Supplier<TargetList> targets;
@@ -26,7 +26,15 @@
   private final LongSupplier nanoClock;
   private final TurnQueue<Waiter> queue;
 
-  /** What a request asks for. */
+  /**
+   * What the pool needs to know of a request to pick a target.
+   *
+   * @param flow the queue's flow: workspace and request class
+   * @param weight the flow's weight in fair queueing
+   * @param prefix the prompt's prefixes
+   * @param deadline the request's deadline
+   * @param excluded the keys of targets that must not be picked
+   */
   record TargetRequest(
       String flow, double weight, Prefix prefix, Deadline deadline, Set<String> excluded) {}
 
@@ -46,7 +54,9 @@
     this.queue = TurnQueue.create(maximumPerFlow);
   }
 
-  /** Waits for a turn, or says at once that there will be none in time. */
+  /**
+   * Waits until the request is admitted or its deadline passes; denies hopeless requests at once.
+   */
   AdmissionResult await(TargetRequest targetRequest) {
     Waiter waiter = new Waiter(targetRequest, nanoClock.getAsLong(), new CompletableFuture<>());
     Optional<AdmissionResult> denied = enqueue(waiter);
@@ -72,7 +82,9 @@
     if (targets.get().targets().stream().noneMatch(mayServe)) {
       return Optional.of(
           new AdmissionResult.Denied(
-              new Outcome.NotRun("Nothing here can serve it now.", 1), false));
+              new Outcome.NotRun(
+                  "No upstream in this data centre is ready to serve the request.", 1),
+              false));
     }
     TargetRequest targetRequest = waiter.targetRequest();
     return queue
@@ -85,7 +97,7 @@
         .map(notRun -> new AdmissionResult.Denied(notRun, true));
   }
 
-  /** Takes a waiter out whose time is over; a turn that was granted meanwhile is kept. */
+  /** Removes a waiter from the queue; returns the grant if it was admitted in the meantime. */
   private synchronized AdmissionResult withdraw(Waiter waiter) {
     queue.removeIf(each -> each == waiter);
     return waiter.result().getNow(deniedByDeadline());
@@ -93,10 +105,10 @@
 
   private static AdmissionResult deniedByDeadline() {
     return new AdmissionResult.Denied(
-        new Outcome.NotRun("Its deadline passed while it waited.", 1), true);
+        new Outcome.NotRun("The deadline of the request passed while it was queued.", 1), true);
   }
 
-  /** Gives turns to those who wait, as far as there is room. */
+  /** Admits queued requests while targets have capacity. */
   synchronized void dispatch() {
     long now = nanoClock.getAsLong();
     queue.dispatch(
@@ -111,7 +123,7 @@
     waiter.result().complete(new AdmissionResult.Granted(target, nowNanos - waiter.sinceNanos()));
   }
 
-  /** Picks another target for a request that had its turn; it goes ahead of those who wait. */
+  /** Picks another target for a request that was admitted before, ahead of the queue. */
   synchronized Optional<Target> pickForRetry(TargetRequest targetRequest) {
     Optional<Target> target = pick(targetRequest);
     target.ifPresent(each -> each.candidate().load().started());
@@ -130,7 +142,7 @@
         .map(list::target);
   }
 
-  /** Notes how long a request of a flow ran. */
+  /** Records how long a request of a flow ran. */
   synchronized void recordServiceTime(String flow, long nanos) {
     queue.served(flow, nanos);
   }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/RoutingTable.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/RoutingTable.java
@@ -18,7 +18,7 @@
 import org.fawnvale.core.routing.ReplicaLoad;
 import org.fawnvale.daemon.state.FleetView;
 
-/** The targets of each model and plain service in the own data centre. */
+/** The targets of each model and plain service in this daemon's data centre. */
 public final class RoutingTable {
 
   private final String dataCentre;
@@ -33,7 +33,7 @@
   /**
    * Creates an empty table.
    *
-   * @param dataCentre the own data centre
+   * @param dataCentre the name of this daemon's data centre
    * @return the table
    */
   public static RoutingTable create(String dataCentre) {
@@ -41,9 +41,9 @@
   }
 
   /**
-   * Key of a model's targets.
+   * Returns the key of a model's targets.
    *
-   * @param model its name
+   * @param model the model's name
    * @return the key
    */
   public static String modelKey(String model) {
@@ -51,9 +51,9 @@
   }
 
   /**
-   * Key of a plain service's targets.
+   * Returns the key of a plain service's targets.
    *
-   * @param service its name
+   * @param service the service's name
    * @return the key
    */
   public static String serviceKey(String service) {
@@ -61,9 +61,9 @@
   }
 
   /**
-   * Builds the table anew.
+   * Rebuilds the table. Targets that stay keep their load counters.
    *
-   * @param view what is agreed
+   * @param view the fleet state that the daemons agree on
    */
   public synchronized void update(FleetView view) {
     Bundle bundle = view.bundle();
@@ -127,9 +127,9 @@
   }
 
   /**
-   * The targets of a model or service.
+   * Returns the targets of a model or plain service.
    *
-   * @param key its key
+   * @param key the key from {@link #modelKey} or {@link #serviceKey}
    * @return the targets, in the same order on every daemon
    */
   public TargetList targets(String key) {
@@ -137,7 +137,7 @@
   }
 
   /**
-   * All targets.
+   * Returns the targets of all models and plain services.
    *
    * @return the targets
    */
@@ -146,10 +146,10 @@
   }
 
   /**
-   * Takes the load that a node has reported.
+   * Records the load that a node reported.
    *
    * @param node the node's name
-   * @param outstanding requests that run or wait there
+   * @param outstanding the number of requests that run or wait on the node
    */
   public void reported(String node, int outstanding) {
     ReplicaLoad load = loadByNode.get(node);
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/SharedComponents.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/SharedComponents.java
@@ -8,7 +8,7 @@
 import org.fawnvale.daemon.metrics.DaemonMetrics;
 import org.fawnvale.upstream.UpstreamClient;
 
-/** What all requests share. */
+/** The components of the daemon that all requests use. */
 final class SharedComponents {
 
   private final Context context;
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Target.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Target.java
@@ -6,10 +6,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Where a request can be sent.
+ * A node that requests can be sent to.
  *
- * @param candidate what the router sees of it
- * @param node the node that takes the requests
- * @param replica the replica that the node leads; null for a plain service
+ * @param candidate the router's view of the target: its key, load and concurrency limit
+ * @param node the node that receives the requests
+ * @param replica the replica whose head the node is; null for a plain service
  */
 public record Target(Candidate candidate, Node node, @Nullable Replica replica) {}
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/TargetList.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/TargetList.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.fawnvale.core.routing.Candidate;
 
-/** The targets of one model or service, ready for the router. */
+/** The targets of one model or plain service, with the candidates that the router chooses from. */
 public final class TargetList {
 
   /** No targets. */
@@ -32,7 +32,7 @@
   }
 
   /**
-   * The targets.
+   * Returns the targets.
    *
    * @return the targets, in the same order on every daemon
    */
@@ -41,19 +41,19 @@
   }
 
   /**
-   * What the router sees of the targets.
+   * Returns the router's view of the targets.
    *
-   * @return the candidates, in the same order
+   * @return the candidates, in the order of the targets
    */
   public List<Candidate> candidates() {
     return candidates;
   }
 
   /**
-   * The target of a candidate.
+   * Returns the target of a candidate.
    *
    * @param candidate one of the candidates
-   * @return its target
+   * @return the target
    */
   public Target target(Candidate candidate) {
     return byKey.get(candidate.key());
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/package-info.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/package-info.java
@@ -1,4 +1,4 @@
-/** Requests of callers: from the checked input to the whole answer. */
+/** Serves callers' requests: checks, queues, routes, retries and answers them. */
 @NullMarked
 package org.fawnvale.daemon.gateway;
 
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/http/BoundedHttpServer.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/http/BoundedHttpServer.java
@@ -23,14 +23,16 @@
 import org.fawnvale.kernel.ServiceException;
 import org.jspecify.annotations.Nullable;
 
-/** One HTTP server with a bound on its connections, its headers and its idle time. */
+/** An HTTP server that limits the number of connections, the size of headers and the idle time. */
 public final class BoundedHttpServer {
 
   private static final int IDLE_SECONDS = 60;
   private static final int MAXIMUM_HEADERS = 100;
   private static final int MAXIMUM_LINE_BYTES = 16 * 1024;
 
-  /** How long the rest of an answer may take to leave: a caller that does not read holds it up. */
+  /**
+   * Bounds the wait at a stop for responses to be sent, since a caller may have stopped reading.
+   */
   private static final long FLUSH_TIMEOUT_MILLIS = 2_000;
 
   private final String name;
@@ -46,8 +48,8 @@
    *
    * @param name the listener's name in the settings
    * @param listener where to listen
-   * @param maximumConnections connections at once; a further one is closed
-   * @param handler answers requests
+   * @param maximumConnections maximum number of open connections; further ones are closed at once
+   * @param handler handles all requests
    */
   public BoundedHttpServer(
       String name,
@@ -61,7 +63,7 @@
   }
 
   /**
-   * Starts to listen.
+   * Starts listening.
    *
    * @throws ServiceException when the port or the certificate cannot be used
    */
@@ -107,9 +109,9 @@
   }
 
   /**
-   * The port that it really listens on.
+   * Returns the port that the server listens on, also when the settings leave it to the system.
    *
-   * @return the port
+   * @return the port; 0 before the start
    */
   public int port() {
     HttpServer running = server;
@@ -117,8 +119,8 @@
   }
 
   /**
-   * Stops: answers that have begun are sent to their end first. A handler is done with an answer
-   * before its last bytes leave, so that the handlers' end alone would cut answers short.
+   * Stops the server after pending responses have been sent, or after a timeout. Waiting for the
+   * handlers would not suffice: a handler returns before the server has sent the last bytes.
    */
   public void stop() {
     HttpServer running = server;
@@ -128,7 +130,7 @@
     }
   }
 
-  /** Makes connections as long as there are not too many. */
+  /** Creates connections up to the maximum number; closes further sockets. */
   private final class LimitedConnectionFactory
       implements HttpConnectionFactory<DefaultBHttpServerConnection> {
 
@@ -176,7 +178,7 @@
       super.sendResponseHeader(response);
     }
 
-    /** The server flushes a connection once all of an answer is written. */
+    /** Called by the server after it has written a complete response. */
     @Override
     public void flush() throws IOException {
       super.flush();
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/http/Certificates.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/http/Certificates.java
@@ -20,7 +20,7 @@
 import org.fawnvale.kernel.ServiceException;
 import org.jspecify.annotations.Nullable;
 
-/** TLS from PEM files: a certificate chain and a private key in PKCS #8. */
+/** Creates TLS contexts from PEM files: a certificate chain and a private key in PKCS #8. */
 final class Certificates {
 
   private static final String[] ALGORITHMS = {"RSA", "EC", "Ed25519"};
@@ -70,9 +70,10 @@
       try {
         return KeyFactory.getInstance(algorithm).generatePrivate(spec);
       } catch (InvalidKeySpecException e) {
-        // The key is of another kind; the next algorithm is tried.
+        // The key is of another algorithm; try the next one.
       }
     }
-    throw new GeneralSecurityException("The private key is of no known kind.");
+    throw new GeneralSecurityException(
+        "The private key's algorithm is none of RSA, EC and Ed25519.");
   }
 }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/http/PendingResponses.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/http/PendingResponses.java
@@ -4,24 +4,26 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** The connections whose answers have not left yet, so that a stop cuts none of them short. */
+/**
+ * Tracks the connections with unfinished responses, so that a stop can wait until they are sent.
+ */
 final class PendingResponses {
 
   private final Set<Object> connections = new HashSet<>();
 
-  /** Notes that a request has come on a connection. */
+  /** Records that a request was received on a connection. */
   synchronized void begin(Object connection) {
     connections.add(connection);
   }
 
-  /** Notes that the answer has left, or that the connection is closed. */
+  /** Records that the response was sent completely or that the connection was closed. */
   synchronized void end(Object connection) {
     connections.remove(connection);
     notifyAll();
   }
 
   /**
-   * Waits until the answers that are under way now have left; later ones are not waited for.
+   * Waits until the responses that are pending at the time of the call have been sent.
    *
    * @param timeoutMillis how long to wait, in milliseconds
    */
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/metrics/DaemonMetrics.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/metrics/DaemonMetrics.java
@@ -39,11 +39,11 @@
       String name, String workspace, RequestClass requestClass, String outcome) {}
 
   /**
-   * Notes a request that has ended.
+   * Records a request that has ended.
    *
    * @param workspace its workspace
    * @param requestClass its class
-   * @param outcome its outcome's label
+   * @param outcome the label of its outcome
    * @param nanos how long it took, nanoseconds
    */
   public void recordRequest(
@@ -52,7 +52,7 @@
   }
 
   /**
-   * Notes how long a request waited for its turn.
+   * Records how long a request waited in the admission queue.
    *
    * @param workspace its workspace
    * @param requestClass its class
@@ -63,7 +63,7 @@
   }
 
   /**
-   * Notes the time from sending a request to the first piece of its stream.
+   * Records the time from sending a request upstream to the first piece of its stream.
    *
    * @param workspace its workspace
    * @param requestClass its class
@@ -74,7 +74,7 @@
   }
 
   /**
-   * Notes the time between two pieces of a stream.
+   * Records the time between two pieces of a stream.
    *
    * @param workspace its workspace
    * @param requestClass its class
@@ -102,12 +102,12 @@
   }
 
   /**
-   * Adds a value that is read when the metrics are.
+   * Registers a gauge whose value is read at each scrape.
    *
    * @param name its name
    * @param unit its unit; empty for none
-   * @param description what it means
-   * @param value gives the value
+   * @param description the description shown with the metric
+   * @param value supplies the current value; called by the scraping thread
    */
   public void gauge(String name, String unit, String description, Supplier<Number> value) {
     Gauge.builder(name, value)
@@ -118,7 +118,7 @@
   }
 
   /**
-   * A counter.
+   * Returns the counter with a name and a tag; registers it on first use.
    *
    * @param name its name
    * @param tag the name of its tag
@@ -130,7 +130,7 @@
   }
 
   /**
-   * All metrics in Prometheus' text form.
+   * Returns all metrics in the Prometheus text format.
    *
    * @return the text
    */
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/metrics/package-info.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/metrics/package-info.java
@@ -1,4 +1,4 @@
-/** What can be measured of a running daemon. */
+/** Metrics of a daemon, in the Prometheus format. */
 @NullMarked
 package org.fawnvale.daemon.metrics;
 
--- a/fawnvale-daemon/src/test/java/org/fawnvale/daemon/claim/SlotBatcherFuzzTest.java
+++ b/fawnvale-daemon/src/test/java/org/fawnvale/daemon/claim/SlotBatcherFuzzTest.java
@@ -20,25 +20,25 @@
 import org.fawnvale.daemon.FakeStore;
 
 /**
- * A key is granted to one owner at the most: several daemons, group commits that overtake each
- * other, lost calls and answers, outages, keys given back.
+ * Guards against granting a key to two owners, with several daemons whose group commits interleave,
+ * lost calls and responses, outages and released keys.
  */
 class SlotBatcherFuzzTest {
 
   private static final int DAEMONS = 3;
   private static final long WINDOW_MILLIS = 1000;
 
-  /** What a daemon does next. */
+  /** The action of a step. */
   enum Kind {
     CLAIM,
     COMMIT,
-    GIVE_BACK
+    RELEASE
   }
 
-  /** One step of one daemon. */
-  record Step(int daemon, Kind kind, int key, FakeStore.Fault fault, boolean overtaken) {}
+  /** One action of one daemon, with the store's fault during it. */
+  record Step(int daemon, Kind kind, int key, FakeStore.Fault fault, boolean commitOthersFirst) {}
 
-  /** A daemon: its batcher, and the work that it has put off. */
+  /** A simulated daemon: a batcher and its queued tasks, which run on {@link #commit}. */
   private static final class Daemon {
     private final Deque<Runnable> tasks = new ArrayDeque<>();
     private final SlotBatcher batcher;
@@ -56,32 +56,32 @@
   }
 
   @Property(tries = 1500, seed = "20261202")
-  void oneOwnerForEachKey(@ForAll("steps") List<Step> steps) {
+  void eachKeyIsGrantedToOneOwner(@ForAll("steps") List<Step> steps) {
     FakeStore store = new FakeStore();
     long[] wallMillis = {1};
     List<Daemon> daemons = new ArrayList<>();
     for (int i = 0; i < DAEMONS; i++) {
       daemons.add(new Daemon(store, wallMillis));
     }
-    Map<String, List<CompletableFuture<ClaimResult>>> asked = new HashMap<>();
-    Map<String, String> oracle = new HashMap<>();
+    Map<String, List<CompletableFuture<ClaimResult>>> submitted = new HashMap<>();
+    Map<String, String> holders = new HashMap<>();
     List<String> violations = new ArrayList<>();
     int attempts = 0;
     for (Step step : steps) {
       Daemon daemon = daemons.get(step.daemon());
       String key = "key-" + step.key();
       store.failWith(once(step.fault()));
-      store.beforeWrite(step.overtaken() ? overtake(daemons, daemon) : () -> {});
+      store.beforeWrite(step.commitOthersFirst() ? commitOthers(daemons, daemon) : () -> {});
       switch (step.kind()) {
         case CLAIM -> {
           attempts++;
           String owner = step.daemon() + "/" + attempts;
           CompletableFuture<ClaimResult> verdict = daemon.batcher.submit(key, owner, false);
-          verdict.thenAccept(each -> note(oracle, violations, key, owner, each));
-          asked.computeIfAbsent(key, name -> new ArrayList<>()).add(verdict);
+          verdict.thenAccept(each -> checkExclusive(holders, violations, key, owner, each));
+          submitted.computeIfAbsent(key, name -> new ArrayList<>()).add(verdict);
         }
         case COMMIT -> daemon.commit();
-        default -> release(daemon, key, oracle);
+        default -> release(daemon, key, holders);
       }
       assertThat(violations).isEmpty();
     }
@@ -89,32 +89,32 @@
     store.beforeWrite(() -> {});
     daemons.forEach(Daemon::commit);
     assertThat(violations).isEmpty();
-    asked.values().forEach(list -> assertThat(list).allMatch(CompletableFuture::isDone));
+    submitted.values().forEach(list -> assertThat(list).allMatch(CompletableFuture::isDone));
   }
 
   /**
-   * The oracle: while somebody holds a key, nobody else may be granted it.
+   * Records a violation if a key is granted while another owner holds it.
    *
-   * <p>It only notes what it finds, since an exception would vanish in the future that calls it.
+   * <p>Violations are collected and not thrown, since the future would swallow an exception.
    */
-  private static void note(
-      Map<String, String> oracle,
+  private static void checkExclusive(
+      Map<String, String> holders,
       List<String> violations,
       String key,
       String owner,
       ClaimResult verdict) {
     if (verdict.verdict() == ClaimSlot.Verdict.GRANTED) {
-      String holder = oracle.put(key, owner);
+      String holder = holders.put(key, owner);
       if (holder != null) {
         violations.add(key + " was granted to " + owner + " while " + holder + " held it");
       }
     }
   }
 
-  private static void release(Daemon daemon, String key, Map<String, String> oracle) {
-    String owner = oracle.get(key);
+  private static void release(Daemon daemon, String key, Map<String, String> holders) {
+    String owner = holders.get(key);
     if (owner != null) {
-      oracle.remove(key);
+      holders.remove(key);
       daemon.batcher.submit(key, owner, true);
     }
   }
@@ -128,7 +128,7 @@
     };
   }
 
-  private static Runnable overtake(List<Daemon> daemons, Daemon self) {
+  private static Runnable commitOthers(List<Daemon> daemons, Daemon self) {
     boolean[] running = {false};
     return () -> {
       if (!running[0]) {
@@ -148,7 +148,7 @@
             Tuple.of(1, FakeStore.Fault.CALL_LOST));
     Arbitrary<Kind> kind =
         Arbitraries.frequency(
-            Tuple.of(4, Kind.CLAIM), Tuple.of(4, Kind.COMMIT), Tuple.of(1, Kind.GIVE_BACK));
+            Tuple.of(4, Kind.CLAIM), Tuple.of(4, Kind.COMMIT), Tuple.of(1, Kind.RELEASE));
     return Combinators.combine(
             Arbitraries.integers().between(0, DAEMONS - 1),
             kind,
--- a/fawnvale-daemon/src/test/java/org/fawnvale/daemon/http/BoundedHttpServerTest.java
+++ b/fawnvale-daemon/src/test/java/org/fawnvale/daemon/http/BoundedHttpServerTest.java
@@ -14,7 +14,7 @@
 import org.fawnvale.core.settings.DaemonSettings;
 import org.junit.jupiter.api.Test;
 
-/** A stop that comes while an answer is being written. */
+/** Guards against truncating a response that is being sent when the server stops. */
 class BoundedHttpServerTest {
 
   private static final String EVENTS = "data: one\n\ndata: [DONE]\n\n";
@@ -42,7 +42,7 @@
     assertThat(answer.body()).isEqualTo(EVENTS);
   }
 
-  /** The handler is done with the answer, and the daemon stops before the server sends the rest. */
+  /** Writes the whole response and stops the server before it has sent the last bytes. */
   private void writeAndStop(OutputStream out) throws IOException {
     out.write(EVENTS.getBytes(StandardCharsets.UTF_8));
     stopper = new Thread(server::stop);
