--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/AdmissionResult.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/AdmissionResult.java
@@ -17,7 +17,8 @@
    * The request was not admitted.
    *
    * @param notRun the reason, and when the caller may retry
-   * @param overloaded true when the queue is full or too slow; false when no target is ready
+   * @param overloaded true when the queue is full or the deadline cannot be met; false when no
+   *     target is ready
    */
   record Denied(Outcome.NotRun notRun, boolean overloaded) implements AdmissionResult {}
 }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/AtMostOnceExecutor.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/AtMostOnceExecutor.java
@@ -86,7 +86,7 @@
           "Fetch one by POST /v1/request-keys.");
     }
     if (use == MadeKeys.Use.AGAIN) {
-      return repeated(digest);
+      return answerRepeated(digest);
     }
     Answer answer = runner.apply(request);
     if (didNotRun(answer)) {
@@ -100,11 +100,11 @@
     String digest = digest(request);
     String owner = context.holder() + "/" + attempts.incrementAndGet();
     long timeout = Math.min(CLAIM_TIMEOUT_MILLIS, request.deadline().remainingMillis());
-    long asked = context.nowNanos();
+    long claimStartNanos = context.nowNanos();
     ClaimResult verdict = claims.claim(digest, owner, timeout);
     switch (verdict.verdict()) {
       case GRANTED -> {
-        if (isTooOld(asked)) {
+        if (isTooOld(claimStartNanos)) {
           return ErrorAnswers.unavailable("Claiming the request key took too long.", 1);
         }
         Answer answer = runner.apply(request);
@@ -115,7 +115,7 @@
         return answer;
       }
       case HELD -> {
-        return repeated(digest);
+        return answerRepeated(digest);
       }
       case FULL -> {
         return ErrorAnswers.overloaded("Too many request keys are claimed at the moment.", 60);
@@ -127,18 +127,18 @@
   }
 
   /** Returns whether the claim took more than half its window and may expire during the request. */
-  private boolean isTooOld(long askedNanos) {
-    long millis = (context.nowNanos() - askedNanos) / 1_000_000;
+  private boolean isTooOld(long claimStartNanos) {
+    long millis = (context.nowNanos() - claimStartNanos) / 1_000_000;
     return millis > context.settings().timing().claimWindowMillis() / 2;
   }
 
-  private Answer repeated(String digest) {
+  private Answer answerRepeated(String digest) {
     Optional<Answer.Whole> answer = cache.find(digest);
     if (answer.isPresent()) {
       return answer.get();
     }
     String message = "A request with this key was accepted before; it may have run.";
-    return ErrorAnswers.repeated(message, new Outcome.Unknown(message));
+    return ErrorAnswers.keyAlreadyUsed(message, new Outcome.Unknown(message));
   }
 
   private void cacheAnswer(String digest, Answer answer) {
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/CallerService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/CallerService.java
@@ -133,7 +133,7 @@
       return;
     }
     boolean streams = false;
-    long startNanos = context.nowNanos();
+    long requestStartNanos = context.nowNanos();
     try {
       CallerRequest checked = null;
       Answer answer;
@@ -143,7 +143,7 @@
       } catch (RefusedException e) {
         answer = e.answer;
       }
-      streams = send(answer, response, checked, startNanos);
+      streams = send(answer, response, checked, requestStartNanos);
     } finally {
       if (!streams) {
         inFlight.exit();
@@ -323,7 +323,7 @@
       Answer answer,
       ClassicHttpResponse response,
       @Nullable CallerRequest request,
-      long startNanos) {
+      long requestStartNanos) {
     response.setCode(answer.status());
     answer.headers().forEach(response::setHeader);
     if (request != null) {
@@ -337,13 +337,14 @@
             answer.headers().getOrDefault("Content-Type", "application/octet-stream"));
     response.removeHeaders("Content-Type");
     if (answer instanceof Answer.Whole whole) {
-      recordOutcome(request, whole.outcome().label(), startNanos);
+      recordOutcome(request, whole.outcome().label(), requestStartNanos);
       response.setEntity(new ByteArrayEntity(whole.body(), type));
       return false;
     }
     Answer.Streamed streamed = (Answer.Streamed) answer;
     response.setEntity(
-        new EntityTemplate(-1, type, null, out -> stream(streamed, out, request, startNanos)));
+        new EntityTemplate(
+            -1, type, null, out -> stream(streamed, out, request, requestStartNanos)));
     return true;
   }
 
@@ -352,15 +353,18 @@
    * event and throws, so that the server closes the connection.
    */
   private void stream(
-      Answer.Streamed streamed, OutputStream out, @Nullable CallerRequest request, long startNanos)
+      Answer.Streamed streamed,
+      OutputStream out,
+      @Nullable CallerRequest request,
+      long requestStartNanos)
       throws IOException {
     try {
       CopyResult result = streamed.body().copyTo(out);
       if (result instanceof CopyResult.Whole) {
-        recordOutcome(request, new Outcome.Answered().label(), startNanos);
+        recordOutcome(request, new Outcome.Answered().label(), requestStartNanos);
         return;
       }
-      recordOutcome(request, "unknown", startNanos);
+      recordOutcome(request, "unknown", requestStartNanos);
       if (result instanceof CopyResult.Torn torn) {
         out.write(STREAM_ERROR_EVENT.getBytes(java.nio.charset.StandardCharsets.UTF_8));
         out.flush();
@@ -372,9 +376,10 @@
     }
   }
 
-  private void recordOutcome(@Nullable CallerRequest request, String outcome, long startNanos) {
+  private void recordOutcome(
+      @Nullable CallerRequest request, String outcome, long requestStartNanos) {
     if (request != null) {
-      long nanos = context.nowNanos() - startNanos;
+      long nanos = context.nowNanos() - requestStartNanos;
       metrics.recordRequest(request.workspace(), request.requestClass(), outcome, nanos);
       LOG.debug(
           "Request {} of workspace {} ended: {}.", request.id(), request.workspace(), outcome);
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/ChatInput.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/ChatInput.java
@@ -23,18 +23,18 @@
     try {
       root = MAPPER.readTree(body);
     } catch (JsonProcessingException e) {
-      return invalid("body", "The body is no valid JSON: " + e.getOriginalMessage() + ".");
+      return invalid("body", "The body is not valid JSON: " + e.getOriginalMessage() + ".");
     } catch (IOException e) {
       return invalid("body", "The body cannot be read.");
     }
     if (root == null || !root.isObject()) {
-      return invalid("body", "The body is no JSON object.");
+      return invalid("body", "The body is not a JSON object.");
     }
     if (!root.path("model").isTextual()) {
-      return invalid("model", "The key 'model' is missing or no text.");
+      return invalid("model", "The key 'model' is missing or not a string.");
     }
     if (!root.path("messages").isArray() || root.path("messages").isEmpty()) {
-      return invalid("messages", "The key 'messages' is missing or no list with an entry.");
+      return invalid("messages", "The key 'messages' is missing, empty or not an array.");
     }
     StringBuilder prompt = new StringBuilder();
     for (JsonNode message : root.path("messages")) {
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/ErrorAnswers.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/ErrorAnswers.java
@@ -16,7 +16,7 @@
   static final int UNAVAILABLE = 503;
   static final int TIMEOUT = 504;
 
-  private static final long RETRY_SECONDS = 1;
+  private static final long MINIMUM_RETRY_AFTER_SECONDS = 1;
 
   private ErrorAnswers() {}
 
@@ -25,7 +25,7 @@
   }
 
   static Answer.Whole unauthenticated() {
-    String message = "The key is missing or unknown.";
+    String message = "The API key is missing or unknown.";
     return Answer.error(
         UNAUTHENTICATED,
         notRun(message, 0),
@@ -40,7 +40,7 @@
         notRun(message, 0),
         "forbidden",
         message,
-        "Ask the operators to add it to the workspace in the bundle.");
+        "Ask the operators to grant the workspace access in the bundle.");
   }
 
   static Answer.Whole notFound(String message) {
@@ -49,7 +49,7 @@
   }
 
   static Answer.Whole tooLarge(int limitBytes) {
-    String message = "The body is over the limit of " + limitBytes + " bytes.";
+    String message = "The request body exceeds the limit of " + limitBytes + " bytes.";
     return Answer.error(
         TOO_LARGE, notRun(message, 0), "body_too_large", message, "Send a shorter body.");
   }
@@ -57,28 +57,28 @@
   static Answer.Whole overloaded(String message, long retryAfterSeconds) {
     return Answer.error(
         TOO_MANY,
-        notRun(message, Math.max(RETRY_SECONDS, retryAfterSeconds)),
+        notRun(message, Math.max(MINIMUM_RETRY_AFTER_SECONDS, retryAfterSeconds)),
         "overloaded",
         message,
-        "Repeat it after the time in Retry-After.");
+        "Retry after the number of seconds in Retry-After.");
   }
 
   static Answer.Whole unavailable(String message, long retryAfterSeconds) {
     return Answer.error(
         UNAVAILABLE,
-        notRun(message, Math.max(RETRY_SECONDS, retryAfterSeconds)),
+        notRun(message, Math.max(MINIMUM_RETRY_AFTER_SECONDS, retryAfterSeconds)),
         "unavailable",
         message,
-        "It did not run; repeat it after the time in Retry-After.");
+        "The request did not run; retry after the number of seconds in Retry-After.");
   }
 
-  static Answer.Whole repeated(String message, Outcome outcome) {
+  static Answer.Whole keyAlreadyUsed(String message, Outcome outcome) {
     return Answer.error(
         CONFLICT,
         outcome,
         "key_used",
         message,
-        "Look up what the first request did; use a new key for a new request.");
+        "Check what the first request did; use a new key for a new request.");
   }
 
   static Answer.Whole unknown(String message, boolean late) {
@@ -87,7 +87,7 @@
         new Outcome.Unknown(message),
         "outcome_unknown",
         message,
-        "It may have run; repeat it only if it is safe to run twice.");
+        "The request may have run; repeat it only if it is safe to run twice.");
   }
 
   static Outcome.NotRun notRun(String reason, long retryAfterSeconds) {
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Exchange.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Exchange.java
@@ -104,9 +104,10 @@
   private Answer giveUp(Attempt.Retry last) {
     if (anyMayHaveRun) {
       return ErrorAnswers.unknown(
-          "No whole answer came: " + last.reason() + ".", request.deadline().hasPassed());
+          "No complete answer was received: " + last.reason() + ".",
+          request.deadline().hasPassed());
     }
-    return ErrorAnswers.unavailable("No upstream ran it: " + last.reason() + ".", 1);
+    return ErrorAnswers.unavailable("No upstream ran the request: " + last.reason() + ".", 1);
   }
 
   private Attempt attempt(Target target) {
@@ -114,14 +115,14 @@
       finish(target, -1);
       return new Attempt.Retry("the upstream is no longer ready", false);
     }
-    long sent = shared.nowNanos();
+    long sentNanos = shared.nowNanos();
     OpenResult opened = shared.upstream().open(message(target), request.deadline());
     if (opened instanceof OpenResult.Opened answered) {
-      return handleAnswer(target, answered.answer(), sent);
+      return handleAnswer(target, answered.answer(), sentNanos);
     }
     finish(target, -1);
     if (opened instanceof OpenResult.Refused) {
-      return new Attempt.Retry("the upstream refused it", false);
+      return new Attempt.Retry("the upstream refused the request", false);
     }
     if (opened instanceof OpenResult.NotSent notSent) {
       suspectUnlessExpired(target);
@@ -153,7 +154,7 @@
         request.unsafe());
   }
 
-  private Attempt handleAnswer(Target target, OpenAnswer answer, long sent) {
+  private Attempt handleAnswer(Target target, OpenAnswer answer, long sentNanos) {
     String key = target.candidate().key();
     int cached = shared.index().cachedCharacters(key, targetRequest.prefix());
     shared.index().store(key, targetRequest.prefix());
@@ -163,11 +164,11 @@
           new Answer.Streamed(
               answer.status(),
               headers,
-              out -> copy(target, answer, new TokenTimer(target, sent, cached, out))));
+              out -> copy(target, answer, new TokenTimer(target, sentNanos, cached, out))));
     }
     try (answer) {
       Result<byte[]> body = answer.readWhole(shared.settings().limits().answerBytes());
-      long millis = TimeUnit.NANOSECONDS.toMillis(shared.nowNanos() - sent);
+      long millis = TimeUnit.NANOSECONDS.toMillis(shared.nowNanos() - sentNanos);
       finish(target, body.isSuccess() ? millis : -1);
       return body.fold(
           bytes -> new Attempt.Done(whole(answer, bytes)),
@@ -189,7 +190,7 @@
     try (answer) {
       CopyResult result = answer.copyTo(timer, shared.settings().limits().answerBytes());
       boolean whole = result instanceof CopyResult.Whole;
-      long millis = TimeUnit.NANOSECONDS.toMillis(shared.nowNanos() - timer.sent);
+      long millis = TimeUnit.NANOSECONDS.toMillis(shared.nowNanos() - timer.sentNanos);
       finish(target, whole ? millis : -1);
       if (result instanceof CopyResult.Torn) {
         suspectUnlessExpired(target);
@@ -211,17 +212,17 @@
 
     private final Target target;
     private final OutputStream out;
-    private final long sent;
+    private final long sentNanos;
     private final int cached;
     private long last;
     private boolean first = true;
 
-    TokenTimer(Target target, long sent, int cached, OutputStream out) {
+    TokenTimer(Target target, long sentNanos, int cached, OutputStream out) {
       this.target = target;
       this.out = out;
-      this.sent = sent;
+      this.sentNanos = sentNanos;
       this.cached = cached;
-      this.last = sent;
+      this.last = sentNanos;
     }
 
     @Override
@@ -240,7 +241,7 @@
             .candidate()
             .load()
             .firstToken(
-                (now - sent) / NANOS_PER_MILLI, targetRequest.prefix().characters() - cached);
+                (now - sentNanos) / NANOS_PER_MILLI, targetRequest.prefix().characters() - cached);
       } else {
         shared
             .metrics()
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Gateway.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Gateway.java
@@ -141,19 +141,19 @@
     return routing.all().stream().anyMatch(shared::mayServe);
   }
 
-  int waiting() {
-    return pools.values().stream().mapToInt(Pool::waiting).sum();
+  int queuedCount() {
+    return pools.values().stream().mapToInt(Pool::queuedCount).sum();
   }
 
   private Object route(CallerRequest request) {
     Bundle bundle = state.view().bundle();
     if (bundle == null) {
-      return ErrorAnswers.unavailable("No bundle is in force yet.", 1);
+      return ErrorAnswers.unavailable("No bundle is active yet.", 1);
     }
     Optional<Workspace> workspace = bundle.workspace(request.workspace());
     if (workspace.isEmpty()) {
       return ErrorAnswers.forbidden(
-          "The workspace " + request.workspace() + " is not in the bundle in force.");
+          "The workspace " + request.workspace() + " is not in the active bundle.");
     }
     return request.path().startsWith(SERVICES_PATH)
         ? serviceRoute(request, bundle, workspace.get())
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/GatewayServices.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/GatewayServices.java
@@ -72,7 +72,7 @@
             DISPATCH_INTERVAL_MILLIS,
             TimeUnit.MILLISECONDS);
     metrics.gauge("fawnvale.in.flight", "", "Requests under way.", inFlight::count);
-    metrics.gauge("fawnvale.waiting", "", "Requests that wait.", gateway::waiting);
+    metrics.gauge("fawnvale.waiting", "", "Requests that wait.", gateway::queuedCount);
     return new GatewayServices(callers, forward, inFlight);
   }
 }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Pool.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Pool.java
@@ -55,7 +55,8 @@
   }
 
   /**
-   * Waits until the request is admitted or its deadline passes; denies hopeless requests at once.
+   * Waits until the request is admitted or its deadline passes. Denies it at once if no target is
+   * ready, its flow's queue is full or the estimated wait exceeds the deadline.
    */
   AdmissionResult await(TargetRequest targetRequest) {
     Waiter waiter = new Waiter(targetRequest, nanoClock.getAsLong(), new CompletableFuture<>());
@@ -105,7 +106,7 @@
 
   private static AdmissionResult deniedByDeadline() {
     return new AdmissionResult.Denied(
-        new Outcome.NotRun("The deadline of the request passed while it was queued.", 1), true);
+        new Outcome.NotRun("The request could not be admitted in time for its deadline.", 1), true);
   }
 
   /** Admits queued requests while targets have capacity. */
@@ -147,7 +148,7 @@
     queue.served(flow, nanos);
   }
 
-  synchronized int waiting() {
+  synchronized int queuedCount() {
     return queue.size();
   }
 }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/http/BoundedHttpServer.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/http/BoundedHttpServer.java
@@ -23,7 +23,7 @@
 import org.fawnvale.kernel.ServiceException;
 import org.jspecify.annotations.Nullable;
 
-/** An HTTP server that limits the number of connections, the size of headers and the idle time. */
+/** An HTTP server with limits on connections, headers and idle time. */
 public final class BoundedHttpServer {
 
   private static final int IDLE_SECONDS = 60;
@@ -145,7 +145,7 @@
       if (connections.incrementAndGet() > maximumConnections) {
         connections.decrementAndGet();
         socket.close();
-        throw new IOException("There are too many connections.");
+        throw new IOException("The maximum number of connections is open.");
       }
       CountedConnection connection = new CountedConnection(config);
       connection.bind(socket);
