--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/ClaimService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/ClaimService.java
@@ -21,29 +21,30 @@
 import org.fawnvale.wire.Message;
 
 /**
- * Claims request keys.
+ * Claims request keys in the platform's store.
  *
- * <p>Each slot is batched by one of the linked daemons, so that many daemons share a write. Which
- * one is only a guess that saves writes; the conditional update decides.
+ * <p>Rendezvous hashing assigns each slot to one of the linked daemons, which batches the claims of
+ * all daemons into few writes. The assignment only saves writes: daemons may disagree on it, and
+ * the store's conditional update keeps claims exclusive.
  */
 public final class ClaimService implements Service {
 
-  private static final long FORWARD_MILLIS = 1000;
+  private static final long FORWARD_TIMEOUT_MILLIS = 1000;
 
   private final Context context;
   private final PeerService peers;
   private final List<SlotBatcher> batchers = new ArrayList<>();
-  private final Map<Long, Asked> asked = new ConcurrentHashMap<>();
+  private final Map<Long, PendingClaim> pendingClaims = new ConcurrentHashMap<>();
   private final AtomicLong numbers = new AtomicLong();
 
-  private record Asked(Link link, CompletableFuture<Verdict> verdict) {}
+  private record PendingClaim(Link link, CompletableFuture<ClaimResult> verdict) {}
 
   /**
    * Creates the service.
    *
-   * @param context what every service needs
-   * @param store the platform
-   * @param peers links to the daemons that batch
+   * @param context settings, clocks and executors of the daemon
+   * @param store the platform's object store
+   * @param peers links to the daemons that batch claims
    */
   public ClaimService(Context context, ObjectStore store, PeerService peers) {
     this.context = context;
@@ -56,31 +57,32 @@
 
   @Override
   public void start() {
-    peers.on(Message.ClaimRequest.class, this::requested);
-    peers.on(Message.ClaimReply.class, this::replied);
-    peers.onClosed(this::closed);
+    peers.on(Message.ClaimRequest.class, this::onRequest);
+    peers.on(Message.ClaimReply.class, this::onReply);
+    peers.onClosed(this::onLinkClosed);
   }
 
   @Override
   public void stop() {
-    // Claims that wait end with the platform's answers.
+    // Pending claims complete when the platform answers or their timeout expires.
   }
 
   /**
-   * Claims a key and waits for the verdict.
+   * Claims a key and waits for the result. Blocks the calling thread.
    *
    * @param keyDigest the key's digest
-   * @param owner who will run the request; no other request has the same
+   * @param owner identifies this attempt to run the request; unique among all requests
    * @param timeoutMillis how long to wait, milliseconds
-   * @return the verdict; granted only when the owner holds the key for the whole window
+   * @return the result; granted only if the owner holds the key for the whole claim window
    */
-  public Verdict claim(String keyDigest, String owner, long timeoutMillis) {
+  public ClaimResult claim(String keyDigest, String owner, long timeoutMillis) {
     int slot = ClaimSlot.slotOf(keyDigest);
     Link batcher = batcherOf(slot);
     if (batcher == null) {
       return await(batchers.get(slot).submit(keyDigest, owner, false), timeoutMillis);
     }
-    Verdict verdict = ask(batcher, keyDigest, owner, Math.min(timeoutMillis, FORWARD_MILLIS));
+    ClaimResult verdict =
+        requestFrom(batcher, keyDigest, owner, Math.min(timeoutMillis, FORWARD_TIMEOUT_MILLIS));
     if (verdict.verdict() != ClaimSlot.Verdict.UNAVAILABLE) {
       return verdict;
     }
@@ -88,16 +90,16 @@
   }
 
   /**
-   * Gives a claim back, because the request did not run.
+   * Releases a claim whose request did not run.
    *
    * @param keyDigest the key's digest
-   * @param owner who holds it
+   * @param owner the owner that the claim was made for
    * @param timeoutMillis how long to wait, milliseconds
-   * @return true when the key is free again
+   * @return true when the store confirmed that this owner no longer holds the key
    */
-  public boolean giveBack(String keyDigest, String owner, long timeoutMillis) {
+  public boolean release(String keyDigest, String owner, long timeoutMillis) {
     SlotBatcher batcher = batchers.get(ClaimSlot.slotOf(keyDigest));
-    Verdict verdict = await(batcher.submit(keyDigest, owner, true), timeoutMillis);
+    ClaimResult verdict = await(batcher.submit(keyDigest, owner, true), timeoutMillis);
     return verdict.verdict() == ClaimSlot.Verdict.GRANTED;
   }
 
@@ -109,32 +111,32 @@
     return peers.linkTo(chosen);
   }
 
-  private Verdict ask(Link link, String keyDigest, String owner, long timeoutMillis) {
+  private ClaimResult requestFrom(Link link, String keyDigest, String owner, long timeoutMillis) {
     long number = numbers.incrementAndGet();
-    Asked question = new Asked(link, new CompletableFuture<>());
-    asked.put(number, question);
+    PendingClaim pending = new PendingClaim(link, new CompletableFuture<>());
+    pendingClaims.put(number, pending);
     try {
       if (!link.send(new Message.ClaimRequest(number, keyDigest, owner))) {
-        return Verdict.UNAVAILABLE;
+        return ClaimResult.UNAVAILABLE;
       }
-      return await(question.verdict(), timeoutMillis);
+      return await(pending.verdict(), timeoutMillis);
     } finally {
-      asked.remove(number);
+      pendingClaims.remove(number);
     }
   }
 
-  private static Verdict await(CompletableFuture<Verdict> verdict, long timeoutMillis) {
+  private static ClaimResult await(CompletableFuture<ClaimResult> verdict, long timeoutMillis) {
     try {
       return verdict.get(Math.max(1, timeoutMillis), TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      return Verdict.UNAVAILABLE;
+      return ClaimResult.UNAVAILABLE;
     } catch (ExecutionException | TimeoutException e) {
-      return Verdict.UNAVAILABLE;
+      return ClaimResult.UNAVAILABLE;
     }
   }
 
-  private void requested(Link link, Message.ClaimRequest request) {
+  private void onRequest(Link link, Message.ClaimRequest request) {
     batchers
         .get(ClaimSlot.slotOf(request.key()))
         .submit(request.key(), request.owner(), false)
@@ -145,18 +147,18 @@
                         request.number(), verdict.verdict().name(), verdict.owner())));
   }
 
-  private void replied(Link link, Message.ClaimReply reply) {
-    Asked question = asked.get(reply.number());
-    if (question != null && question.link() == link) {
+  private void onReply(Link link, Message.ClaimReply reply) {
+    PendingClaim pending = pendingClaims.get(reply.number());
+    if (pending != null && pending.link() == link) {
       ClaimSlot.Verdict verdict = ClaimSlot.Verdict.valueOf(reply.verdict());
-      question.verdict().complete(new Verdict(verdict, reply.owner()));
+      pending.verdict().complete(new ClaimResult(verdict, reply.owner()));
     }
   }
 
-  private void closed(Link link) {
-    for (Asked question : asked.values()) {
-      if (question.link() == link) {
-        question.verdict().complete(Verdict.UNAVAILABLE);
+  private void onLinkClosed(Link link) {
+    for (PendingClaim pending : pendingClaims.values()) {
+      if (pending.link() == link) {
+        pending.verdict().complete(ClaimResult.UNAVAILABLE);
       }
     }
   }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/KeptAnswers.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/AnswerCache.java
@@ -4,12 +4,15 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Whole answers to unsafe requests, kept for a while for callers who repeat their key. */
-final class KeptAnswers {
+/**
+ * The latest answers to unsafe requests, by the digest of the request key. Callers that repeat a
+ * key get the cached answer. The oldest entry is evicted first.
+ */
+final class AnswerCache {
 
   private final Map<String, Answer.Whole> answers;
 
-  KeptAnswers(int maximum) {
+  AnswerCache(int maximum) {
     this.answers =
         new LinkedHashMap<>() {
           private static final long serialVersionUID = 1L;
@@ -21,7 +24,7 @@
         };
   }
 
-  synchronized void keep(String keyDigest, Answer.Whole answer) {
+  synchronized void put(String keyDigest, Answer.Whole answer) {
     answers.put(keyDigest, answer);
   }
 
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/CallerService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/CallerService.java
@@ -19,7 +19,7 @@
 import org.fawnvale.core.model.Workspace;
 import org.fawnvale.core.outcome.Outcome;
 import org.fawnvale.daemon.Context;
-import org.fawnvale.daemon.http.HttpFront;
+import org.fawnvale.daemon.http.BoundedHttpServer;
 import org.fawnvale.daemon.metrics.DaemonMetrics;
 import org.fawnvale.daemon.state.Documents;
 import org.fawnvale.daemon.state.FleetState;
@@ -29,26 +29,28 @@
 import org.fawnvale.upstream.Deadline;
 import org.jspecify.annotations.Nullable;
 
-/** The callers' HTTP port. */
+/**
+ * Serves the callers' HTTP port: validates requests, passes them to the gateway, sends the answers.
+ */
 public final class CallerService implements Service {
 
   /** Header with the caller's request key. */
   public static final String KEY_HEADER = "Fawnvale-Request-Key";
 
-  /** Header that marks a request as unsafe to repeat. */
+  /** Header that marks a request that may run at most once. */
   public static final String UNSAFE_HEADER = "Fawnvale-Unsafe";
 
   /** Header with the request's deadline, milliseconds from now. */
   public static final String DEADLINE_HEADER = "Fawnvale-Deadline-Ms";
 
-  /** Header with the request's class. */
+  /** Header with the request's priority class. */
   public static final String CLASS_HEADER = "Fawnvale-Class";
 
   private static final Logger LOG = LogManager.getLogger("gateway");
   private static final int OK = 200;
-  private static final int LONGEST_KEY = 200;
+  private static final int MAXIMUM_KEY_LENGTH = 200;
   private static final String BEARER = "Bearer ";
-  private static final String CUT =
+  private static final String STREAM_ERROR_EVENT =
       "event: error\ndata: {\"error\":{\"code\":\"outcome_unknown\","
           + "\"message\":\"The stream broke off.\","
           + "\"remedy\":\"Repeat the request if it is safe to run twice.\","
@@ -57,30 +59,30 @@
   private final Context context;
   private final FleetState state;
   private final Gateway gateway;
-  private final OnceGuard once;
-  private final InFlight inFlight;
+  private final AtMostOnceExecutor atMostOnce;
+  private final InFlightCounter inFlight;
   private final DaemonMetrics metrics;
-  private final HttpFront front;
+  private final BoundedHttpServer server;
   private final AtomicLong requests = new AtomicLong();
-  private volatile boolean leaving;
-  private volatile boolean warm;
+  private volatile boolean stopping;
+  private volatile boolean warmedUp;
   private volatile long startedNanos;
 
   CallerService(
       Context context,
       FleetState state,
       Gateway gateway,
-      OnceGuard once,
-      InFlight inFlight,
+      AtMostOnceExecutor atMostOnce,
+      InFlightCounter inFlight,
       DaemonMetrics metrics) {
     this.context = context;
     this.state = state;
     this.gateway = gateway;
-    this.once = once;
+    this.atMostOnce = atMostOnce;
     this.inFlight = inFlight;
     this.metrics = metrics;
-    this.front =
-        new HttpFront(
+    this.server =
+        new BoundedHttpServer(
             "callers",
             context.settings().callers(),
             context.settings().limits().connections(),
@@ -90,31 +92,34 @@
   @Override
   public void start() throws ServiceException {
     startedNanos = context.nowNanos();
-    front.start();
-    LOG.info("Callers are served on {}:{}.", context.settings().callers().address(), port());
+    server.start();
+    LOG.info("Listening for callers on {}:{}.", context.settings().callers().address(), port());
   }
 
-  /** Turns readiness off, waits for the balancer to notice, then for all requests under way. */
+  /**
+   * Reports not ready, waits the grace period for load balancers to react, then refuses new
+   * requests and waits for those in flight.
+   */
   @Override
   public void stop() {
-    leaving = true;
+    stopping = true;
     try {
       TimeUnit.MILLISECONDS.sleep(context.settings().timing().stopGraceMillis());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
     boolean done = inFlight.closeAndAwait(context.settings().limits().maximumDeadlineMillis());
-    LOG.info("Requests under way have ended: {}.", done);
-    front.stop();
+    LOG.info("All requests in flight ended before the stop timeout: {}.", done);
+    server.stop();
   }
 
   /**
-   * The port that it really listens on.
+   * Returns the port that the service listens on, also when the settings leave it to the system.
    *
-   * @return the port
+   * @return the port; 0 before the start
    */
   public int port() {
-    return front.port();
+    return server.port();
   }
 
   private void handle(ClassicHttpRequest request, ClassicHttpResponse response) throws IOException {
@@ -124,11 +129,11 @@
       return;
     }
     if (!inFlight.tryEnter()) {
-      send(Refusals.unavailable("The daemon is stopping.", 1), response, null, 0);
+      send(ErrorAnswers.unavailable("The daemon is stopping.", 1), response, null, 0);
       return;
     }
     boolean streams = false;
-    long began = context.nowNanos();
+    long requestStartNanos = context.nowNanos();
     try {
       CallerRequest checked = null;
       Answer answer;
@@ -138,49 +143,51 @@
       } catch (RefusedException e) {
         answer = e.answer;
       }
-      streams = send(answer, response, checked, began);
+      streams = send(answer, response, checked, requestStartNanos);
     } finally {
       if (!streams) {
-        inFlight.leave();
+        inFlight.exit();
       }
     }
   }
 
   private void health(ClassicHttpResponse response) {
-    boolean ready = !leaving && state.view().bundle() != null && hasWarmedUp();
-    response.setCode(ready ? OK : Refusals.UNAVAILABLE);
+    boolean ready = !stopping && state.view().bundle() != null && hasWarmedUp();
+    response.setCode(ready ? OK : ErrorAnswers.UNAVAILABLE);
     Map<String, Object> body =
-        Map.of("ready", ready, "leaving", leaving, "bundle", state.view().rollout().accepted());
+        Map.of("ready", ready, "leaving", stopping, "bundle", state.view().rollout().accepted());
     response.setEntity(new ByteArrayEntity(Documents.write(body), ContentType.APPLICATION_JSON));
   }
 
-  /** A daemon that has just started has no evidence yet; it waits for some, but not for ever. */
+  /**
+   * Returns whether a target was ready once, or twice the freshness period has passed since start.
+   */
   private boolean hasWarmedUp() {
     long limit = TimeUnit.MILLISECONDS.toNanos(2 * context.settings().timing().freshMillis());
-    warm = warm || gateway.canServe() || context.nowNanos() - startedNanos > limit;
-    return warm;
+    warmedUp = warmedUp || gateway.hasReadyTarget() || context.nowNanos() - startedNanos > limit;
+    return warmedUp;
   }
 
   private Answer answer(CallerRequest checked, ClassicHttpRequest request) {
     String path = checked.path();
     if ("/v1/request-keys".equals(path)) {
       return "POST".equals(request.getMethod())
-          ? json(Map.of("key", once.makeKey()))
-          : Refusals.notFound("Keys are fetched by POST.");
+          ? json(Map.of("key", atMostOnce.makeKey()))
+          : ErrorAnswers.notFound("Request keys are issued by POST only.");
     }
     if ("/v1/models".equals(path)) {
       return models(checked.workspace());
     }
     boolean chat = Gateway.CHAT_PATH.equals(path) && "POST".equals(request.getMethod());
     if (!chat && !path.startsWith(Gateway.SERVICES_PATH)) {
-      return Refusals.notFound("There is nothing at " + request.getMethod() + " " + path + ".");
+      return ErrorAnswers.notFound("No resource at " + request.getMethod() + " " + path + ".");
     }
-    LOG.debug("Request {} of {} begins at {}.", checked.id(), checked.workspace(), path);
+    LOG.debug("Request {} of workspace {} started: {}.", checked.id(), checked.workspace(), path);
     if (!checked.unsafe()) {
       return gateway.run(checked);
     }
     Optional<Answer> refused = gateway.check(checked);
-    return refused.isPresent() ? refused.get() : once.run(checked, gateway::run);
+    return refused.isPresent() ? refused.get() : atMostOnce.run(checked, gateway::run);
   }
 
   private Answer models(String workspace) {
@@ -230,12 +237,12 @@
   private String workspace(ClassicHttpRequest request) throws RefusedException {
     String text = header(request, "Authorization");
     if (text == null || !text.startsWith(BEARER)) {
-      throw new RefusedException(Refusals.unauthenticated());
+      throw new RefusedException(ErrorAnswers.unauthenticated());
     }
     return context
         .keys()
         .workspace(text.substring(BEARER.length()).strip())
-        .orElseThrow(() -> new RefusedException(Refusals.unauthenticated()));
+        .orElseThrow(() -> new RefusedException(ErrorAnswers.unauthenticated()));
   }
 
   private long deadline(ClassicHttpRequest request) throws RefusedException {
@@ -250,7 +257,7 @@
         return millis;
       }
     } catch (NumberFormatException e) {
-      // The same refusal as for a number out of range.
+      // Refused below like a number out of range.
     }
     throw badHeader(DEADLINE_HEADER, text, "a whole number from 1 to " + maximum);
   }
@@ -277,15 +284,15 @@
 
   private static @Nullable String key(ClassicHttpRequest request) throws RefusedException {
     String text = header(request, KEY_HEADER);
-    if (text != null && (text.isBlank() || text.length() > LONGEST_KEY)) {
-      throw badHeader(KEY_HEADER, text, "a text of 1 to " + LONGEST_KEY + " characters");
+    if (text != null && (text.isBlank() || text.length() > MAXIMUM_KEY_LENGTH)) {
+      throw badHeader(KEY_HEADER, text, "a text of 1 to " + MAXIMUM_KEY_LENGTH + " characters");
     }
     return text;
   }
 
   private static RefusedException badHeader(String name, String value, String allowed) {
     return new RefusedException(
-        Refusals.badInput(
+        ErrorAnswers.badInput(
             "bad_header", "The header " + name + " is '" + value + "'.", "Give " + allowed + "."));
   }
 
@@ -295,12 +302,12 @@
     }
     int limit = context.settings().limits().bodyBytes();
     if (request.getEntity().getContentLength() > limit) {
-      throw new RefusedException(Refusals.tooLarge(limit));
+      throw new RefusedException(ErrorAnswers.tooLarge(limit));
     }
     try (InputStream in = request.getEntity().getContent()) {
       byte[] body = in.readNBytes(limit + 1);
       if (body.length > limit) {
-        throw new RefusedException(Refusals.tooLarge(limit));
+        throw new RefusedException(ErrorAnswers.tooLarge(limit));
       }
       return body;
     }
@@ -311,9 +318,12 @@
     return header == null ? null : header.getValue();
   }
 
-  /** Prepares the response; true when its body is copied later, by the server. */
+  /** Fills in the response. Returns true if the server copies the body later, as a stream. */
   private boolean send(
-      Answer answer, ClassicHttpResponse response, @Nullable CallerRequest request, long began) {
+      Answer answer,
+      ClassicHttpResponse response,
+      @Nullable CallerRequest request,
+      long requestStartNanos) {
     response.setCode(answer.status());
     answer.headers().forEach(response::setHeader);
     if (request != null) {
@@ -327,47 +337,56 @@
             answer.headers().getOrDefault("Content-Type", "application/octet-stream"));
     response.removeHeaders("Content-Type");
     if (answer instanceof Answer.Whole whole) {
-      note(request, whole.outcome().label(), began);
+      recordOutcome(request, whole.outcome().label(), requestStartNanos);
       response.setEntity(new ByteArrayEntity(whole.body(), type));
       return false;
     }
     Answer.Streamed streamed = (Answer.Streamed) answer;
     response.setEntity(
-        new EntityTemplate(-1, type, null, out -> stream(streamed, out, request, began)));
+        new EntityTemplate(
+            -1, type, null, out -> stream(streamed, out, request, requestStartNanos)));
     return true;
   }
 
-  /** A stream that breaks off ends with an error event and a connection that is cut. */
+  /**
+   * Copies a streamed answer to the caller. If the upstream's stream is interrupted, sends an error
+   * event and throws, so that the server closes the connection.
+   */
   private void stream(
-      Answer.Streamed streamed, OutputStream out, @Nullable CallerRequest request, long began)
+      Answer.Streamed streamed,
+      OutputStream out,
+      @Nullable CallerRequest request,
+      long requestStartNanos)
       throws IOException {
     try {
       CopyResult result = streamed.body().copyTo(out);
       if (result instanceof CopyResult.Whole) {
-        note(request, new Outcome.Answered().label(), began);
+        recordOutcome(request, new Outcome.Answered().label(), requestStartNanos);
         return;
       }
-      note(request, "unknown", began);
+      recordOutcome(request, "unknown", requestStartNanos);
       if (result instanceof CopyResult.Torn torn) {
-        out.write(CUT.getBytes(java.nio.charset.StandardCharsets.UTF_8));
+        out.write(STREAM_ERROR_EVENT.getBytes(java.nio.charset.StandardCharsets.UTF_8));
         out.flush();
-        throw new IOException("The stream broke off: " + torn.reason());
+        throw new IOException("The upstream's stream was interrupted: " + torn.reason());
       }
-      throw new IOException("The caller went away.");
+      throw new IOException("The caller closed the connection.");
     } finally {
-      inFlight.leave();
+      inFlight.exit();
     }
   }
 
-  private void note(@Nullable CallerRequest request, String outcome, long began) {
+  private void recordOutcome(
+      @Nullable CallerRequest request, String outcome, long requestStartNanos) {
     if (request != null) {
-      long nanos = context.nowNanos() - began;
-      metrics.request(request.workspace(), request.requestClass(), outcome, nanos);
-      LOG.debug("Request {} of {} ended: {}.", request.id(), request.workspace(), outcome);
+      long nanos = context.nowNanos() - requestStartNanos;
+      metrics.recordRequest(request.workspace(), request.requestClass(), outcome, nanos);
+      LOG.debug(
+          "Request {} of workspace {} ended: {}.", request.id(), request.workspace(), outcome);
     }
   }
 
-  /** Carries a refusal out of the checks of a request's head. */
+  /** Thrown by the validation of a request; holds the error answer. */
   private static final class RefusedException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/ForwardService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/ForwardService.java
@@ -27,57 +27,63 @@
 import org.fawnvale.wire.Message;
 import org.jspecify.annotations.Nullable;
 
-/** Hands requests to other daemons over the links, and runs those that are handed here. */
+/** Forwards requests to other daemons over the peer links and runs those that they forward. */
 public final class ForwardService implements Service {
 
-  private static final int PIECES = 4096;
+  private static final int MAXIMUM_BUFFERED_PIECES = 4096;
   private static final String EVENT_STREAM = "text/event-stream";
 
   private final Context context;
   private final PeerService peers;
-  private final InFlight inFlight;
-  private final Map<Long, Asked> asked = new ConcurrentHashMap<>();
+  private final InFlightCounter inFlight;
+  private final Map<Long, PendingForward> pendingForwards = new ConcurrentHashMap<>();
   private final Set<String> cancelled = ConcurrentHashMap.newKeySet();
   private final Set<String> running = ConcurrentHashMap.newKeySet();
   private final AtomicLong numbers = new AtomicLong();
   private @Nullable BiFunction<CallerRequest, Purpose, Answer> runner;
 
-  /** Why a request is handed on. */
+  /** Why a request is forwarded. The names are sent to the other daemon. */
   enum Purpose {
-    /** Nothing in the sender's data centre can serve it; its key, if any, is claimed. */
+    /**
+     * The sender's data centre could not admit the request; the sender has already claimed its key,
+     * if it has one.
+     */
     SPILL,
-    /** The receiver made its key. */
+    /** The receiver issued the request's key. */
     MAKER
   }
 
-  private record Asked(Link link, BlockingQueue<Message> pieces) {}
+  private record PendingForward(Link link, BlockingQueue<Message> pieces) {}
 
-  ForwardService(Context context, PeerService peers, InFlight inFlight) {
+  ForwardService(Context context, PeerService peers, InFlightCounter inFlight) {
     this.context = context;
     this.peers = peers;
     this.inFlight = inFlight;
   }
 
-  void runWith(BiFunction<CallerRequest, Purpose, Answer> nextRunner) {
-    this.runner = nextRunner;
+  void setRunner(BiFunction<CallerRequest, Purpose, Answer> newRunner) {
+    this.runner = newRunner;
   }
 
   @Override
   public void start() {
-    peers.on(Message.Forward.class, this::received);
+    peers.on(Message.Forward.class, this::onForward);
     peers.on(Message.ForwardCancel.class, (link, cancel) -> cancel(link, cancel.number()));
-    peers.on(Message.ForwardHead.class, (link, piece) -> piece(link, piece.number(), piece));
-    peers.on(Message.ForwardChunk.class, (link, piece) -> piece(link, piece.number(), piece));
-    peers.on(Message.ForwardEnd.class, (link, piece) -> piece(link, piece.number(), piece));
-    peers.onClosed(this::closed);
+    peers.on(Message.ForwardHead.class, (link, piece) -> onPiece(link, piece.number(), piece));
+    peers.on(Message.ForwardChunk.class, (link, piece) -> onPiece(link, piece.number(), piece));
+    peers.on(Message.ForwardEnd.class, (link, piece) -> onPiece(link, piece.number(), piece));
+    peers.onClosed(this::onLinkClosed);
   }
 
   @Override
   public void stop() {
-    // Links are closed by their owner, which ends what waits here.
+    // PeerService closes the links, and onLinkClosed then ends the pending forwards.
   }
 
-  /** Hands a request to the first other data centre that takes it. */
+  /**
+   * Forwards a request to the other data centres in turn until one of them runs it. Returns empty
+   * if none did.
+   */
   Optional<Answer> spill(CallerRequest request) {
     Set<String> tried = new HashSet<>();
     for (Link link : peers.links()) {
@@ -85,7 +91,7 @@
       boolean other = !dataCentre.equals(context.identity().dataCentre());
       if (other && tried.add(dataCentre)) {
         Optional<Answer> answer = send(link, request, Purpose.SPILL);
-        if (answer.isPresent() && !isNotRun(answer.get())) {
+        if (answer.isPresent() && !didNotRun(answer.get())) {
           return answer;
         }
       }
@@ -93,12 +99,14 @@
     return Optional.empty();
   }
 
-  private static boolean isNotRun(Answer answer) {
+  private static boolean didNotRun(Answer answer) {
     return answer instanceof Answer.Whole whole && whole.outcome() instanceof Outcome.NotRun;
   }
 
-  /** Hands a request to the daemon that made its key; nothing when that one is gone. */
-  Optional<Answer> toMaker(IssuedRequestKeys.Issuer maker, CallerRequest request) {
+  /**
+   * Forwards a request to the daemon that issued its key; empty if that incarnation is not linked.
+   */
+  Optional<Answer> sendToIssuer(IssuedRequestKeys.Issuer maker, CallerRequest request) {
     Link link = peers.linkTo(maker.daemon());
     if (link == null || !link.peer().incarnation().equals(maker.incarnation())) {
       return Optional.empty();
@@ -108,20 +116,22 @@
 
   private Optional<Answer> send(Link link, CallerRequest request, Purpose purpose) {
     long number = numbers.incrementAndGet();
-    Asked question = new Asked(link, new LinkedBlockingQueue<>(PIECES));
-    asked.put(number, question);
+    PendingForward pending =
+        new PendingForward(link, new LinkedBlockingQueue<>(MAXIMUM_BUFFERED_PIECES));
+    pendingForwards.put(number, pending);
     if (!link.send(forward(number, request, purpose))) {
-      asked.remove(number);
+      pendingForwards.remove(number);
       return Optional.empty();
     }
-    Message first = next(question, request.deadline());
+    Message first = next(pending, request.deadline());
     if (first instanceof Message.ForwardHead head) {
-      return Optional.of(answer(number, question, head, request.deadline()));
+      return Optional.of(answer(number, pending, head, request.deadline()));
     }
-    giveUp(number, question);
+    giveUp(number, pending);
     return Optional.of(
-        Refusals.unknown(
-            "The daemon that it was handed to did not answer.", request.deadline().hasPassed()));
+        ErrorAnswers.unknown(
+            "The daemon that the request was forwarded to did not answer.",
+            request.deadline().hasPassed()));
   }
 
   private static Message.Forward forward(long number, CallerRequest request, Purpose purpose) {
@@ -143,15 +153,16 @@
         request.body());
   }
 
-  private Answer answer(long number, Asked question, Message.ForwardHead head, Deadline deadline) {
+  private Answer answer(
+      long number, PendingForward pending, Message.ForwardHead head, Deadline deadline) {
     String type = head.headers().getOrDefault("Content-Type", "");
     if (type.startsWith(EVENT_STREAM)) {
       return new Answer.Streamed(
-          head.status(), head.headers(), out -> copy(number, question, deadline, out));
+          head.status(), head.headers(), out -> copy(number, pending, deadline, out));
     }
     ByteArrayOutputStream body = new ByteArrayOutputStream();
-    if (!(copy(number, question, deadline, body) instanceof CopyResult.Whole)) {
-      return Refusals.unknown("The answer of the other data centre broke off.", false);
+    if (!(copy(number, pending, deadline, body) instanceof CopyResult.Whole)) {
+      return ErrorAnswers.unknown("The answer of the other daemon was interrupted.", false);
     }
     Outcome outcome = outcome(head.headers());
     return new Answer.Whole(outcome, head.status(), head.headers(), body.toByteArray());
@@ -165,61 +176,62 @@
     };
   }
 
-  private CopyResult copy(long number, Asked question, Deadline deadline, OutputStream out) {
+  private CopyResult copy(
+      long number, PendingForward pending, Deadline deadline, OutputStream out) {
     long copied = 0;
-    Message piece = next(question, deadline);
+    Message piece = next(pending, deadline);
     while (piece instanceof Message.ForwardChunk chunk) {
       try {
         out.write(chunk.bytes());
         out.flush();
       } catch (IOException e) {
-        giveUp(number, question);
+        giveUp(number, pending);
         return new CopyResult.ReceiverGone(copied);
       }
       copied += chunk.bytes().length;
-      piece = next(question, deadline);
+      piece = next(pending, deadline);
     }
     if (piece instanceof Message.ForwardEnd end && end.whole() && end.length() == copied) {
-      asked.remove(number);
+      pendingForwards.remove(number);
       return new CopyResult.Whole(copied);
     }
-    giveUp(number, question);
-    return new CopyResult.Torn(copied, "the other data centre's answer broke off");
+    giveUp(number, pending);
+    return new CopyResult.Torn(copied, "the answer of the other daemon was interrupted");
   }
 
-  private @Nullable Message next(Asked question, Deadline deadline) {
+  private @Nullable Message next(PendingForward pending, Deadline deadline) {
     try {
       long wait = deadline.timeoutMillis(Integer.MAX_VALUE);
-      return question.pieces().poll(wait, TimeUnit.MILLISECONDS);
+      return pending.pieces().poll(wait, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return null;
     }
   }
 
-  private void giveUp(long number, Asked question) {
-    asked.remove(number);
-    question.link().send(new Message.ForwardCancel(number));
+  private void giveUp(long number, PendingForward pending) {
+    pendingForwards.remove(number);
+    pending.link().send(new Message.ForwardCancel(number));
   }
 
-  /** Only the link that the request went over may answer it. */
-  private void piece(Link link, long number, Message message) {
-    Asked question = asked.get(number);
-    if (question == null || question.link() != link) {
+  /** Queues a piece of an answer; ignores it unless it came over the link of the request. */
+  private void onPiece(Link link, long number, Message message) {
+    PendingForward pending = pendingForwards.get(number);
+    if (pending == null || pending.link() != link) {
       return;
     }
-    if (!question.pieces().offer(message)) {
-      asked.remove(number);
+    if (!pending.pieces().offer(message)) {
+      pendingForwards.remove(number);
     }
   }
 
-  private void closed(Link link) {
-    asked
+  private void onLinkClosed(Link link) {
+    pendingForwards
         .values()
         .forEach(
-            question -> {
-              if (question.link() == link) {
-                question.pieces().offer(new Message.ForwardEnd(0, -1, false));
+            pending -> {
+              if (pending.link() == link) {
+                pending.pieces().offer(new Message.ForwardEnd(0, -1, false));
               }
             });
     String prefix = System.identityHashCode(link) + "/";
@@ -237,7 +249,7 @@
     }
   }
 
-  private void received(Link link, Message.Forward forward) {
+  private void onForward(Link link, Message.Forward forward) {
     running.add(key(link, forward.number()));
     context.executor().execute(() -> run(link, forward));
   }
@@ -246,14 +258,14 @@
     String key = key(link, forward.number());
     if (!inFlight.tryEnter()) {
       running.remove(key);
-      write(link, forward.number(), Refusals.unavailable("The daemon is stopping.", 1));
+      write(link, forward.number(), ErrorAnswers.unavailable("The daemon is stopping.", 1));
       return;
     }
     try {
       Purpose purpose = Purpose.valueOf(forward.headers().get("purpose"));
       write(link, forward.number(), runner.apply(request(forward), purpose));
     } finally {
-      inFlight.leave();
+      inFlight.exit();
       running.remove(key);
       cancelled.remove(key);
     }
@@ -288,7 +300,7 @@
     link.send(new Message.ForwardEnd(number, out.written, result instanceof CopyResult.Whole));
   }
 
-  /** Sends what is written as pieces of an answer. */
+  /** Sends the written bytes over a link as pieces of an answer. */
   private final class LinkOutput extends OutputStream {
 
     private final Link link;
@@ -310,16 +322,17 @@
       byte[] piece = Arrays.copyOfRange(buffer, offset, offset + length);
       boolean gone = cancelled.contains(key(link, number));
       if (gone || !link.send(new Message.ForwardChunk(number, piece))) {
-        throw new IOException("The daemon that asked is gone.");
+        throw new IOException(
+            "The daemon that forwarded the request cancelled it or is not linked.");
       }
       written += length;
     }
   }
 
   /**
-   * Data centres that this daemon has links to.
+   * Returns the data centres that this daemon has links to.
    *
-   * @return their names
+   * @return the names of the data centres
    */
   public List<String> reachable() {
     return peers.links().stream().map(link -> link.peer().dataCentre()).distinct().toList();
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Gateway.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Gateway.java
@@ -13,10 +13,13 @@
 import org.fawnvale.daemon.Context;
 import org.fawnvale.daemon.state.FleetState;
 
-/** Takes checked requests to an upstream of the own data centre, or of another one. */
+/**
+ * Runs validated requests on an upstream of this data centre, or forwards them to another data
+ * centre when no upstream here can take them.
+ */
 public final class Gateway {
 
-  /** Header that identifies a request at upstreams and to callers. */
+  /** Header with the request's id, sent to upstreams and to callers. */
   public static final String REQUEST_ID_HEADER = "Fawnvale-Request-Id";
 
   static final String CHAT_PATH = "/v1/chat/completions";
@@ -25,53 +28,53 @@
   private static final double RETRY_SHARE = 0.1;
   private static final double RETRY_RESERVE = 10;
 
-  private final GatewayParts parts;
+  private final SharedComponents shared;
   private final FleetState state;
   private final RoutingTable routing;
   private final Router router;
   private final Context context;
-  private final OnwardRoute onward;
+  private final SpillRoute spillRoute;
   private final Map<String, Pool> pools = new ConcurrentHashMap<>();
   private final Map<String, RetryBudget> budgets = new ConcurrentHashMap<>();
 
-  /** Hands a request to another data centre. */
+  /** Forwards requests to other data centres. */
   @FunctionalInterface
-  public interface OnwardRoute {
+  public interface SpillRoute {
 
     /**
-     * Hands a request on.
+     * Forwards a request to another data centre.
      *
      * @param request the request
-     * @return the answer, or nothing when no other data centre took it
+     * @return the answer, or empty when no other data centre ran the request
      */
     Optional<Answer> send(CallerRequest request);
   }
 
   Gateway(
       Context context,
-      GatewayParts parts,
+      SharedComponents shared,
       FleetState state,
       RoutingTable routing,
       Router router,
-      OnwardRoute onward) {
+      SpillRoute spillRoute) {
     this.context = context;
-    this.parts = parts;
+    this.shared = shared;
     this.state = state;
     this.routing = routing;
     this.router = router;
-    this.onward = onward;
+    this.spillRoute = spillRoute;
   }
 
-  /** What a request was found to ask for. */
+  /** The pool and the upstream path of a request. */
   private record Route(String poolKey, String upstreamPath, Prefix prefix) {}
 
-  /** Checks that a request may be run at all; gives the answer when it may not. */
+  /** Returns the error answer if the request cannot be routed, otherwise empty. */
   Optional<Answer> check(CallerRequest request) {
     Object routeOrAnswer = route(request);
     return routeOrAnswer instanceof Answer answer ? Optional.of(answer) : Optional.empty();
   }
 
-  /** Runs a request to its answer. */
+  /** Runs a request and returns its answer; a streamed answer is still to be copied. */
   Answer run(CallerRequest request) {
     Object routeOrAnswer = route(request);
     if (routeOrAnswer instanceof Answer answer) {
@@ -84,28 +87,30 @@
     Pool pool = pools.computeIfAbsent(route.poolKey(), this::pool);
     double share =
         state.view().bundle().workspace(request.workspace()).map(Workspace::share).orElse(1.0);
-    Pool.Wish wish =
-        new Pool.Wish(
+    Pool.TargetRequest targetRequest =
+        new Pool.TargetRequest(
             request.workspace() + "/" + request.requestClass().label(),
             share * request.requestClass().weight(),
             route.prefix(),
             request.deadline(),
             Set.of());
-    Turn turn = pool.await(wish);
-    if (turn instanceof Turn.Granted granted) {
-      parts.metrics().waited(request.workspace(), request.requestClass(), granted.waitedNanos());
+    AdmissionResult admission = pool.await(targetRequest);
+    if (admission instanceof AdmissionResult.Granted granted) {
+      shared
+          .metrics()
+          .recordQueueTime(request.workspace(), request.requestClass(), granted.waitedNanos());
       RetryBudget budget =
           budgets.computeIfAbsent(
               request.workspace(), name -> RetryBudget.create(RETRY_SHARE, RETRY_RESERVE));
-      return new Exchange(parts, request, pool, wish, route.upstreamPath(), budget)
+      return new Exchange(shared, request, pool, targetRequest, route.upstreamPath(), budget)
           .run(granted.target());
     }
-    return elsewhere(request, (Turn.Denied) turn);
+    return spillOrRefuse(request, (AdmissionResult.Denied) admission);
   }
 
-  private Answer elsewhere(CallerRequest request, Turn.Denied denied) {
+  private Answer spillOrRefuse(CallerRequest request, AdmissionResult.Denied denied) {
     if (!request.forwarded() && !request.deadline().hasPassed()) {
-      Optional<Answer> answer = onward.send(request);
+      Optional<Answer> answer = spillRoute.send(request);
       if (answer.isPresent()) {
         return answer.get();
       }
@@ -113,42 +118,42 @@
     String reason = denied.notRun().reason();
     long retryAfter = denied.notRun().retryAfterSeconds();
     return denied.overloaded()
-        ? Refusals.overloaded(reason, retryAfter)
-        : Refusals.unavailable(reason, retryAfter);
+        ? ErrorAnswers.overloaded(reason, retryAfter)
+        : ErrorAnswers.unavailable(reason, retryAfter);
   }
 
   private Pool pool(String key) {
     return new Pool(
         () -> routing.targets(key),
-        parts::mayServe,
+        shared::mayServe,
         router,
         context.nanoClock(),
         context.settings().limits().waitingPerWorkspace());
   }
 
-  /** Gives turns to all who wait; called when evidence or loads have changed. */
+  /** Admits queued requests of all pools while targets have capacity; called periodically. */
   void dispatch() {
     pools.values().forEach(Pool::dispatch);
   }
 
-  /** Tells whether anything in the own data centre may serve. */
-  boolean canServe() {
-    return routing.all().stream().anyMatch(parts::mayServe);
+  /** Returns whether any target in this data centre is ready. */
+  boolean hasReadyTarget() {
+    return routing.all().stream().anyMatch(shared::mayServe);
   }
 
-  int waiting() {
-    return pools.values().stream().mapToInt(Pool::waiting).sum();
+  int queuedCount() {
+    return pools.values().stream().mapToInt(Pool::queuedCount).sum();
   }
 
   private Object route(CallerRequest request) {
     Bundle bundle = state.view().bundle();
     if (bundle == null) {
-      return Refusals.unavailable("No bundle is in force yet.", 1);
+      return ErrorAnswers.unavailable("No bundle is active yet.", 1);
     }
     Optional<Workspace> workspace = bundle.workspace(request.workspace());
     if (workspace.isEmpty()) {
-      return Refusals.forbidden(
-          "The workspace " + request.workspace() + " is not in the bundle in force.");
+      return ErrorAnswers.forbidden(
+          "The workspace " + request.workspace() + " is not in the active bundle.");
     }
     return request.path().startsWith(SERVICES_PATH)
         ? serviceRoute(request, bundle, workspace.get())
@@ -160,10 +165,10 @@
         .fold(
             input -> {
               if (bundle.model(input.model()).isEmpty()) {
-                return Refusals.notFound("There is no model " + input.model() + ".");
+                return ErrorAnswers.notFound("There is no model " + input.model() + ".");
               }
               if (!workspace.models().contains(input.model())) {
-                return Refusals.forbidden(
+                return ErrorAnswers.forbidden(
                     "The workspace may not call the model " + input.model() + ".");
               }
               String key = RoutingTable.modelKey(input.model());
@@ -173,7 +178,7 @@
   }
 
   private static Answer badInput(Problem problem) {
-    return Refusals.badInput("bad_" + problem.key(), problem.message(), problem.remedy());
+    return ErrorAnswers.badInput("bad_" + problem.key(), problem.message(), problem.remedy());
   }
 
   private static Object serviceRoute(CallerRequest request, Bundle bundle, Workspace workspace) {
@@ -181,10 +186,10 @@
     int slash = rest.indexOf('/');
     String name = slash < 0 ? rest : rest.substring(0, slash);
     if (bundle.service(name).isEmpty()) {
-      return Refusals.notFound("There is no plain service " + name + ".");
+      return ErrorAnswers.notFound("There is no plain service " + name + ".");
     }
     if (!workspace.services().contains(name)) {
-      return Refusals.forbidden("The workspace may not call the service " + name + ".");
+      return ErrorAnswers.forbidden("The workspace may not call the service " + name + ".");
     }
     String path = slash < 0 ? "/" : rest.substring(slash);
     return new Route(RoutingTable.serviceKey(name), path, Prefix.of(""));
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/GatewayServices.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/GatewayServices.java
@@ -13,28 +13,29 @@
 import org.fawnvale.upstream.UpstreamClient;
 
 /**
- * The services of the data path, put together.
+ * The services of the data path.
  *
- * @param callers the callers' port
- * @param forward requests handed between daemons
- * @param inFlight requests under way
+ * @param callers serves the callers' HTTP port
+ * @param forward exchanges requests with other daemons
+ * @param inFlight counts the requests in flight
  */
-public record GatewayServices(CallerService callers, ForwardService forward, InFlight inFlight) {
+public record GatewayServices(
+    CallerService callers, ForwardService forward, InFlightCounter inFlight) {
 
   private static final int CACHED_BLOCKS_PER_REPLICA = 4096;
-  private static final long DISPATCH_MILLIS = 20;
+  private static final long DISPATCH_INTERVAL_MILLIS = 20;
 
   /**
-   * Puts the services together.
+   * Creates the services, schedules the dispatch of queued requests and registers gauges.
    *
-   * @param context what every service needs
-   * @param state what is agreed
-   * @param table evidence on the nodes
-   * @param routing the targets
-   * @param upstream sends requests
+   * @param context settings, clocks and executors of the daemon
+   * @param state the fleet state that the daemons agree on
+   * @param table which nodes are alive and ready
+   * @param routing the targets of each model and plain service
+   * @param upstream sends requests to nodes
    * @param peers links to the other daemons
-   * @param claims claims request keys
-   * @param metrics takes measurements
+   * @param claims claims request keys in the platform's store
+   * @param metrics records the measurements
    * @return the services, not yet started
    */
   public static GatewayServices create(
@@ -46,27 +47,32 @@
       PeerService peers,
       ClaimService claims,
       DaemonMetrics metrics) {
-    InFlight inFlight = new InFlight();
+    InFlightCounter inFlight = new InFlightCounter();
     ForwardService forward = new ForwardService(context, peers, inFlight);
     PrefixIndex index = PrefixIndex.create(CACHED_BLOCKS_PER_REPLICA);
     Router router = Router.create(index, Router.Settings.DEFAULT);
-    GatewayParts parts = new GatewayParts(context, table, upstream, metrics, index);
-    Gateway gateway = new Gateway(context, parts, state, routing, router, forward::spill);
+    SharedComponents shared = new SharedComponents(context, table, upstream, metrics, index);
+    Gateway gateway = new Gateway(context, shared, state, routing, router, forward::spill);
     IssuedRequestKeys issuedKeys =
         IssuedRequestKeys.create(context.identity().daemon(), context.identity().incarnation());
-    OnceGuard once = new OnceGuard(context, claims, issuedKeys, forward::toMaker);
-    forward.runWith(
+    AtMostOnceExecutor atMostOnce =
+        new AtMostOnceExecutor(context, claims, issuedKeys, forward::sendToIssuer);
+    forward.setRunner(
         (request, purpose) ->
             purpose == ForwardService.Purpose.MAKER
-                ? once.run(request, gateway::run)
+                ? atMostOnce.run(request, gateway::run)
                 : gateway.run(request));
-    CallerService callers = new CallerService(context, state, gateway, once, inFlight, metrics);
+    CallerService callers =
+        new CallerService(context, state, gateway, atMostOnce, inFlight, metrics);
     context
         .scheduler()
         .scheduleWithFixedDelay(
-            gateway::dispatch, DISPATCH_MILLIS, DISPATCH_MILLIS, TimeUnit.MILLISECONDS);
+            gateway::dispatch,
+            DISPATCH_INTERVAL_MILLIS,
+            DISPATCH_INTERVAL_MILLIS,
+            TimeUnit.MILLISECONDS);
     metrics.gauge("fawnvale.in.flight", "", "Requests under way.", inFlight::count);
-    metrics.gauge("fawnvale.waiting", "", "Requests that wait.", gateway::waiting);
+    metrics.gauge("fawnvale.waiting", "", "Requests that wait.", gateway::queuedCount);
     return new GatewayServices(callers, forward, inFlight);
   }
 }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Pool.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Pool.java
@@ -17,7 +17,7 @@
 import org.fawnvale.core.routing.Router;
 import org.fawnvale.upstream.Deadline;
 
-/** The targets of one model or service, and the requests that wait for them. */
+/** The targets of one model or plain service and the queue of requests that wait for them. */
 final class Pool {
 
   private final Supplier<TargetList> targets;
@@ -26,10 +26,20 @@
   private final LongSupplier nanoClock;
   private final AdmissionQueue<Waiter> queue;
 
-  /** What a request asks for. */
-  record Wish(String flow, double weight, Prefix prefix, Deadline deadline, Set<String> excluded) {}
-
-  private record Waiter(Wish wish, long sinceNanos, CompletableFuture<Turn> turn) {}
+  /**
+   * What the pool needs to know of a request to pick a target.
+   *
+   * @param flow the queue's flow: workspace and request class
+   * @param weight the flow's weight in fair queueing
+   * @param prefix the prompt's prefixes
+   * @param deadline the request's deadline
+   * @param excluded the keys of targets that must not be picked
+   */
+  record TargetRequest(
+      String flow, double weight, Prefix prefix, Deadline deadline, Set<String> excluded) {}
+
+  private record Waiter(
+      TargetRequest targetRequest, long sinceNanos, CompletableFuture<AdmissionResult> result) {}
 
   Pool(
       Supplier<TargetList> targets,
@@ -44,87 +54,101 @@
     this.queue = AdmissionQueue.create(maximumPerFlow);
   }
 
-  /** Waits for a turn, or says at once that there will be none in time. */
-  Turn await(Wish wish) {
-    Waiter waiter = new Waiter(wish, nanoClock.getAsLong(), new CompletableFuture<>());
-    Optional<Turn> denied = enqueue(waiter);
+  /**
+   * Waits until the request is admitted or its deadline passes. Denies it at once if no target is
+   * ready, its flow's queue is full or the estimated wait exceeds the deadline.
+   */
+  AdmissionResult await(TargetRequest targetRequest) {
+    Waiter waiter = new Waiter(targetRequest, nanoClock.getAsLong(), new CompletableFuture<>());
+    Optional<AdmissionResult> denied = enqueue(waiter);
     if (denied.isPresent()) {
       return denied.get();
     }
     dispatch();
     try {
       return waiter
-          .turn()
-          .get(wish.deadline().timeoutMillis(Long.MAX_VALUE), TimeUnit.MILLISECONDS);
+          .result()
+          .get(targetRequest.deadline().timeoutMillis(Long.MAX_VALUE), TimeUnit.MILLISECONDS);
     } catch (TimeoutException e) {
-      return leave(waiter);
+      return withdraw(waiter);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      return leave(waiter);
+      return withdraw(waiter);
     } catch (ExecutionException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private synchronized Optional<Turn> enqueue(Waiter waiter) {
+  private synchronized Optional<AdmissionResult> enqueue(Waiter waiter) {
     if (targets.get().targets().stream().noneMatch(mayServe)) {
       return Optional.of(
-          new Turn.Denied(new Outcome.NotRun("Nothing here can serve it now.", 1), false));
+          new AdmissionResult.Denied(
+              new Outcome.NotRun(
+                  "No upstream in this data centre is ready to serve the request.", 1),
+              false));
     }
-    Wish wish = waiter.wish();
+    TargetRequest targetRequest = waiter.targetRequest();
     return queue
-        .offer(wish.flow(), wish.weight(), wish.deadline().atNanos(), waiter.sinceNanos(), waiter)
-        .map(notRun -> new Turn.Denied(notRun, true));
+        .offer(
+            targetRequest.flow(),
+            targetRequest.weight(),
+            targetRequest.deadline().atNanos(),
+            waiter.sinceNanos(),
+            waiter)
+        .map(notRun -> new AdmissionResult.Denied(notRun, true));
   }
 
-  /** Takes a waiter out whose time is over; a turn that was granted meanwhile is kept. */
-  private synchronized Turn leave(Waiter waiter) {
+  /** Removes a waiter from the queue; returns the grant if it was admitted in the meantime. */
+  private synchronized AdmissionResult withdraw(Waiter waiter) {
     queue.removeIf(each -> each == waiter);
-    return waiter.turn().getNow(late());
+    return waiter.result().getNow(deniedByDeadline());
   }
 
-  private static Turn late() {
-    return new Turn.Denied(new Outcome.NotRun("Its deadline passed while it waited.", 1), true);
+  private static AdmissionResult deniedByDeadline() {
+    return new AdmissionResult.Denied(
+        new Outcome.NotRun("The request could not be admitted in time for its deadline.", 1), true);
   }
 
-  /** Gives turns to those who wait, as far as there is room. */
+  /** Admits queued requests while targets have capacity. */
   synchronized void dispatch() {
     long now = nanoClock.getAsLong();
     queue.dispatch(
         now,
-        waiter -> pick(waiter.wish()),
+        waiter -> pick(waiter.targetRequest()),
         (waiter, target) -> grant(waiter, target, now),
-        waiter -> waiter.turn().complete(late()));
+        waiter -> waiter.result().complete(deniedByDeadline()));
   }
 
   private static void grant(Waiter waiter, Target target, long nowNanos) {
     target.candidate().load().started();
-    waiter.turn().complete(new Turn.Granted(target, nowNanos - waiter.sinceNanos()));
+    waiter.result().complete(new AdmissionResult.Granted(target, nowNanos - waiter.sinceNanos()));
   }
 
-  /** Picks another target for a request that had its turn; it goes ahead of those who wait. */
-  synchronized Optional<Target> again(Wish wish) {
-    Optional<Target> target = pick(wish);
+  /** Picks another target for a request that was admitted before, ahead of the queue. */
+  synchronized Optional<Target> pickForRetry(TargetRequest targetRequest) {
+    Optional<Target> target = pick(targetRequest);
     target.ifPresent(each -> each.candidate().load().started());
     return target;
   }
 
-  private Optional<Target> pick(Wish wish) {
+  private Optional<Target> pick(TargetRequest targetRequest) {
     TargetList list = targets.get();
     Predicate<Candidate> usable =
         candidate ->
-            !wish.excluded().contains(candidate.key()) && mayServe.test(list.target(candidate));
+            !targetRequest.excluded().contains(candidate.key())
+                && mayServe.test(list.target(candidate));
     return router
-        .pick(list.candidates(), wish.prefix(), usable, ThreadLocalRandom.current()::nextInt)
+        .pick(
+            list.candidates(), targetRequest.prefix(), usable, ThreadLocalRandom.current()::nextInt)
         .map(list::target);
   }
 
-  /** Notes how long a request of a flow ran. */
-  synchronized void served(String flow, long nanos) {
+  /** Records how long a request of a flow ran. */
+  synchronized void recordServiceTime(String flow, long nanos) {
     queue.recordServiceTime(flow, nanos);
   }
 
-  synchronized int waiting() {
+  synchronized int queuedCount() {
     return queue.size();
   }
 }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/GatewayParts.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/SharedComponents.java
@@ -8,8 +8,8 @@
 import org.fawnvale.daemon.metrics.DaemonMetrics;
 import org.fawnvale.upstream.UpstreamClient;
 
-/** What all requests share. */
-final class GatewayParts {
+/** The components of the daemon that all requests use. */
+final class SharedComponents {
 
   private final Context context;
   private final ReadinessTable table;
@@ -18,7 +18,7 @@
   private final PrefixIndex index;
   private final AtomicLong hops = new AtomicLong();
 
-  GatewayParts(
+  SharedComponents(
       Context context,
       ReadinessTable table,
       UpstreamClient upstream,
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/http/HttpFront.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/http/BoundedHttpServer.java
@@ -23,22 +23,24 @@
 import org.fawnvale.kernel.ServiceException;
 import org.jspecify.annotations.Nullable;
 
-/** One HTTP server with a bound on its connections, its headers and its idle time. */
-public final class HttpFront {
+/** An HTTP server with limits on connections, headers and idle time. */
+public final class BoundedHttpServer {
 
   private static final int IDLE_SECONDS = 60;
   private static final int MAXIMUM_HEADERS = 100;
   private static final int MAXIMUM_LINE_BYTES = 16 * 1024;
 
-  /** How long the rest of an answer may take to leave: a caller that does not read holds it up. */
-  private static final long FLUSH_MILLIS = 2_000;
+  /**
+   * Bounds the wait at a stop for responses to be sent, since a caller may have stopped reading.
+   */
+  private static final long FLUSH_TIMEOUT_MILLIS = 2_000;
 
   private final String name;
   private final DaemonSettings.Listener listener;
   private final int maximumConnections;
   private final HttpRequestHandler handler;
   private final AtomicInteger connections = new AtomicInteger();
-  private final AnswersUnderWay answers = new AnswersUnderWay();
+  private final PendingResponses pendingResponses = new PendingResponses();
   private @Nullable HttpServer server;
 
   /**
@@ -46,10 +48,10 @@
    *
    * @param name the listener's name in the settings
    * @param listener where to listen
-   * @param maximumConnections connections at once; a further one is closed
-   * @param handler answers requests
+   * @param maximumConnections maximum number of open connections; further ones are closed at once
+   * @param handler handles all requests
    */
-  public HttpFront(
+  public BoundedHttpServer(
       String name,
       DaemonSettings.Listener listener,
       int maximumConnections,
@@ -61,7 +63,7 @@
   }
 
   /**
-   * Starts to listen.
+   * Starts listening.
    *
    * @throws ServiceException when the port or the certificate cannot be used
    */
@@ -86,7 +88,7 @@
               .setCanonicalHostName(listener.address())
               .setListenerPort(listener.port())
               .setSocketConfig(socket)
-              .setConnectionFactory(new CountingFactory(config))
+              .setConnectionFactory(new LimitedConnectionFactory(config))
               .setRequestRouter((request, context) -> handler);
       if (tls != null) {
         bootstrap.setSslContext(tls);
@@ -107,9 +109,9 @@
   }
 
   /**
-   * The port that it really listens on.
+   * Returns the port that the server listens on, also when the settings leave it to the system.
    *
-   * @return the port
+   * @return the port; 0 before the start
    */
   public int port() {
     HttpServer running = server;
@@ -117,24 +119,24 @@
   }
 
   /**
-   * Stops: answers that have begun are sent to their end first. A handler is done with an answer
-   * before its last bytes leave, so that the handlers' end alone would cut answers short.
+   * Stops the server after pending responses have been sent, or after a timeout. Waiting for the
+   * handlers would not suffice: a handler returns before the server has sent the last bytes.
    */
   public void stop() {
     HttpServer running = server;
     if (running != null) {
-      answers.awaitThoseUnderWay(FLUSH_MILLIS);
+      pendingResponses.awaitPending(FLUSH_TIMEOUT_MILLIS);
       running.close(CloseMode.IMMEDIATE);
     }
   }
 
-  /** Makes connections as long as there are not too many. */
-  private final class CountingFactory
+  /** Creates connections up to the maximum number; closes further sockets. */
+  private final class LimitedConnectionFactory
       implements HttpConnectionFactory<DefaultBHttpServerConnection> {
 
     private final Http1Config config;
 
-    CountingFactory(Http1Config config) {
+    LimitedConnectionFactory(Http1Config config) {
       this.config = config;
     }
 
@@ -143,7 +145,7 @@
       if (connections.incrementAndGet() > maximumConnections) {
         connections.decrementAndGet();
         socket.close();
-        throw new IOException("There are too many connections.");
+        throw new IOException("The maximum number of connections is open.");
       }
       CountedConnection connection = new CountedConnection(config);
       connection.bind(socket);
@@ -154,7 +156,7 @@
   private final class CountedConnection extends DefaultBHttpServerConnection {
 
     private boolean counted = true;
-    private boolean finalAnswer;
+    private boolean finalResponse;
 
     CountedConnection(Http1Config config) {
       super(listener.certificateFile() == null ? "http" : "https", config);
@@ -164,42 +166,42 @@
     public @Nullable ClassicHttpRequest receiveRequestHeader() throws HttpException, IOException {
       ClassicHttpRequest request = super.receiveRequestHeader();
       if (request != null) {
-        finalAnswer = false;
-        answers.begin(this);
+        finalResponse = false;
+        pendingResponses.begin(this);
       }
       return request;
     }
 
     @Override
     public void sendResponseHeader(ClassicHttpResponse response) throws HttpException, IOException {
-      finalAnswer = response.getCode() >= HttpStatus.SC_SUCCESS;
+      finalResponse = response.getCode() >= HttpStatus.SC_SUCCESS;
       super.sendResponseHeader(response);
     }
 
-    /** The server flushes a connection once all of an answer is written. */
+    /** Called by the server after it has written a complete response. */
     @Override
     public void flush() throws IOException {
       super.flush();
-      if (finalAnswer) {
-        answers.end(this);
+      if (finalResponse) {
+        pendingResponses.end(this);
       }
     }
 
     @Override
     public void close() throws IOException {
-      discount();
+      releaseSlot();
       super.close();
-      answers.end(this);
+      pendingResponses.end(this);
     }
 
     @Override
     public void close(CloseMode mode) {
-      discount();
+      releaseSlot();
       super.close(mode);
-      answers.end(this);
+      pendingResponses.end(this);
     }
 
-    private synchronized void discount() {
+    private synchronized void releaseSlot() {
       if (counted) {
         counted = false;
         connections.decrementAndGet();
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/metrics/DaemonMetrics.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/metrics/DaemonMetrics.java
@@ -35,55 +35,57 @@
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
   private final Map<TimerKey, Timer> timers = new ConcurrentHashMap<>();
 
-  private record TimerKey(String name, String workspace, RequestClass requestClass, String label) {}
+  private record TimerKey(
+      String name, String workspace, RequestClass requestClass, String outcome) {}
 
   /**
-   * Notes a request that has ended.
+   * Records a request that has ended.
    *
    * @param workspace its workspace
    * @param requestClass its class
-   * @param outcome its outcome's label
+   * @param outcome the label of its outcome
    * @param nanos how long it took, nanoseconds
    */
-  public void request(String workspace, RequestClass requestClass, String outcome, long nanos) {
+  public void recordRequest(
+      String workspace, RequestClass requestClass, String outcome, long nanos) {
     timer("fawnvale.request", workspace, requestClass, outcome).record(nanos, NANOS);
   }
 
   /**
-   * Notes how long a request waited for its turn.
+   * Records how long a request waited in the admission queue.
    *
    * @param workspace its workspace
    * @param requestClass its class
    * @param nanos how long, nanoseconds
    */
-  public void waited(String workspace, RequestClass requestClass, long nanos) {
+  public void recordQueueTime(String workspace, RequestClass requestClass, long nanos) {
     timer("fawnvale.queue", workspace, requestClass, "").record(nanos, NANOS);
   }
 
   /**
-   * Notes the time from sending a request to the first piece of its stream.
+   * Records the time from sending a request upstream to the first piece of its stream.
    *
    * @param workspace its workspace
    * @param requestClass its class
    * @param nanos how long, nanoseconds
    */
-  public void firstToken(String workspace, RequestClass requestClass, long nanos) {
+  public void recordTimeToFirstToken(String workspace, RequestClass requestClass, long nanos) {
     timer("fawnvale.first.token", workspace, requestClass, "").record(nanos, NANOS);
   }
 
   /**
-   * Notes the time between two pieces of a stream.
+   * Records the time between two pieces of a stream.
    *
    * @param workspace its workspace
    * @param requestClass its class
    * @param nanos how long, nanoseconds
    */
-  public void betweenTokens(String workspace, RequestClass requestClass, long nanos) {
+  public void recordInterTokenTime(String workspace, RequestClass requestClass, long nanos) {
     timer("fawnvale.between.tokens", workspace, requestClass, "").record(nanos, NANOS);
   }
 
-  private Timer timer(String name, String workspace, RequestClass requestClass, String label) {
-    TimerKey key = new TimerKey(name, workspace, requestClass, label);
+  private Timer timer(String name, String workspace, RequestClass requestClass, String outcome) {
+    TimerKey key = new TimerKey(name, workspace, requestClass, outcome);
     return timers.computeIfAbsent(key, this::build);
   }
 
@@ -93,19 +95,19 @@
             .tag("workspace", key.workspace())
             .tag("class", key.requestClass().label())
             .serviceLevelObjectives(BUCKETS);
-    if (!key.label().isEmpty()) {
-      builder.tag("outcome", key.label());
+    if (!key.outcome().isEmpty()) {
+      builder.tag("outcome", key.outcome());
     }
     return builder.register(registry);
   }
 
   /**
-   * Adds a value that is read when the metrics are.
+   * Registers a gauge whose value is read at each scrape.
    *
    * @param name its name
    * @param unit its unit; empty for none
-   * @param description what it means
-   * @param value gives the value
+   * @param description the description shown with the metric
+   * @param value supplies the current value; called by the scraping thread
    */
   public void gauge(String name, String unit, String description, Supplier<Number> value) {
     Gauge.builder(name, value)
@@ -116,7 +118,7 @@
   }
 
   /**
-   * A counter.
+   * Returns the counter with a name and a tag; registers it on first use.
    *
    * @param name its name
    * @param tag the name of its tag
@@ -128,7 +130,7 @@
   }
 
   /**
-   * All metrics in Prometheus' text form.
+   * Returns all metrics in the Prometheus text format.
    *
    * @return the text
    */
