--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/Daemon.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/Daemon.java
@@ -25,7 +25,7 @@
 import org.fawnvale.daemon.gateway.RoutingTable;
 import org.fawnvale.daemon.metrics.DaemonMetrics;
 import org.fawnvale.daemon.operate.OperatorService;
-import org.fawnvale.daemon.operate.StatusDesk;
+import org.fawnvale.daemon.operate.StatusReporter;
 import org.fawnvale.daemon.peer.PeerService;
 import org.fawnvale.daemon.state.FleetState;
 import org.fawnvale.daemon.state.StateService;
@@ -118,8 +118,8 @@
     ClaimService claims = new ClaimService(context, store, peers);
     GatewayServices gateway =
         GatewayServices.create(context, state, table, routing, upstream, peers, claims, metrics);
-    StatusDesk status =
-        new StatusDesk(
+    StatusReporter status =
+        new StatusReporter(
             context, state, stateService, lease, table, evidence, gateway.forward()::reachable);
     OperatorService operators =
         new OperatorService(context, state, stateService, store, status, metrics);
@@ -166,7 +166,7 @@
       FleetState state,
       StateService stateService,
       LeaseService lease,
-      StatusDesk status) {
+      StatusReporter status) {
     metrics.gauge(
         "fawnvale.bundle.age",
         "milliseconds",
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/OperatorService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/OperatorService.java
@@ -43,7 +43,7 @@
   private final Context context;
   private final FleetState state;
   private final BundleDesk desk;
-  private final StatusDesk status;
+  private final StatusReporter status;
   private final DaemonMetrics metrics;
   private final HttpFront front;
 
@@ -62,7 +62,7 @@
       FleetState state,
       StateService stateService,
       ObjectStore store,
-      StatusDesk status,
+      StatusReporter status,
       DaemonMetrics metrics) {
     this.context = context;
     this.state = state;
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/StatusDesk.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/StatusReporter.java
@@ -21,7 +21,7 @@
 import org.fawnvale.daemon.state.StateService;
 
 /** Puts the status together. */
-public final class StatusDesk {
+public final class StatusReporter {
 
   private static final long STALE_MILLIS = 10_000;
 
@@ -45,7 +45,7 @@
    * @param evidence tells which daemons live
    * @param linked tells which data centres are linked
    */
-  public StatusDesk(
+  public StatusReporter(
       Context context,
       FleetState state,
       StateService stateService,
