--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/BundleDesk.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/BundleUpdater.java
@@ -20,7 +20,7 @@
 import org.fawnvale.platform.WriteResult;
 
 /** Takes operators' changes to the platform; one conditional update of the head decides a race. */
-final class BundleDesk {
+final class BundleUpdater {
 
   private static final int TRIES = 5;
 
@@ -28,7 +28,7 @@
   private final Consumer<List<StoredObject>> onWritten;
   private final ObjectStore store;
 
-  BundleDesk(FleetState state, Consumer<List<StoredObject>> onWritten, ObjectStore store) {
+  BundleUpdater(FleetState state, Consumer<List<StoredObject>> onWritten, ObjectStore store) {
     this.state = state;
     this.onWritten = onWritten;
     this.store = store;
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/OperatorService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/OperatorService.java
@@ -42,7 +42,7 @@
 
   private final Context context;
   private final FleetState state;
-  private final BundleDesk desk;
+  private final BundleUpdater desk;
   private final StatusReporter status;
   private final DaemonMetrics metrics;
   private final HttpFront front;
@@ -66,7 +66,7 @@
       DaemonMetrics metrics) {
     this.context = context;
     this.state = state;
-    this.desk = new BundleDesk(state, stateService::written, store);
+    this.desk = new BundleUpdater(state, stateService::written, store);
     this.status = status;
     this.metrics = metrics;
     this.front =
@@ -198,7 +198,7 @@
     };
   }
 
-  private Reply changed(String path, String operation, String operator, BundleDesk.Change change) {
+  private Reply changed(String path, String operation, String operator, BundleUpdater.Change change) {
     return reply(desk.change(operation, change), operator, path);
   }
 
@@ -214,12 +214,12 @@
     }
   }
 
-  private Reply reply(BundleDesk.Filed filed, String operator, String path) {
-    if (filed instanceof BundleDesk.Filed.Done done) {
+  private Reply reply(BundleUpdater.Filed filed, String operator, String path) {
+    if (filed instanceof BundleUpdater.Filed.Done done) {
       LOG.info("Operator {} did {} to revision {}.", operator, path, done.revision());
       return Reply.json(200, Map.of("revision", done.revision()));
     }
-    return problems(((BundleDesk.Filed.Refused) filed).problems());
+    return problems(((BundleUpdater.Filed.Refused) filed).problems());
   }
 
   private static Reply invalid(
--- a/fawnvale-daemon/src/test/java/org/fawnvale/daemon/operate/BundleDeskFuzzTest.java
+++ b/fawnvale-daemon/src/test/java/org/fawnvale/daemon/operate/BundleUpdaterFuzzTest.java
@@ -24,7 +24,7 @@
 import org.fawnvale.platform.StoredObject;
 
 /** Operators who race, with lost calls and answers: what they are told is what happened. */
-class BundleDeskFuzzTest {
+class BundleUpdaterFuzzTest {
 
   private static final int DESKS = 2;
 
@@ -44,11 +44,11 @@
   void operatorsAreToldTheTruth(@ForAll("requests") List<Asked> requests) throws IOException {
     FakeStore store = new FakeStore();
     List<FleetState> states = new ArrayList<>();
-    List<BundleDesk> desks = new ArrayList<>();
+    List<BundleUpdater> desks = new ArrayList<>();
     for (int i = 0; i < DESKS; i++) {
       FleetState state = new FleetState();
       states.add(state);
-      desks.add(new BundleDesk(state, state::apply, store));
+      desks.add(new BundleUpdater(state, state::apply, store));
     }
     Set<String> done = new HashSet<>();
     Set<String> refused = new HashSet<>();
@@ -59,7 +59,7 @@
       String operation = "operation-" + number;
       String overtaking = "overtaking-" + number;
       store.failWith(once(asked.fault()));
-      BundleDesk other = desks.get(1 - asked.desk());
+      BundleUpdater other = desks.get(1 - asked.desk());
       store.beforeWrite(
           asked.overtaken()
               ? () -> {
@@ -89,17 +89,17 @@
   }
 
   private static void note(
-      String operation, BundleDesk.Filed filed, Set<String> done, Set<String> refused) {
-    if (filed instanceof BundleDesk.Filed.Done) {
+      String operation, BundleUpdater.Filed filed, Set<String> done, Set<String> refused) {
+    if (filed instanceof BundleUpdater.Filed.Done) {
       done.add(operation);
-    } else if (filed instanceof BundleDesk.Filed.Refused no
+    } else if (filed instanceof BundleUpdater.Filed.Refused no
         && no.problems().get(0).kind() != ProblemKind.OUTCOME_UNKNOWN) {
       refused.add(operation);
     }
   }
 
-  private static BundleDesk.Filed ask(
-      BundleDesk desk, Action action, String operation, Rollout seen) {
+  private static BundleUpdater.Filed ask(
+      BundleUpdater desk, Action action, String operation, Rollout seen) {
     return switch (action) {
       case SUBMIT -> desk.submit(bundle(operation), operation, "ana");
       case APPROVE -> desk.change(operation, head -> head.approve(seen.latest(), operation, "ana"));
