--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/CoordinatorService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/CoordinatorService.java
@@ -60,7 +60,7 @@
   private volatile boolean stopped;
   private volatile @Nullable Map<String, NodeView> lastViews;
   private final RolloutWatch watch;
-  private SilenceLog silence = new SilenceLog();
+  private SilenceTracker silence = new SilenceTracker();
   private boolean wasHolder;
 
   /**
@@ -134,7 +134,7 @@
       return;
     }
     if (!wasHolder) {
-      silence = new SilenceLog();
+      silence = new SilenceTracker();
       wasHolder = true;
     }
     FleetView view = state.view();
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/SilenceLog.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/SilenceTracker.java
@@ -13,7 +13,7 @@
 import org.fawnvale.core.readiness.ReadinessTable;
 
 /** Remembers since when each node has been silent, its last report, and how often it failed. */
-final class SilenceLog {
+final class SilenceTracker {
 
   private static final long FAILURE_MEMORY_NANOS = TimeUnit.HOURS.toNanos(6);
 
