--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/LeaseKeeper.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/LeaseManager.java
@@ -20,7 +20,7 @@
  * <p>A holder counts the lease from before it sent the renewal. One who waits counts from after it
  * first saw the lease unchanged, and adds a margin for clocks that run at other rates.
  */
-final class LeaseKeeper {
+final class LeaseManager {
 
   private static final Logger LOG = LogManager.getLogger("lease");
   private static final double CLOCK_RATE_MARGIN = 1.1;
@@ -44,7 +44,7 @@
    */
   private record Held(Lease lease, long version, long untilNanos, long takenNanos) {}
 
-  LeaseKeeper(
+  LeaseManager(
       ObjectStore store, String name, String holder, long durationMillis, LongSupplier nanoClock) {
     this.store = store;
     this.name = name;
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/LeaseService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/LeaseService.java
@@ -18,7 +18,7 @@
   private static final int LOOKS_PER_DURATION = 6;
 
   private final Context context;
-  private final LeaseKeeper keeper;
+  private final LeaseManager keeper;
   private volatile boolean stopped;
 
   /**
@@ -30,7 +30,7 @@
   public LeaseService(Context context, ObjectStore store) {
     this.context = context;
     this.keeper =
-        new LeaseKeeper(
+        new LeaseManager(
             store,
             ObjectNames.lease(context.identity().dataCentre()),
             context.holder(),
--- a/fawnvale-daemon/src/test/java/org/fawnvale/daemon/coordinate/LeaseKeeperFuzzTest.java
+++ b/fawnvale-daemon/src/test/java/org/fawnvale/daemon/coordinate/LeaseManagerFuzzTest.java
@@ -13,7 +13,7 @@
 import org.fawnvale.daemon.FakeStore;
 
 /** Never two holders at once: clocks of other rates, freezes, lost answers, outages. */
-class LeaseKeeperFuzzTest {
+class LeaseManagerFuzzTest {
 
   private static final int KEEPERS = 3;
   private static final long DURATION_MILLIS = 1000;
@@ -27,11 +27,11 @@
       @ForAll("events") List<Event> events, @ForAll("rates") List<Double> clockRates) {
     FakeStore store = new FakeStore();
     long[] trueNanos = {0};
-    List<LeaseKeeper> keepers = new ArrayList<>();
+    List<LeaseManager> keepers = new ArrayList<>();
     for (int i = 0; i < KEEPERS; i++) {
       double rate = clockRates.get(i);
       keepers.add(
-          new LeaseKeeper(
+          new LeaseManager(
               store, "lease", "daemon-" + i, DURATION_MILLIS, () -> (long) (trueNanos[0] * rate)));
     }
     for (Event event : events) {
