--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/OperatorService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/OperatorService.java
@@ -198,7 +198,8 @@
     };
   }
 
-  private Reply changed(String path, String operation, String operator, BundleUpdater.Change change) {
+  private Reply changed(
+      String path, String operation, String operator, BundleUpdater.Change change) {
     return reply(desk.change(operation, change), operator, path);
   }
 
