--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/CoordinatorService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/CoordinatorService.java
@@ -42,7 +42,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Plans the replicas of the data centre and orders its engines, while this daemon has the lease.
+ * Plans the replicas of the data centre and sends orders to its engines while this daemon holds the
+ * data centre's lease.
  */
 public final class CoordinatorService implements Service {
 
@@ -59,20 +60,20 @@
   private final AtomicLong operations = new AtomicLong();
   private volatile boolean stopped;
   private volatile @Nullable Map<String, NodeView> lastViews;
-  private final RolloutWatch watch;
-  private SilenceTracker silence = new SilenceTracker();
-  private boolean wasHolder;
+  private final RolloutWatch rolloutMonitor;
+  private SilenceTracker silenceTracker = new SilenceTracker();
+  private boolean heldLeaseLastRound;
 
   /**
    * Creates the service.
    *
-   * @param context what every service needs
-   * @param state what is agreed
-   * @param stateService passes on what this service writes
-   * @param store the platform
-   * @param lease tells whether this daemon may decide
-   * @param table evidence on the nodes
-   * @param engines sends orders
+   * @param context the daemon's settings, identity, clocks and executors
+   * @param state this daemon's copy of the shared objects
+   * @param stateService distributes the objects that this service writes
+   * @param store the platform's object store
+   * @param lease the lease that this daemon has to hold to plan and to send orders
+   * @param table the latest reports on the nodes
+   * @param engines the client that sends orders to engines
    */
   public CoordinatorService(
       Context context,
@@ -88,7 +89,7 @@
     this.store = store;
     this.lease = lease;
     this.table = table;
-    this.watch = RolloutWatch.create(context.settings().timing().rolloutPatienceMillis());
+    this.rolloutMonitor = RolloutWatch.create(context.settings().timing().rolloutPatienceMillis());
     this.sender = new OrderSender(context, lease, engines);
   }
 
@@ -103,9 +104,9 @@
   }
 
   /**
-   * The nodes of the data centre, as the holder of the lease last saw them.
+   * Returns the nodes of the data centre as of this daemon's last planning round.
    *
-   * @return the views; nothing on a daemon without the lease
+   * @return the views by node name; empty before the first round and on a daemon without the lease
    */
   public Optional<Map<String, NodeView>> views() {
     return lease.isHeldFor(0) ? Optional.ofNullable(lastViews) : Optional.empty();
@@ -114,9 +115,9 @@
   private void loop() {
     while (!stopped) {
       try {
-        round();
+        planOnce();
       } catch (RuntimeException e) {
-        LOG.error("A round of planning failed; the next one starts anew.", e);
+        LOG.error("A planning round failed; the next round plans from the current state.", e);
       }
       try {
         TimeUnit.MILLISECONDS.sleep(context.settings().timing().planMillis());
@@ -127,15 +128,15 @@
     }
   }
 
-  private void round() {
+  private void planOnce() {
     boolean holder = lease.isHeldFor(LEASE_MARGIN_MILLIS);
     if (!holder) {
-      wasHolder = false;
+      heldLeaseLastRound = false;
       return;
     }
-    if (!wasHolder) {
-      silence = new SilenceTracker();
-      wasHolder = true;
+    if (!heldLeaseLastRound) {
+      silenceTracker = new SilenceTracker();
+      heldLeaseLastRound = true;
     }
     FleetView view = state.view();
     Bundle bundle = view.bundle();
@@ -145,14 +146,15 @@
       return;
     }
     Map<String, DomainState> domains = domains(view, nodes);
-    Map<String, NodeView> views = silence.look(nodes, members(domains), table, context.nowNanos());
+    Map<String, NodeView> views =
+        silenceTracker.update(nodes, members(domains), table, context.nowNanos());
     lastViews = Map.copyOf(views);
     Map<String, NodeView> engines = new TreeMap<>(views);
     engines.values().removeIf(each -> each.node().service() != null);
     Plan plan = plan(view, bundle, domains, engines);
     plan.steps().forEach(LOG::info);
     plan.changed().forEach(changed -> write(changed, view));
-    order(bundle, engines);
+    sendOrders(bundle, engines);
     stopIfFailing(view, bundle, domains.values(), engines);
     if (plan.complete()) {
       complete(view);
@@ -208,7 +210,10 @@
     if (result instanceof WriteResult.Written written) {
       stateService.written(List.of(new StoredObject(name, written.version(), value)));
     } else {
-      LOG.info("Domain {} was not changed ({}); it is read back.", changed.domain(), result);
+      LOG.info(
+          "Domain {} was not written ({}); reading the stored version back.",
+          changed.domain(),
+          result);
       readBack(name);
     }
   }
@@ -224,7 +229,7 @@
             problem -> false);
   }
 
-  private void order(Bundle bundle, Map<String, NodeView> engines) {
+  private void sendOrders(Bundle bundle, Map<String, NodeView> engines) {
     Optional<Long> epoch = lease.epoch();
     if (epoch.isEmpty()) {
       return;
@@ -243,21 +248,26 @@
     sender.send(orders, engines);
   }
 
-  /** Marks the rollout complete once every data centre's domains hold what the bundle asks for. */
+  /**
+   * Marks the rollout complete once every data centre runs the replicas that the bundle asks for.
+   */
   private void complete(FleetView view) {
     Rollout rollout = view.rollout();
     boolean rolling = rollout.acceptedStage() == Stage.ROLLING;
     if (!rolling || !Progress.of(view).isComplete()) {
       return;
     }
-    StoredObject head = state.object(ObjectNames.ROLLOUT);
-    if (head == null || !rollout.equals(parse(head))) {
+    StoredObject rolloutObject = state.object(ObjectNames.ROLLOUT);
+    if (rolloutObject == null || !rollout.equals(parse(rolloutObject))) {
       return;
     }
-    change(head, rollout.complete(rollout.accepted(), nextOperation(), "coordinator"), "complete");
+    writeRollout(
+        rolloutObject,
+        rollout.complete(rollout.accepted(), nextOperation(), "coordinator"),
+        "complete");
   }
 
-  /** Stops the rollout when a replica that it has rebuilt fails. */
+  /** Stops the rollout when the monitor reports that a replica rebuilt by it has failed. */
   private void stopIfFailing(
       FleetView view, Bundle bundle, Collection<DomainState> domains, Map<String, NodeView> nodes) {
     Rollout rollout = view.rollout();
@@ -265,20 +275,20 @@
       return;
     }
     long nowMillis = TimeUnit.NANOSECONDS.toMillis(context.nowNanos());
-    Optional<String> cause = watch.look(domains, bundle, nodes, nowMillis);
-    StoredObject head = state.object(ObjectNames.ROLLOUT);
-    if (cause.isPresent() && head != null && rollout.equals(parse(head))) {
-      change(
-          head,
+    Optional<String> cause = rolloutMonitor.look(domains, bundle, nodes, nowMillis);
+    StoredObject rolloutObject = state.object(ObjectNames.ROLLOUT);
+    if (cause.isPresent() && rolloutObject != null && rollout.equals(parse(rolloutObject))) {
+      writeRollout(
+          rolloutObject,
           rollout.stop(rollout.accepted(), cause.get(), nextOperation(), "coordinator"),
-          "stopped, since " + cause.get());
+          "stopped: " + cause.get());
     }
   }
 
-  private void change(StoredObject head, Result<Rollout> next, String what) {
+  private void writeRollout(StoredObject rolloutObject, Result<Rollout> next, String what) {
     if (next instanceof Result.Success<Rollout> success) {
       byte[] value = Documents.write(success.value());
-      WriteResult result = store.put(ObjectNames.ROLLOUT, head.version(), value);
+      WriteResult result = store.put(ObjectNames.ROLLOUT, rolloutObject.version(), value);
       if (result instanceof WriteResult.Written written) {
         LOG.info("Revision {} is {}.", success.value().accepted(), what);
         stateService.written(
@@ -287,9 +297,9 @@
     }
   }
 
-  private static @Nullable Rollout parse(StoredObject head) {
+  private static @Nullable Rollout parse(StoredObject rolloutObject) {
     try {
-      return Documents.read(head.value(), Rollout.class);
+      return Documents.read(rolloutObject.value(), Rollout.class);
     } catch (IOException e) {
       return null;
     }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/LeaseManager.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/LeaseManager.java
@@ -15,10 +15,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Takes and renews one lease, a step at a time.
+ * Acquires and renews one lease; the caller runs one step at a time.
  *
- * <p>A holder counts the lease from before it sent the renewal. One who waits counts from after it
- * first saw the lease unchanged, and adds a margin for clocks that run at other rates.
+ * <p>The holder measures the lease's duration from the moment before it sends a renewal. A waiting
+ * daemon measures it from the moment after it first read the current version, and adds a margin for
+ * clocks that run at different rates. So the holder's lease ends before a waiting daemon takes it.
  */
 final class LeaseManager {
 
@@ -31,16 +32,16 @@
   private final long durationMillis;
   private final LongSupplier nanoClock;
   private volatile @Nullable Held held;
-  private @Nullable StoredObject seen;
-  private long seenSinceNanos;
+  private @Nullable StoredObject observed;
+  private long observedSinceNanos;
 
   /**
-   * The lease as this daemon holds it.
+   * The lease while this daemon holds it.
    *
-   * @param lease the lease
-   * @param version the version of its object
-   * @param untilNanos when it ends, by the own monotonic clock
-   * @param takenNanos when this daemon took it
+   * @param lease the lease as last written
+   * @param version the version of the stored object
+   * @param untilNanos when the lease expires, on this daemon's monotonic clock
+   * @param takenNanos when this daemon acquired the lease, on the same clock
    */
   private record Held(Lease lease, long version, long untilNanos, long takenNanos) {}
 
@@ -71,22 +72,22 @@
         : TimeUnit.NANOSECONDS.toMillis(nanoClock.getAsLong() - now.takenNanos());
   }
 
-  /** Tells whether this daemon held the lease at its last step, lapsed or not. */
-  boolean believesToHold() {
+  /** Returns whether this daemon held the lease after its last step; it may have expired since. */
+  boolean heldAtLastStep() {
     return held != null;
   }
 
-  /** Renews the lease when it is held, and looks whether it is free otherwise. */
+  /** Renews the lease if this daemon holds it; otherwise acquires it if it is free or expired. */
   void step() {
     Held now = held;
     if (now == null) {
-      look();
+      tryAcquire();
     } else {
       renew(now);
     }
   }
 
-  /** Gives the lease up, so that another daemon can take it at once. */
+  /** Releases the lease, so that another daemon can acquire it without waiting for its expiry. */
   void release() {
     Held last = held;
     held = null;
@@ -97,25 +98,28 @@
   }
 
   private void renew(Held now) {
-    long asked = nanoClock.getAsLong();
-    if (now.untilNanos() - asked <= 0) {
-      drop(now, "it lapsed before it could be renewed");
+    long sentNanos = nanoClock.getAsLong();
+    if (now.untilNanos() - sentNanos <= 0) {
+      markLost(now, "it expired before it could be renewed");
       return;
     }
     Lease next = now.lease().renewed();
     WriteResult result = store.put(name, now.version(), Documents.write(next));
     if (result instanceof WriteResult.Written written) {
-      hold(next, written.version(), asked, now.takenNanos());
+      hold(next, written.version(), sentNanos, now.takenNanos());
     } else if (result instanceof WriteResult.Conflict) {
-      settle(now);
+      resolveConflict(now);
     } else if (result instanceof WriteResult.Unknown) {
-      readBack(next, asked, now.takenNanos());
+      readBack(next, sentNanos, now.takenNanos());
     }
   }
 
-  /** A conflict may be with an own renewal whose answer was lost earlier. */
-  private void settle(Held now) {
-    Optional<StoredObject> found = find();
+  /**
+   * Resolves a write conflict: the stored version may be an earlier renewal of this daemon whose
+   * response was lost.
+   */
+  private void resolveConflict(Held now) {
+    Optional<StoredObject> found = readObject();
     if (found.isEmpty()) {
       return;
     }
@@ -123,22 +127,25 @@
     if (isOwn(lease) && lease.epoch() == now.lease().epoch()) {
       held = new Held(lease, found.get().version(), now.untilNanos(), now.takenNanos());
     } else {
-      drop(now, "another daemon took it");
+      markLost(now, "another daemon acquired it");
     }
   }
 
-  /** A write whose answer was lost counts from when it was sent, if it is found written. */
-  private void readBack(Lease sent, long asked, long taken) {
-    find()
+  /**
+   * Reads the object after a write without a response. If the write is stored, the lease counts
+   * from the moment at which the write was sent.
+   */
+  private void readBack(Lease sent, long sentNanos, long takenNanos) {
+    readObject()
         .filter(object -> sent.equals(parse(object)))
-        .ifPresent(object -> hold(sent, object.version(), asked, taken));
+        .ifPresent(object -> hold(sent, object.version(), sentNanos, takenNanos));
   }
 
-  private Optional<StoredObject> find() {
+  private Optional<StoredObject> readObject() {
     return store.get(name).fold(each -> each, problem -> Optional.empty());
   }
 
-  private void look() {
+  private void tryAcquire() {
     Result<Optional<StoredObject>> read = store.get(name);
     if (!read.isSuccess()) {
       return;
@@ -146,16 +153,16 @@
     StoredObject object =
         read.fold(each -> each, p -> Optional.<StoredObject>empty()).orElseGet(this::absent);
     long now = nanoClock.getAsLong();
-    StoredObject before = seen;
+    StoredObject before = observed;
     if (before == null || before.version() != object.version()) {
-      seen = object;
-      seenSinceNanos = now;
+      observed = object;
+      observedSinceNanos = now;
     }
     Lease lease = parse(object);
-    double lapse = lease.durationMillis() * CLOCK_RATE_MARGIN;
-    long unchangedMillis = TimeUnit.NANOSECONDS.toMillis(now - seenSinceNanos);
-    if (lease.holder().isEmpty() || unchangedMillis > lapse) {
-      take(lease, object.version());
+    double expiryMillis = lease.durationMillis() * CLOCK_RATE_MARGIN;
+    long unchangedMillis = TimeUnit.NANOSECONDS.toMillis(now - observedSinceNanos);
+    if (lease.holder().isEmpty() || unchangedMillis > expiryMillis) {
+      acquire(lease, object.version());
     }
   }
 
@@ -163,15 +170,15 @@
     return new StoredObject(name, ObjectStore.ABSENT, Documents.write(new Lease("", 0, 0, 0)));
   }
 
-  private void take(Lease lease, long version) {
-    long asked = nanoClock.getAsLong();
+  private void acquire(Lease lease, long version) {
+    long sentNanos = nanoClock.getAsLong();
     Lease next = lease.takenBy(holder, durationMillis);
     WriteResult result = store.put(name, version, Documents.write(next));
     if (result instanceof WriteResult.Written written) {
-      hold(next, written.version(), asked, asked);
-      LOG.info("Took the lease with epoch {}.", next.epoch());
+      hold(next, written.version(), sentNanos, sentNanos);
+      LOG.info("Acquired the lease with epoch {}.", next.epoch());
     } else if (result instanceof WriteResult.Unknown) {
-      readBack(next, asked, asked);
+      readBack(next, sentNanos, sentNanos);
     }
   }
 
@@ -179,15 +186,15 @@
     return lease.holder().equals(holder);
   }
 
-  private void hold(Lease lease, long version, long asked, long taken) {
+  private void hold(Lease lease, long version, long sentNanos, long takenNanos) {
     long duration = TimeUnit.MILLISECONDS.toNanos(lease.durationMillis());
-    held = new Held(lease, version, asked + duration, taken);
+    held = new Held(lease, version, sentNanos + duration, takenNanos);
   }
 
-  private void drop(Held now, String cause) {
-    LOG.warn("Lost the lease of epoch {}, since {}.", now.lease().epoch(), cause);
+  private void markLost(Held now, String cause) {
+    LOG.warn("Lost the lease of epoch {}: {}.", now.lease().epoch(), cause);
     held = null;
-    seen = null;
+    observed = null;
   }
 
   private static Lease parse(StoredObject object) {
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/LeaseService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/LeaseService.java
@@ -10,26 +10,26 @@
 import org.fawnvale.kernel.Service;
 import org.fawnvale.platform.ObjectStore;
 
-/** Holds, or waits for, the lease of this daemon's data centre. */
+/** Keeps the lease of this daemon's data centre, or tries to acquire it, until the daemon stops. */
 public final class LeaseService implements Service {
 
   private static final Logger LOG = LogManager.getLogger("lease");
   private static final int RENEWALS_PER_DURATION = 3;
-  private static final int LOOKS_PER_DURATION = 6;
+  private static final int ATTEMPTS_PER_DURATION = 6;
 
   private final Context context;
-  private final LeaseManager keeper;
+  private final LeaseManager manager;
   private volatile boolean stopped;
 
   /**
    * Creates the service.
    *
-   * @param context what every service needs
-   * @param store the platform
+   * @param context the daemon's settings, identity, clocks and executors
+   * @param store the platform's object store
    */
   public LeaseService(Context context, ObjectStore store) {
     this.context = context;
-    this.keeper =
+    this.manager =
         new LeaseManager(
             store,
             ObjectNames.lease(context.identity().dataCentre()),
@@ -46,37 +46,37 @@
   @Override
   public void stop() {
     stopped = true;
-    synchronized (keeper) {
-      keeper.release();
+    synchronized (manager) {
+      manager.release();
     }
   }
 
   /**
-   * Tells whether the lease is held for some time yet.
+   * Returns whether this daemon holds the lease for more than the given time from now.
    *
-   * @param marginMillis how long it must still be held, milliseconds
-   * @return true when it is
+   * @param marginMillis the remaining time that is needed, in milliseconds
+   * @return true when the remaining time is longer
    */
   public boolean isHeldFor(long marginMillis) {
-    return keeper.isHeldFor(marginMillis);
+    return manager.isHeldFor(marginMillis);
   }
 
   /**
-   * The epoch under which this daemon holds the lease.
+   * Returns the epoch of the lease that this daemon holds.
    *
-   * @return the epoch, or nothing when the lease is not held
+   * @return the epoch; empty when this daemon does not hold the lease
    */
   public Optional<Long> epoch() {
-    return keeper.epoch();
+    return manager.epoch();
   }
 
   /**
-   * How long this daemon has held the lease.
+   * Returns for how long this daemon has held the lease.
    *
-   * @return milliseconds; 0 when it does not
+   * @return milliseconds; 0 when this daemon does not hold it
    */
   public long heldMillis() {
-    return keeper.heldMillis();
+    return manager.heldMillis();
   }
 
   private void loop() {
@@ -84,20 +84,21 @@
     while (!stopped) {
       step();
       long pause =
-          duration / (keeper.believesToHold() ? RENEWALS_PER_DURATION : LOOKS_PER_DURATION);
+          duration / (manager.heldAtLastStep() ? RENEWALS_PER_DURATION : ATTEMPTS_PER_DURATION);
       sleep(pause + ThreadLocalRandom.current().nextLong(1 + pause / 8));
     }
   }
 
   private void step() {
-    synchronized (keeper) {
+    synchronized (manager) {
       if (stopped) {
         return;
       }
       try {
-        keeper.step();
+        manager.step();
       } catch (IllegalStateException e) {
-        LOG.error("{} Mend the object by hand; nothing is coordinated until then.", e.getMessage());
+        LOG.error(
+            "{} Repair the object by hand; no replicas are planned until then.", e.getMessage());
       }
     }
   }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/OrderSender.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/OrderSender.java
@@ -12,7 +12,7 @@
 import org.fawnvale.upstream.EngineClient;
 import org.fawnvale.upstream.OrderResult;
 
-/** Sends orders while the lease covers each order's whole time. */
+/** Sends an order only if the lease outlasts the order's timeout. */
 final class OrderSender {
 
   private static final Logger LOG = LogManager.getLogger("order");
@@ -21,7 +21,7 @@
   private final Context context;
   private final LeaseService lease;
   private final EngineClient engines;
-  private final Set<String> underWay = ConcurrentHashMap.newKeySet();
+  private final Set<String> inFlight = ConcurrentHashMap.newKeySet();
 
   OrderSender(Context context, LeaseService lease, EngineClient engines) {
     this.context = context;
@@ -30,10 +30,10 @@
   }
 
   /**
-   * Sends the orders whose nodes have none under way.
+   * Sends each order in a thread of its own, except to nodes that have an order in flight.
    *
-   * <p>A new holder waits first until any order of the last holder has surely ended, since not all
-   * upstreams check who gives an order.
+   * <p>A new lease holder sends nothing until every order of the previous holder has timed out,
+   * because not all upstreams check an order's epoch.
    */
   void send(List<Order> orders, Map<String, NodeView> nodes) {
     long timeout = context.settings().timing().orderTimeoutMillis();
@@ -41,7 +41,7 @@
       return;
     }
     for (Order order : orders) {
-      if (underWay.add(order.node())) {
+      if (inFlight.add(order.node())) {
         context.executor().execute(() -> send(order, nodes.get(order.node()), timeout));
       }
     }
@@ -59,7 +59,7 @@
         LOG.debug("Node {} did not answer an order: {}", order.node(), unknown.reason());
       }
     } finally {
-      underWay.remove(order.node());
+      inFlight.remove(order.node());
     }
   }
 }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/Progress.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/Progress.java
@@ -11,7 +11,7 @@
 import org.fawnvale.daemon.state.FleetView;
 
 /**
- * How far the domains are on the way to the bundle in force.
+ * Progress of all data centres towards the bundle in force.
  *
  * @param lines one line for each data centre and role
  */
@@ -22,9 +22,9 @@
    *
    * @param dataCentre the data centre
    * @param role the role
-   * @param wanted replicas that the bundle asks for
-   * @param standing replicas that the domains hold
-   * @param current replicas of the bundle's version that are not draining
+   * @param wanted number of replicas that the bundle asks for
+   * @param standing number of replicas in the data centre's domains, of any version
+   * @param current number of those replicas that have the bundle's version and are not draining
    */
   public record Line(String dataCentre, String role, int wanted, int standing, int current) {}
 
@@ -34,10 +34,10 @@
   }
 
   /**
-   * Works the progress out.
+   * Computes the progress.
    *
-   * @param view what is agreed
-   * @return the progress; without lines when no bundle is in force
+   * @param view the shared state
+   * @return the progress; it has no lines when no bundle is in force
    */
   public static Progress of(FleetView view) {
     List<Line> lines = new ArrayList<>();
@@ -72,9 +72,9 @@
   }
 
   /**
-   * Tells whether all replicas stand in the bundle's version.
+   * Returns whether every role has its replicas and all of them have the bundle's version.
    *
-   * @return true when they do
+   * @return true when the rollout has nothing left to do
    */
   public boolean isComplete() {
     return lines.stream()
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/SilenceTracker.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/SilenceTracker.java
@@ -12,10 +12,10 @@
 import org.fawnvale.core.planning.NodeView;
 import org.fawnvale.core.readiness.ReadinessTable;
 
-/** Remembers since when each node has been silent, its last report, and how often it failed. */
+/** Tracks for each node since when it has not reported, its last report and its recent failures. */
 final class SilenceTracker {
 
-  private static final long FAILURE_MEMORY_NANOS = TimeUnit.HOURS.toNanos(6);
+  private static final long FAILURE_RETENTION_NANOS = TimeUnit.HOURS.toNanos(6);
 
   private final Map<String, Long> silentSince = new HashMap<>();
   private final Map<String, NodeReport> lastReports = new HashMap<>();
@@ -23,18 +23,21 @@
 
   private record Failures(int count, long lastNanos) {}
 
-  /** Looks at all nodes; members that the platform no longer lists are kept as unlisted. */
-  Map<String, NodeView> look(
-      List<Node> nodes, Set<String> listedOrMembers, ReadinessTable table, long nowNanos) {
+  /**
+   * Returns a view of each listed node. For a replica member that the platform no longer lists, the
+   * last report and the start of its silence are kept.
+   */
+  Map<String, NodeView> update(
+      List<Node> nodes, Set<String> members, ReadinessTable table, long nowNanos) {
     Map<String, NodeView> views = new HashMap<>();
     for (Node node : nodes) {
       views.put(node.name(), view(node, table, nowNanos));
     }
-    Set<String> known = new HashSet<>(listedOrMembers);
-    known.addAll(views.keySet());
-    silentSince.keySet().retainAll(known);
-    lastReports.keySet().retainAll(known);
-    failures.values().removeIf(each -> nowNanos - each.lastNanos() > FAILURE_MEMORY_NANOS);
+    Set<String> retained = new HashSet<>(members);
+    retained.addAll(views.keySet());
+    silentSince.keySet().retainAll(retained);
+    lastReports.keySet().retainAll(retained);
+    failures.values().removeIf(each -> nowNanos - each.lastNanos() > FAILURE_RETENTION_NANOS);
     return views;
   }
 
@@ -59,7 +62,7 @@
   }
 
   private int failuresOf(String node) {
-    Failures known = failures.get(node);
-    return known == null ? 0 : known.count();
+    Failures recent = failures.get(node);
+    return recent == null ? 0 : recent.count();
   }
 }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/package-info.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/package-info.java
@@ -1,4 +1,6 @@
-/** What only one daemon of a data centre does at a time: deciding and ordering. */
+/**
+ * Planning replicas and sending orders, by the one daemon of a data centre that holds its lease.
+ */
 @NullMarked
 package org.fawnvale.daemon.coordinate;
 
--- a/fawnvale-daemon/src/test/java/org/fawnvale/daemon/coordinate/MembershipFuzzTest.java
+++ b/fawnvale-daemon/src/test/java/org/fawnvale/daemon/coordinate/MembershipFuzzTest.java
@@ -42,10 +42,9 @@
 import org.fawnvale.platform.StoredObject;
 
 /**
- * No node is ever in two replicas that may serve, and none may serve without all its members:
- * several coordinators that all believe to hold the lease, with old copies of the domain, old
- * evidence, orders that arrive late, lost answers, nodes that die, return and restart; engines that
- * check fences and engines that do not.
+ * Checks that no node is a member of two replicas that may serve and that no replica may serve
+ * while a member is down. Several coordinators plan at once with stale copies and stale reports,
+ * orders arrive late, responses are lost, and nodes stop and restart.
  */
 class MembershipFuzzTest {
 
@@ -64,36 +63,36 @@
           List.of(),
           new Policy(1, 1, 0));
 
-  /** What happens next. */
+  /** Kind of a step. */
   enum Kind {
     PLAN,
     READ,
-    LOOK,
+    OBSERVE,
     DELIVER,
-    TURN,
+    TOGGLE,
     RESTART
   }
 
   /** One step. */
   record Step(Kind kind, int coordinator, int node, FakeStore.Fault fault) {}
 
-  /** A node's engine. */
+  /** Simulated engine of one node, with or without a check of the orders' epoch and generation. */
   private static final class Engine {
     private final String name;
-    private final boolean checks;
+    private final boolean checksFencing;
     private boolean alive = true;
     private int incarnation;
     private Order order;
     private long epoch;
     private long generation;
 
-    Engine(int number, boolean checks) {
+    Engine(int number, boolean checksFencing) {
       this.name = "n" + number;
-      this.checks = checks;
+      this.checksFencing = checksFencing;
     }
 
     void take(Order next) {
-      if (checks && (next.epoch() < epoch || next.generation() < generation)) {
+      if (checksFencing && (next.epoch() < epoch || next.generation() < generation)) {
         return;
       }
       epoch = Math.max(epoch, next.epoch());
@@ -125,7 +124,7 @@
     }
   }
 
-  /** A coordinator with its own copies of everything. */
+  /** A coordinator with its own, possibly stale, copies of the domain and of the nodes' reports. */
   private static final class Coordinator {
     private final long epoch;
     private DomainState copy = DomainState.empty("dc", "f");
@@ -148,10 +147,10 @@
     List<Coordinator> coordinators = new ArrayList<>();
     for (int i = 0; i < COORDINATORS; i++) {
       coordinators.add(new Coordinator(i + 1));
-      look(coordinators.get(i), engines);
+      observe(coordinators.get(i), engines);
     }
-    Deque<Order> onTheWay = new ArrayDeque<>();
-    Set<Replica> everDecided = new HashSet<>();
+    Deque<Order> inFlight = new ArrayDeque<>();
+    Set<Replica> everStored = new HashSet<>();
     for (Step step : steps) {
       Coordinator coordinator = coordinators.get(step.coordinator());
       Engine engine = engines.get(step.node());
@@ -159,20 +158,20 @@
       switch (step.kind()) {
         case PLAN -> {
           store.failWith(step::fault);
-          plan(coordinator, store, onTheWay);
+          plan(coordinator, store, inFlight);
         }
         case READ -> read(coordinator, store);
-        case LOOK -> look(coordinator, engines);
-        case DELIVER -> deliver(onTheWay, engines, step.node());
-        case TURN -> engine.alive = !engine.alive;
+        case OBSERVE -> observe(coordinator, engines);
+        case DELIVER -> deliver(inFlight, engines, step.node());
+        case TOGGLE -> engine.alive = !engine.alive;
         default -> engine.restart();
       }
-      everDecided.addAll(decided(store));
-      check(engines, everDecided);
+      everStored.addAll(storedReplicas(store));
+      check(engines, everStored);
     }
   }
 
-  private static void plan(Coordinator coordinator, FakeStore store, Deque<Order> onTheWay) {
+  private static void plan(Coordinator coordinator, FakeStore store, Deque<Order> inFlight) {
     Plan plan =
         Planner.plan(
             new PlanInput(
@@ -190,7 +189,7 @@
         coordinator.version = written.version();
       }
     }
-    onTheWay.addAll(Orders.due(coordinator.copy, BUNDLE, coordinator.views, coordinator.epoch));
+    inFlight.addAll(Orders.due(coordinator.copy, BUNDLE, coordinator.views, coordinator.epoch));
   }
 
   private static void read(Coordinator coordinator, FakeStore store) throws IOException {
@@ -201,7 +200,7 @@
     }
   }
 
-  private static void look(Coordinator coordinator, List<Engine> engines) {
+  private static void observe(Coordinator coordinator, List<Engine> engines) {
     Map<String, NodeView> views = new HashMap<>();
     for (Engine engine : engines) {
       Node node = new Node(engine.name, "dc", "f", "", "", null, false);
@@ -210,12 +209,12 @@
     coordinator.views = views;
   }
 
-  /** Orders come late, in any order, and to dead nodes not at all. */
-  private static void deliver(Deque<Order> onTheWay, List<Engine> engines, int which) {
-    for (int i = 0; i < which && onTheWay.size() > 1; i++) {
-      onTheWay.add(onTheWay.poll());
+  /** Delivers one order, late and out of sequence; a node that is down loses its order. */
+  private static void deliver(Deque<Order> inFlight, List<Engine> engines, int which) {
+    for (int i = 0; i < which && inFlight.size() > 1; i++) {
+      inFlight.add(inFlight.poll());
     }
-    Order order = onTheWay.poll();
+    Order order = inFlight.poll();
     if (order == null) {
       return;
     }
@@ -226,22 +225,22 @@
     }
   }
 
-  private static List<Replica> decided(FakeStore store) throws IOException {
+  private static List<Replica> storedReplicas(FakeStore store) throws IOException {
     Optional<StoredObject> stored = store.stored(DOMAIN);
     return stored.isEmpty()
         ? List.of()
         : Documents.read(stored.get().value(), DomainState.class).replicas();
   }
 
-  /** The oracle: gateways may know any replica that was ever decided, and the nodes as they are. */
-  private static void check(List<Engine> engines, Set<Replica> everDecided) {
+  /** Checks every replica that was ever stored, because a gateway may still know it. */
+  private static void check(List<Engine> engines, Set<Replica> everStored) {
     ReadinessTable table = ReadinessTable.create(FRESH);
     List<NodeReport> reports = new ArrayList<>();
     engines.stream().filter(each -> each.alive).forEach(each -> reports.add(each.report()));
     table.vouch("prober", 1, reports);
     table.renew("prober", 1, 0, new int[0]);
     Map<String, Replica> serving = new HashMap<>();
-    for (Replica replica : everDecided) {
+    for (Replica replica : everStored) {
       if (table.mayServe(replica, 0)) {
         for (String member : replica.members()) {
           Replica other = serving.put(member, replica);
@@ -258,9 +257,9 @@
         Arbitraries.frequency(
             Tuple.of(5, Kind.PLAN),
             Tuple.of(3, Kind.READ),
-            Tuple.of(4, Kind.LOOK),
+            Tuple.of(4, Kind.OBSERVE),
             Tuple.of(14, Kind.DELIVER),
-            Tuple.of(1, Kind.TURN),
+            Tuple.of(1, Kind.TOGGLE),
             Tuple.of(1, Kind.RESTART));
     Arbitrary<FakeStore.Fault> fault =
         Arbitraries.frequency(
