--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/evidence/EvidenceService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/evidence/EvidenceService.java
@@ -25,9 +25,10 @@
 import org.fawnvale.wire.Message;
 
 /**
- * Probes nodes, tells the other daemons of the data centre what was found, and hears from them.
+ * Probes nodes and exchanges the nodes' reports with the other daemons of the data centre.
  *
- * <p>What was found is sent when it changes; beats only renew it, so that they stay small.
+ * <p>A daemon sends its reports only when they change. Its periodic heartbeats renew the last
+ * reports and carry the nodes' loads instead of whole reports, which keeps them small.
  */
 public final class EvidenceService implements Service {
 
@@ -40,21 +41,21 @@
   private final Prober prober;
   private final ObjIntConsumer<String> onLoad;
   private final Map<String, StampLog> stamps = new ConcurrentHashMap<>();
-  private final Map<String, HeardPeer> heard = new ConcurrentHashMap<>();
-  private List<NodeReport> vouched = List.of();
+  private final Map<String, PeerContact> contacts = new ConcurrentHashMap<>();
+  private List<NodeReport> sentReports = List.of();
   private long vouchVersion;
 
-  private record HeardPeer(String incarnation, long atNanos, List<String> nodes) {}
+  private record PeerContact(String incarnation, long atNanos, List<String> nodes) {}
 
   /**
    * Creates the service.
    *
-   * @param context what every service needs
-   * @param state tells the nodes
-   * @param peers links to the other daemons
-   * @param table takes the evidence
-   * @param probe asks one node for its report
-   * @param onLoad told the load that a node has reported
+   * @param context the daemon's settings, identity, clocks and executors
+   * @param state supplies the listed nodes
+   * @param peers the links to the other daemons
+   * @param table receives the reports of this daemon and of its peers
+   * @param probe requests one node's report within a timeout in milliseconds
+   * @param onLoad receives a node's name and its running plus waiting requests
    */
   public EvidenceService(
       Context context,
@@ -68,18 +69,18 @@
     this.peers = peers;
     this.table = table;
     this.onLoad = onLoad;
-    this.prober = new Prober(context, probe::apply, this::beatSoon);
+    this.prober = new Prober(context, probe::apply, this::scheduleHeartbeat);
   }
 
   @Override
   public void start() {
     DaemonSettings.Timing timing = context.settings().timing();
-    peers.on(Message.Beat.class, this::beatReceived);
+    peers.on(Message.Beat.class, this::heartbeatReceived);
     peers.on(Message.Vouches.class, this::vouchesReceived);
-    peers.onDialed(this::introduce);
-    state.onChange(this::distrustLeaving);
-    every(timing.probeMillis(), this::probeRound);
-    every(timing.beatMillis(), this::beat);
+    peers.onDialed(this::sendCurrentReports);
+    state.onChange(this::excludeLeavingNodes);
+    every(timing.probeMillis(), this::probeNodes);
+    every(timing.beatMillis(), this::sendHeartbeat);
   }
 
   private void every(long millis, Runnable task) {
@@ -91,20 +92,20 @@
 
   @Override
   public void stop() {
-    // The scheduler and the links are stopped by their owners.
+    // The daemon stops the scheduler; the peer service closes the links.
   }
 
   /**
-   * Daemons of the data centre that beat, and this one.
+   * Returns this daemon and the daemons of its data centre that sent a message recently.
    *
-   * @return their names
+   * @return the names of the daemons
    */
   public Set<String> liveDaemons() {
     long limit = TimeUnit.MILLISECONDS.toNanos(context.settings().timing().freshMillis());
     long now = context.nowNanos();
     Set<String> live = new HashSet<>();
     live.add(context.identity().daemon());
-    heard.forEach(
+    contacts.forEach(
         (name, peer) -> {
           if (now - peer.atNanos() <= limit) {
             live.add(name);
@@ -113,38 +114,38 @@
     return live;
   }
 
-  private void probeRound() {
+  private void probeNodes() {
     List<Node> nodes = state.view().nodesOf(context.identity().dataCentre());
-    prober.round(nodes, liveDaemons());
+    prober.probeAll(nodes, liveDaemons());
   }
 
-  private void beatSoon() {
-    context.executor().execute(this::beat);
+  private void scheduleHeartbeat() {
+    context.executor().execute(this::sendHeartbeat);
   }
 
-  private synchronized void beat() {
+  private synchronized void sendHeartbeat() {
     long now = context.nowNanos();
-    List<Prober.Found> found = prober.fresh(now);
+    List<Prober.ProbeReport> probed = prober.fresh(now);
     List<NodeReport> reports = new ArrayList<>();
     long oldest = now;
-    int[] loads = new int[found.size()];
+    int[] loads = new int[probed.size()];
     for (int i = 0; i < loads.length; i++) {
-      NodeReport report = found.get(i).report();
+      NodeReport report = probed.get(i).report();
       loads[i] = report.running() + report.waiting();
       reports.add(report.withLoad(0));
-      oldest = Math.min(oldest, found.get(i).startedNanos());
+      oldest = Math.min(oldest, probed.get(i).startedNanos());
     }
-    boolean changed = !reports.equals(vouched);
+    boolean changed = !reports.equals(sentReports);
     Set<String> lost = Set.of();
     if (changed) {
-      vouched = reports;
+      sentReports = reports;
       vouchVersion++;
       lost = prober.takeLost();
       lost.forEach(node -> table.suspect(node, now));
       table.vouch(context.holder(), vouchVersion, reports);
     }
     table.renew(context.holder(), vouchVersion, oldest, loads);
-    passLoads(reports, loads);
+    reportLoads(reports, loads);
     for (Link link : peers.linksTo(context.identity().dataCentre())) {
       if (changed) {
         link.send(vouches(lost));
@@ -154,13 +155,13 @@
     }
   }
 
-  private void passLoads(List<NodeReport> reports, int[] loads) {
+  private void reportLoads(List<NodeReport> reports, int[] loads) {
     for (int i = 0; i < loads.length; i++) {
       onLoad.accept(reports.get(i).node(), loads[i]);
     }
   }
 
-  private synchronized void introduce(Link link) {
+  private synchronized void sendCurrentReports(Link link) {
     if (link.peer().dataCentre().equals(context.identity().dataCentre())) {
       link.send(vouches(Set.of()));
       link.send(
@@ -170,7 +171,7 @@
 
   private Message.Vouches vouches(Set<String> lost) {
     List<Message.Vouch> wire = new ArrayList<>();
-    for (NodeReport report : vouched) {
+    for (NodeReport report : sentReports) {
       wire.add(
           new Message.Vouch(
               report.node(),
@@ -192,13 +193,13 @@
     return link.peer().daemon() + "/" + link.peer().incarnation();
   }
 
-  private void beatReceived(Link link, Message.Beat beat) {
+  private void heartbeatReceived(Link link, Message.Beat beat) {
     if (!link.peer().dataCentre().equals(context.identity().dataCentre())) {
       return;
     }
     long now = context.nowNanos();
     stampsOf(link).add(beat.stamp(), now);
-    List<String> nodes = hear(link, now);
+    List<String> nodes = recordContact(link, now);
     if (beat.echo() != 0) {
       table.renew(key(link), beat.vouchVersion(), beat.echo(), beat.loads());
     }
@@ -208,10 +209,10 @@
     }
   }
 
-  private List<String> hear(Link link, long now) {
+  private List<String> recordContact(Link link, long now) {
     String incarnation = link.peer().incarnation();
-    HeardPeer next =
-        heard.compute(
+    PeerContact next =
+        contacts.compute(
             link.peer().daemon(),
             (name, before) -> {
               boolean same = before != null && before.incarnation().equals(incarnation);
@@ -219,7 +220,7 @@
                 table.forget(name + "/" + before.incarnation());
                 stamps.remove(name + "/" + before.incarnation());
               }
-              return new HeardPeer(incarnation, now, same ? before.nodes() : List.of());
+              return new PeerContact(incarnation, now, same ? before.nodes() : List.of());
             });
     return next.nodes();
   }
@@ -229,7 +230,7 @@
       return;
     }
     long now = context.nowNanos();
-    hear(link, now);
+    recordContact(link, now);
     List<NodeReport> reports = new ArrayList<>();
     List<String> nodes = new ArrayList<>();
     for (Message.Vouch vouch : vouches.nodes()) {
@@ -238,8 +239,8 @@
     }
     vouches.lost().forEach(node -> table.suspect(node, now));
     table.vouch(key(link), vouches.version(), reports);
-    heard.put(
-        link.peer().daemon(), new HeardPeer(link.peer().incarnation(), now, List.copyOf(nodes)));
+    contacts.put(
+        link.peer().daemon(), new PeerContact(link.peer().incarnation(), now, List.copyOf(nodes)));
   }
 
   private static Optional<NodeReport> toReport(Message.Vouch vouch) {
@@ -256,12 +257,15 @@
               0,
               0));
     } catch (IllegalArgumentException e) {
-      LOG.warn("A peer reports an unknown state {} of {}.", vouch.state(), vouch.node());
+      LOG.warn(
+          "A peer reports the unknown state {} for node {}; the report is ignored.",
+          vouch.state(),
+          vouch.node());
       return Optional.empty();
     }
   }
 
-  private void distrustLeaving(FleetView view) {
+  private void excludeLeavingNodes(FleetView view) {
     Set<String> leaving = new HashSet<>();
     for (Node node : view.nodesOf(context.identity().dataCentre())) {
       if (node.leaving()) {
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/evidence/NodeProbe.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/evidence/NodeProbe.java
@@ -14,7 +14,7 @@
 import org.fawnvale.upstream.UpstreamClient;
 import org.fawnvale.upstream.UpstreamRequest;
 
-/** Probes a node by what stands there: an engine's report, or a plain service's health page. */
+/** Probes a node: requests an engine's report, or the health endpoint of a plain service. */
 public final class NodeProbe {
 
   private static final int MAXIMUM_HEALTH_BYTES = 64 * 1024;
@@ -33,9 +33,9 @@
   /**
    * Creates a probe.
    *
-   * @param engines asks engines
-   * @param upstream asks plain services
-   * @param context what every service needs
+   * @param engines the client for engines
+   * @param upstream the client for plain services
+   * @param context the daemon's settings, identity, clocks and executors
    * @return the probe
    */
   public static NodeProbe create(EngineClient engines, UpstreamClient upstream, Context context) {
@@ -46,8 +46,8 @@
    * Probes a node.
    *
    * @param node the node
-   * @param timeoutMillis how long to wait, milliseconds
-   * @return its report, or why there is none
+   * @param timeoutMillis the timeout in milliseconds
+   * @return the node's report, or the problem that prevented it
    */
   public Result<NodeReport> ask(Node node, long timeoutMillis) {
     return node.service() == null
@@ -70,8 +70,8 @@
     Deadline deadline = Deadline.in(context.nanoClock(), timeoutMillis);
     if (upstream.open(request, deadline) instanceof OpenResult.Opened opened) {
       try (OpenAnswer answer = opened.answer()) {
-        boolean whole = answer.readWhole(MAXIMUM_HEALTH_BYTES).isSuccess();
-        if (whole && answer.status() < FIRST_ERROR_STATUS) {
+        boolean complete = answer.readWhole(MAXIMUM_HEALTH_BYTES).isSuccess();
+        if (complete && answer.status() < FIRST_ERROR_STATUS) {
           return Result.success(healthy(node));
         }
       }
@@ -79,8 +79,8 @@
     return Result.failure(
         Problem.of(
             ProblemKind.UNAVAILABLE,
-            "Node " + node.name() + " of service " + node.service() + " does not answer.",
-            "Look at the service."));
+            "Node " + node.name() + " of service " + node.service() + " failed its health check.",
+            "Check the service and its health endpoint."));
   }
 
   private static NodeReport healthy(Node node) {
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/evidence/Prober.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/evidence/Prober.java
@@ -16,21 +16,25 @@
 import org.fawnvale.daemon.Context;
 import org.jspecify.annotations.Nullable;
 
-/** Asks the nodes that fall to this daemon for their reports, each in turn and all at once. */
+/**
+ * Probes the nodes that are assigned to this daemon: all nodes concurrently, with at most one probe
+ * in flight to each.
+ */
 final class Prober {
 
   private static final int PROBERS_PER_NODE = 2;
 
-  /** A node that falls to another prober is probed on until that one has surely begun. */
-  private static final long HAND_OVER_NANOS = TimeUnit.SECONDS.toNanos(5);
+  /** How long this daemon still probes a node after the node was assigned to other daemons. */
+  private static final long HANDOVER_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-  /** Which nodes fall to this daemon, and what that depends on. */
-  private record Share(Collection<Node> nodes, Collection<String> daemons, List<Node> own) {}
+  /** The nodes assigned to this daemon, with the input that the assignment was computed from. */
+  private record Assignment(
+      Collection<Node> nodes, Collection<String> daemons, List<Node> assignedNodes) {}
 
-  /** One answered probe. */
-  record Found(long startedNanos, NodeReport report) {}
+  /** A node's report and the time at which its probe was sent. */
+  record ProbeReport(long startedNanos, NodeReport report) {}
 
-  /** Asks one node. */
+  /** Requests the report of one node. */
   @FunctionalInterface
   interface Probe {
     Result<NodeReport> ask(Node node, long timeoutMillis);
@@ -40,11 +44,11 @@
   private final Executor executor;
   private final Probe probe;
   private final Runnable onChange;
-  private final Map<String, Found> found = new ConcurrentSkipListMap<>();
-  private volatile @Nullable Share share;
-  private final Set<String> asked = ConcurrentHashMap.newKeySet();
+  private final Map<String, ProbeReport> reports = new ConcurrentSkipListMap<>();
+  private volatile @Nullable Assignment assignment;
+  private final Set<String> inFlight = ConcurrentHashMap.newKeySet();
   private final Set<String> lost = ConcurrentHashMap.newKeySet();
-  private final Map<String, Long> ownUntil = new ConcurrentHashMap<>();
+  private final Map<String, Long> probeUntil = new ConcurrentHashMap<>();
 
   Prober(Context context, Probe probe, Runnable onChange) {
     this.context = context;
@@ -53,37 +57,37 @@
     this.onChange = onChange;
   }
 
-  /** Starts a probe of each node that falls to this daemon and that no probe is under way to. */
-  void round(Collection<Node> nodes, Collection<String> liveDaemons) {
-    List<Node> own = own(nodes, liveDaemons);
+  /** Starts a probe of each node assigned to this daemon that has no probe in flight. */
+  void probeAll(Collection<Node> nodes, Collection<String> liveDaemons) {
+    List<Node> assignedNodes = assignedNodes(nodes, liveDaemons);
     long now = context.nowNanos();
-    own.forEach(node -> ownUntil.put(node.name(), now + HAND_OVER_NANOS));
-    ownUntil.values().removeIf(until -> until - now < 0);
-    found.keySet().retainAll(ownUntil.keySet());
+    assignedNodes.forEach(node -> probeUntil.put(node.name(), now + HANDOVER_NANOS));
+    probeUntil.values().removeIf(until -> until - now < 0);
+    reports.keySet().retainAll(probeUntil.keySet());
     for (Node node : nodes) {
-      if (ownUntil.containsKey(node.name()) && asked.add(node.name())) {
+      if (probeUntil.containsKey(node.name()) && inFlight.add(node.name())) {
         executor.execute(() -> ask(node));
       }
     }
   }
 
-  /** The nodes that fall to this daemon; worked out anew only when nodes or daemons change. */
-  private List<Node> own(Collection<Node> nodes, Collection<String> liveDaemons) {
-    Share last = share;
+  /** Returns the nodes assigned to this daemon; recomputed only when nodes or daemons change. */
+  private List<Node> assignedNodes(Collection<Node> nodes, Collection<String> liveDaemons) {
+    Assignment last = assignment;
     if (last != null && last.nodes().equals(nodes) && last.daemons().equals(liveDaemons)) {
-      return last.own();
+      return last.assignedNodes();
     }
     String self = context.identity().daemon();
-    List<Node> own =
+    List<Node> assignedNodes =
         nodes.stream()
             .filter(
                 node -> Rendezvous.pick(node.name(), liveDaemons, PROBERS_PER_NODE).contains(self))
             .toList();
-    share = new Share(nodes, liveDaemons, own);
-    return own;
+    assignment = new Assignment(nodes, liveDaemons, assignedNodes);
+    return assignedNodes;
   }
 
-  /** Nodes that stopped answering since the last call. */
+  /** Returns and clears the nodes that stopped answering since the last call. */
   Set<String> takeLost() {
     Set<String> taken = new HashSet<>(lost);
     lost.removeAll(taken);
@@ -95,39 +99,40 @@
       long started = context.nowNanos();
       Result<NodeReport> result = probe.ask(node, context.settings().timing().probeTimeoutMillis());
       boolean changed =
-          result.fold(report -> noteAnswer(started, report), problem -> noteSilence(node.name()));
+          result.fold(
+              report -> recordReport(started, report), problem -> recordFailure(node.name()));
       if (changed) {
         onChange.run();
       }
     } finally {
-      asked.remove(node.name());
+      inFlight.remove(node.name());
     }
   }
 
-  private boolean noteAnswer(long started, NodeReport report) {
-    Found before = found.put(report.node(), new Found(started, report));
+  private boolean recordReport(long started, NodeReport report) {
+    ProbeReport before = reports.put(report.node(), new ProbeReport(started, report));
     return before == null || !before.report().withLoad(0).equals(report.withLoad(0));
   }
 
-  private boolean noteSilence(String node) {
-    boolean wasFound = found.remove(node) != null;
-    if (wasFound) {
+  private boolean recordFailure(String node) {
+    boolean hadReport = reports.remove(node) != null;
+    if (hadReport) {
       lost.add(node);
     }
-    return wasFound;
+    return hadReport;
   }
 
-  /** The fresh answers, in the order of the nodes' names. */
-  List<Found> fresh(long nowNanos) {
-    DaemonTimes times = DaemonTimes.of(context.settings().timing());
-    found.values().removeIf(each -> nowNanos - each.startedNanos() > times.probeAgeNanos());
-    return List.copyOf(found.values());
+  /** Returns the reports that are still fresh, ordered by node name. */
+  List<ProbeReport> fresh(long nowNanos) {
+    ReportAge times = ReportAge.of(context.settings().timing());
+    reports.values().removeIf(each -> nowNanos - each.startedNanos() > times.maximumNanos());
+    return List.copyOf(reports.values());
   }
 
-  /** How old an answer may be before it no longer counts. */
-  private record DaemonTimes(long probeAgeNanos) {
-    static DaemonTimes of(org.fawnvale.core.settings.DaemonSettings.Timing timing) {
-      return new DaemonTimes(
+  /** The maximum age of a report, counted from when its probe was sent. */
+  private record ReportAge(long maximumNanos) {
+    static ReportAge of(org.fawnvale.core.settings.DaemonSettings.Timing timing) {
+      return new ReportAge(
           TimeUnit.MILLISECONDS.toNanos(2 * timing.probeMillis() + timing.probeTimeoutMillis()));
     }
   }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/evidence/package-info.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/evidence/package-info.java
@@ -1,4 +1,4 @@
-/** Probes of nodes, and the beats that carry what they found. */
+/** Probes of nodes, and the heartbeats that share the probes' reports between daemons. */
 @NullMarked
 package org.fawnvale.daemon.evidence;
 
