--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/DaemonList.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/DaemonList.java
@@ -5,10 +5,10 @@
 import org.fawnvale.core.model.Registration;
 
 /**
- * The daemons of one data centre, as they have registered themselves.
+ * The registered daemons of one data centre.
  *
  * @param daemons the registrations
- * @param operation identifies the write
+ * @param operation identifier of the write that stored this list
  */
 public record DaemonList(List<Registration> daemons, String operation) {
 
@@ -18,17 +18,18 @@
   }
 
   /**
-   * Adds a daemon in place of one with the same name or address.
+   * Returns the list with a daemon added; it replaces daemons with the same name or address.
    *
    * @param added the daemon
-   * @param nextOperation identifies the write
+   * @param nextOperation identifier of the write that will store the new list
    * @return the new list
    */
   public DaemonList with(Registration added, String nextOperation) {
     List<Registration> next = new ArrayList<>();
     for (Registration each : daemons) {
-      boolean replaced = each.name().equals(added.name()) || each.address().equals(added.address());
-      if (!replaced) {
+      boolean isReplaced =
+          each.name().equals(added.name()) || each.address().equals(added.address());
+      if (!isReplaced) {
         next.add(each);
       }
     }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/Documents.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/Documents.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** JSON values of the platform's objects; keys that a newer daemon added are passed over. */
+/** Converts the values of the platform's objects from and to JSON; unknown keys are ignored. */
 public final class Documents {
 
   private static final ObjectMapper MAPPER =
@@ -16,10 +16,10 @@
   private Documents() {}
 
   /**
-   * Writes a value.
+   * Serializes a value.
    *
    * @param value the value
-   * @return its JSON
+   * @return the value as JSON
    */
   public static byte[] write(Object value) {
     try {
@@ -30,13 +30,13 @@
   }
 
   /**
-   * Reads a value.
+   * Parses a value.
    *
-   * @param json its JSON
-   * @param type its type
-   * @param <T> its type
+   * @param json the value as JSON
+   * @param type the class of the value
+   * @param <T> the type of the value
    * @return the value
-   * @throws IOException when the JSON holds no such value
+   * @throws IOException if the JSON is malformed or does not fit the type
    */
   public static <T> T read(byte[] json, Class<T> type) throws IOException {
     return MAPPER.readValue(json, type);
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/FleetState.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/FleetState.java
@@ -22,8 +22,9 @@
 /**
  * This daemon's copy of the shared objects.
  *
- * <p>An object is replaced only by a higher version of itself, whoever brings it, so nothing
- * reverts. The head of the bundles comes into force together with the bundle that it names.
+ * <p>An object is replaced only by a higher version of itself, whether it comes from the platform
+ * or from a peer, so no object reverts to an earlier state. A new rollout object takes effect only
+ * once the bundle of its accepted revision is known.
  */
 public final class FleetState {
 
@@ -37,35 +38,35 @@
   private volatile long confirmedNanos = Long.MIN_VALUE;
 
   /**
-   * What is agreed, as far as this daemon knows.
+   * Returns the shared state as this daemon knows it.
    *
-   * @return the view
+   * @return the latest view
    */
   public FleetView view() {
     return view;
   }
 
   /**
-   * Asks to be told of each new view.
+   * Registers a listener for new views.
    *
-   * @param listener told in the thread that brings the change
+   * @param listener called with each new view, in the thread that applies the change
    */
   public void onChange(Consumer<FleetView> listener) {
     listeners.add(listener);
   }
 
   /**
-   * Takes objects that are newer than what is known.
+   * Applies the objects that are newer than this daemon's copies; notifies the listeners if any is.
    *
    * @param offered the objects, from the platform or from a peer
-   * @return those that were newer
+   * @return the objects that were applied
    */
   public List<StoredObject> apply(Collection<StoredObject> offered) {
     List<StoredObject> newer = new ArrayList<>();
     FleetView next;
     synchronized (this) {
       for (StoredObject object : offered) {
-        if (take(object)) {
+        if (applyIfNewer(object)) {
           newer.add(object);
         }
       }
@@ -81,7 +82,7 @@
     return newer;
   }
 
-  private boolean take(StoredObject object) {
+  private boolean applyIfNewer(StoredObject object) {
     StoredObject known = objects.get(object.name());
     if (known != null && known.version() >= object.version()) {
       return false;
@@ -94,7 +95,7 @@
       }
       return true;
     } catch (IOException | IllegalArgumentException e) {
-      LOG.error("Object {} cannot be read; the last good version stays.", object.name(), e);
+      LOG.error("Object {} cannot be parsed; keeping the last valid version.", object.name(), e);
       return false;
     }
   }
@@ -122,15 +123,15 @@
   private FleetView build() {
     Rollout rollout = view.rollout();
     Bundle bundle = view.bundle();
-    Object head = values.get(ObjectNames.ROLLOUT);
-    if (head instanceof Rollout candidate) {
+    Object rolloutObject = values.get(ObjectNames.ROLLOUT);
+    if (rolloutObject instanceof Rollout candidate) {
       Object named = values.get(ObjectNames.bundle(candidate.accepted()));
       if (candidate.accepted() == 0 || named instanceof Bundle) {
         rollout = candidate;
         bundle = (Bundle) named;
       }
     }
-    forgetBundlesBefore(rollout.accepted());
+    removeBundlesBefore(rollout.accepted());
     Map<String, DomainState> domains = new HashMap<>();
     Map<String, Long> versions = new HashMap<>();
     List<Registration> daemons = new ArrayList<>();
@@ -149,7 +150,7 @@
     return new FleetView(rollout, bundle, domains, versions, daemons, nodes);
   }
 
-  private void forgetBundlesBefore(long accepted) {
+  private void removeBundlesBefore(long accepted) {
     objects.keySet().removeIf(name -> isBundleBefore(name, accepted));
     values.keySet().removeIf(name -> isBundleBefore(name, accepted));
   }
@@ -160,9 +161,9 @@
   }
 
   /**
-   * The version of each object.
+   * Returns the version of each object.
    *
-   * @return versions by name
+   * @return the versions by object name
    */
   public synchronized Map<String, Long> versions() {
     Map<String, Long> versions = new HashMap<>();
@@ -171,10 +172,10 @@
   }
 
   /**
-   * Objects that are newer than what somebody else has.
+   * Returns the objects that are newer than a peer's copies.
    *
-   * @param versions the other's versions by name
-   * @return the objects
+   * @param versions the peer's versions by object name; an absent object counts as version 0
+   * @return the newer objects
    */
   public synchronized List<StoredObject> newerThan(Map<String, Long> versions) {
     List<StoredObject> newer = new ArrayList<>();
@@ -187,37 +188,37 @@
   }
 
   /**
-   * One object.
+   * Returns one object.
    *
-   * @param name its name
-   * @return the object, or null when it is not known
+   * @param name the object's name
+   * @return the object, or null if this daemon has no copy of it
    */
   public synchronized @Nullable StoredObject object(String name) {
     return objects.get(name);
   }
 
   /**
-   * The newest revision of the platform that is known.
+   * Returns the highest version of all objects but the lists of nodes.
    *
-   * @return the revision
+   * @return the version; 0 before the first object
    */
   public long revision() {
     return revision;
   }
 
   /**
-   * Notes that the platform has confirmed all that is known.
+   * Records that the platform confirmed this daemon's copies as current.
    *
-   * @param nanos when it did, own monotonic clock
+   * @param nanos the time of the confirmation, on this daemon's monotonic clock
    */
   public synchronized void confirmed(long nanos) {
     confirmedNanos = Math.max(confirmedNanos, nanos);
   }
 
   /**
-   * When the platform last confirmed what is known, directly or through peers.
+   * Returns when the platform last confirmed this daemon's copies, directly or through a peer.
    *
-   * @return own monotonic clock, nanoseconds; {@link Long#MIN_VALUE} for never
+   * @return nanoseconds on this daemon's monotonic clock; {@link Long#MIN_VALUE} if never
    */
   public long confirmedNanos() {
     return confirmedNanos;
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/FleetView.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/FleetView.java
@@ -12,12 +12,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * All that is agreed, at one moment.
+ * An immutable snapshot of the shared state.
  *
- * @param rollout the head of all bundles
- * @param bundle the bundle in force; null before the first
+ * @param rollout the rollout, which names the latest and the accepted revision of the bundles
+ * @param bundle the bundle in force; null before the first one
  * @param domains the fabric domains by object name
- * @param domainVersions the version of each domain's object
+ * @param domainVersions the version of each domain's object, by object name
  * @param daemons all registered daemons
  * @param nodes the listed nodes by data centre
  */
@@ -29,7 +29,7 @@
     List<Registration> daemons,
     Map<String, List<Node>> nodes) {
 
-  /** Nothing is agreed yet. */
+  /** The state before any object is known. */
   public static final FleetView EMPTY =
       new FleetView(Rollout.EMPTY, null, Map.of(), Map.of(), List.of(), Map.of());
 
@@ -42,10 +42,10 @@
   }
 
   /**
-   * The domains of a data centre, by name of the domain.
+   * Returns the fabric domains of a data centre.
    *
    * @param dataCentre the data centre
-   * @return the domains
+   * @return the domains by domain name
    */
   public Map<String, DomainState> domainsOf(String dataCentre) {
     Map<String, DomainState> found = new HashMap<>();
@@ -58,17 +58,17 @@
   }
 
   /**
-   * The listed nodes of a data centre.
+   * Returns the nodes that the platform lists in a data centre.
    *
    * @param dataCentre the data centre
-   * @return the nodes
+   * @return the nodes; empty for an unknown data centre
    */
   public List<Node> nodesOf(String dataCentre) {
     return nodes.getOrDefault(dataCentre, List.of());
   }
 
   /**
-   * The registered daemons of a data centre.
+   * Returns the registered daemons of a data centre.
    *
    * @param dataCentre the data centre
    * @return the daemons
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/NodeList.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/NodeList.java
@@ -4,7 +4,7 @@
 import org.fawnvale.core.model.Node;
 
 /**
- * The nodes of one data centre, as the platform lists them.
+ * The nodes that the platform lists in one data centre.
  *
  * @param nodes the nodes
  */
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/ObjectNames.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/ObjectNames.java
@@ -1,12 +1,12 @@
 package org.fawnvale.daemon.state;
 
-/** Names of the platform's objects. */
+/** Names of the objects in the platform's object store. */
 public final class ObjectNames {
 
-  /** Objects that every daemon keeps a copy of. */
+  /** Prefix of the objects that every daemon keeps a copy of. */
   public static final String SHARED = "config/";
 
-  /** The head of all bundles. */
+  /** The rollout, which names the latest and the accepted revision of the bundles. */
   public static final String ROLLOUT = SHARED + "rollout";
 
   /** Prefix of the bundles. */
@@ -15,70 +15,70 @@
   /** Prefix of the fabric domains. */
   public static final String DOMAINS = SHARED + "domain/";
 
-  /** Prefix of the registered daemons. */
+  /** Prefix of the lists of registered daemons, one list for each data centre. */
   public static final String DAEMONS = SHARED + "daemons/";
 
-  /** Prefix of the lists of nodes; these are passed between daemons, never written. */
+  /** Prefix of the lists of nodes; daemons exchange them but do not write them to the store. */
   public static final String NODES = "nodes/";
 
   private ObjectNames() {}
 
   /**
-   * Name of a bundle.
+   * Returns the object name of a bundle.
    *
-   * @param revision its revision
-   * @return the name
+   * @param revision the bundle's revision
+   * @return the object name
    */
   public static String bundle(long revision) {
     return BUNDLES + revision;
   }
 
   /**
-   * Name of a fabric domain.
+   * Returns the object name of a fabric domain.
    *
-   * @param dataCentre its data centre
-   * @param domain the domain
-   * @return the name
+   * @param dataCentre the domain's data centre
+   * @param domain the domain's name
+   * @return the object name
    */
   public static String domain(String dataCentre, String domain) {
     return DOMAINS + dataCentre + "/" + domain;
   }
 
   /**
-   * Name of the daemons of a data centre.
+   * Returns the object name of a data centre's list of registered daemons.
    *
    * @param dataCentre the data centre
-   * @return the name
+   * @return the object name
    */
   public static String daemons(String dataCentre) {
     return DAEMONS + dataCentre;
   }
 
   /**
-   * Name of the coordinator's lease of a data centre.
+   * Returns the object name of the lease for which a data centre's daemons compete.
    *
    * @param dataCentre the data centre
-   * @return the name
+   * @return the object name
    */
   public static String lease(String dataCentre) {
     return "lease/" + dataCentre;
   }
 
   /**
-   * Name of a slot of claimed keys.
+   * Returns the object name of a slot of claimed request keys.
    *
-   * @param slot the slot
-   * @return the name
+   * @param slot the slot's number
+   * @return the object name
    */
   public static String claims(int slot) {
     return "claims/" + slot;
   }
 
   /**
-   * Name of the list of nodes of a data centre.
+   * Returns the object name of a data centre's list of nodes.
    *
    * @param dataCentre the data centre
-   * @return the name
+   * @return the object name
    */
   public static String nodes(String dataCentre) {
     return NODES + dataCentre;
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/StateService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/StateService.java
@@ -21,10 +21,11 @@
 import org.fawnvale.wire.Message;
 
 /**
- * Brings the shared objects to this daemon and passes them on.
+ * Keeps this daemon's copy of the shared objects up to date and distributes changes to peers.
  *
- * <p>The daemon that holds the lease watches the platform; the others hear from it. A daemon that
- * has heard nothing for a while asks the platform itself, after a random wait.
+ * <p>The daemon that holds the lease watches the platform and sends changes to the others. A daemon
+ * whose copy has not been confirmed for a few seconds polls the platform itself, at random
+ * intervals.
  */
 public final class StateService implements Service {
 
@@ -48,11 +49,11 @@
   /**
    * Creates the service.
    *
-   * @param context what every service needs
-   * @param state the copy to keep up to date
-   * @param store the platform
-   * @param peers the links to pass changes on
-   * @param holdsLease tells whether this daemon holds its data centre's lease
+   * @param context the daemon's settings, identity, clocks and executors
+   * @param state this daemon's copy of the shared objects
+   * @param store the platform's object store
+   * @param peers the links to the other daemons
+   * @param holdsLease whether this daemon holds its data centre's lease
    */
   public StateService(
       Context context,
@@ -69,10 +70,10 @@
 
   @Override
   public void start() {
-    peers.on(Message.StateUpdate.class, this::received);
-    peers.on(Message.StateRequest.class, this::requested);
-    peers.onDialed(this::ask);
-    peers.onAccepted(this::ask);
+    peers.on(Message.StateUpdate.class, this::applyUpdate);
+    peers.on(Message.StateRequest.class, this::sendNewerObjects);
+    peers.onDialed(this::requestState);
+    peers.onAccepted(this::requestState);
     pollOnce(0);
     context.executor().execute(this::register);
     context.executor().execute(this::watchLoop);
@@ -89,15 +90,15 @@
   }
 
   /**
-   * Takes objects that this daemon has written itself, and passes them on.
+   * Applies objects that this daemon has written or read, and sends the newer ones to its peers.
    *
-   * @param objects the objects in their new versions
+   * @param objects the objects with their stored versions
    */
   public void written(List<StoredObject> objects) {
-    spread(state.apply(objects));
+    sendToPeers(state.apply(objects));
   }
 
-  /** How long ago the platform confirmed what is known, milliseconds; large when never. */
+  /** Returns the milliseconds since the platform confirmed this daemon's copies; large if never. */
   public long ageMillis() {
     long confirmed = state.confirmedNanos();
     if (confirmed == Long.MIN_VALUE) {
@@ -112,7 +113,8 @@
     boolean warned = false;
     while (!stopped && !tryRegister(self, name)) {
       if (!warned) {
-        LOG.warn("The platform has not taken this daemon's registration yet; it tries on.");
+        LOG.warn(
+            "The platform has not accepted this daemon's registration; retrying until it does.");
         warned = true;
       }
       sleep(RETRY_MILLIS + ThreadLocalRandom.current().nextLong(RETRY_MILLIS));
@@ -145,29 +147,29 @@
     try {
       return Documents.read(object.value(), DaemonList.class);
     } catch (java.io.IOException e) {
-      LOG.error("The list of daemons cannot be read; it is written anew.", e);
+      LOG.error("The list of daemons cannot be parsed; replacing it with a new one.", e);
       return new DaemonList(List.of(), "");
     }
   }
 
   private void watchLoop() {
     while (!stopped) {
-      boolean reached = true;
+      boolean succeeded = true;
       if (holdsLease.getAsBoolean()) {
-        reached = pollOnce(WATCH_MILLIS);
-      } else if (isDue()) {
-        reached = pollOnce(0) && pollNodes();
+        succeeded = pollOnce(WATCH_MILLIS);
+      } else if (isPollDue()) {
+        succeeded = pollOnce(0) && pollNodes();
         nextPollNanos = context.nowNanos() + jitterNanos();
       } else {
         sleep(100);
       }
-      if (!reached) {
+      if (!succeeded) {
         sleep(RETRY_MILLIS);
       }
     }
   }
 
-  private boolean isDue() {
+  private boolean isPollDue() {
     return ageMillis() > SILENCE_MILLIS && context.nowNanos() - nextPollNanos >= 0;
   }
 
@@ -177,13 +179,13 @@
   }
 
   private boolean pollOnce(long waitMillis) {
-    long asked = context.nowNanos();
+    long sentNanos = context.nowNanos();
     Result<Changes> result = store.watch(ObjectNames.SHARED, watchedRevision, waitMillis);
     return result.fold(
         changes -> {
           watchedRevision = Math.max(watchedRevision, changes.revision());
-          spread(state.apply(changes.objects()));
-          state.confirmed(asked);
+          sendToPeers(state.apply(changes.objects()));
+          state.confirmed(sentNanos);
           return true;
         },
         problem -> {
@@ -207,19 +209,22 @@
         .nodes(dataCentre)
         .fold(
             nodes -> {
-              takeNodes(dataCentre, nodes);
+              applyNodes(dataCentre, nodes);
               return true;
             },
             problem -> false);
   }
 
-  /** The list has no version of its own; the wall clock orders lists of successive holders. */
-  private void takeNodes(String dataCentre, List<Node> nodes) {
+  /**
+   * Distributes a changed list of nodes. The platform gives the list no version, so its version is
+   * derived from the wall clock, which orders the lists of successive lease holders.
+   */
+  private void applyNodes(String dataCentre, List<Node> nodes) {
     if (nodes.equals(state.view().nodesOf(dataCentre))) {
       return;
     }
     if (nodes.isEmpty()) {
-      LOG.warn("The platform lists no node at all; the last list stays.");
+      LOG.warn("The platform lists no nodes; keeping the last list.");
       return;
     }
     nodeListVersion = Math.max(nodeListVersion + 1, context.wallClock().getAsLong());
@@ -234,7 +239,7 @@
     }
   }
 
-  private void spread(List<StoredObject> objects) {
+  private void sendToPeers(List<StoredObject> objects) {
     if (objects.isEmpty()) {
       return;
     }
@@ -250,27 +255,30 @@
     return new Message.StateUpdate(wire, ageMillis());
   }
 
-  private void received(Link link, Message.StateUpdate update) {
+  private void applyUpdate(Link link, Message.StateUpdate update) {
     List<StoredObject> offered = new ArrayList<>();
     for (Message.StateObject object : update.objects()) {
       offered.add(new StoredObject(object.name(), object.version(), object.value()));
     }
-    long arrived = context.nowNanos();
+    long receivedNanos = context.nowNanos();
     List<StoredObject> newer = state.apply(offered);
     boolean sameDataCentre = link.peer().dataCentre().equals(context.identity().dataCentre());
     if (sameDataCentre) {
-      state.confirmed(arrived - TimeUnit.MILLISECONDS.toNanos(update.platformAgeMillis()));
+      state.confirmed(receivedNanos - TimeUnit.MILLISECONDS.toNanos(update.platformAgeMillis()));
     } else if (!newer.isEmpty()) {
       peers.sendToDataCentre(update(newer));
     }
   }
 
-  /** Both ends of a new link ask, so that a daemon that starts during an outage learns at once. */
-  private void ask(Link link) {
+  /**
+   * Requests the peer's newer objects. Both ends of a new link do so, which brings a daemon that
+   * starts during a platform outage up to date without the platform.
+   */
+  private void requestState(Link link) {
     link.send(new Message.StateRequest(state.versions()));
   }
 
-  private void requested(Link link, Message.StateRequest request) {
+  private void sendNewerObjects(Link link, Message.StateRequest request) {
     link.send(update(state.newerThan(request.versions())));
   }
 
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/package-info.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/package-info.java
@@ -1,4 +1,4 @@
-/** What the daemon knows of the platform's objects, and how daemons pass it on. */
+/** The daemon's copy of the platform's shared objects, and its exchange between daemons. */
 @NullMarked
 package org.fawnvale.daemon.state;
 
--- a/fawnvale-daemon/src/test/java/org/fawnvale/daemon/state/FleetStateFuzzTest.java
+++ b/fawnvale-daemon/src/test/java/org/fawnvale/daemon/state/FleetStateFuzzTest.java
@@ -14,7 +14,8 @@
 import org.fawnvale.platform.StoredObject;
 
 /**
- * Nothing reverts, whatever the order in which objects arrive, and all of them in the end count.
+ * Checks that the state never reverts, whatever the order in which objects arrive, and that it ends
+ * at the newest revision once all have arrived.
  */
 class FleetStateFuzzTest {
 
@@ -42,16 +43,16 @@
 
   private static List<StoredObject> written() {
     List<StoredObject> written = new ArrayList<>();
-    Rollout head = Rollout.EMPTY;
+    Rollout rollout = Rollout.EMPTY;
     long version = 0;
     for (long revision = 1; revision <= REVISIONS; revision++) {
       Bundle bundle = new Bundle("bundle-" + revision, null, null, null, null, null);
       written.add(
           new StoredObject(ObjectNames.bundle(revision), ++version, Documents.write(bundle)));
-      head = value(head.submit(revision, "s" + revision, "ana"));
-      head = value(head.approve(revision, "a" + revision, "ana"));
-      head = value(head.rollOut(revision, "r" + revision, "ana"));
-      written.add(new StoredObject(ObjectNames.ROLLOUT, ++version, Documents.write(head)));
+      rollout = value(rollout.submit(revision, "s" + revision, "ana"));
+      rollout = value(rollout.approve(revision, "a" + revision, "ana"));
+      rollout = value(rollout.rollOut(revision, "r" + revision, "ana"));
+      written.add(new StoredObject(ObjectNames.ROLLOUT, ++version, Documents.write(rollout)));
     }
     return written;
   }
