--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/peer/PeerSelection.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/peer/PeerSelection.java
@@ -7,18 +7,21 @@
 import org.fawnvale.core.hash.Rendezvous;
 import org.fawnvale.core.model.Registration;
 
-/** Which daemons a daemon keeps links to: all of its data centre, a few of each other one. */
+/**
+ * Selects the daemons to dial: all of the own data centre and a selectByRendezvous of each other
+ * data centre.
+ */
 public final class PeerSelection {
 
-  /** Links that a daemon keeps to each other data centre. */
+  /** Number of links that a daemon dials to each other data centre. */
   public static final int LINKS_TO_OTHER_DATA_CENTRE = 2;
 
   private PeerSelection() {}
 
   /**
-   * Selects the peers.
+   * Selects the peers of a daemon.
    *
-   * @param self the daemon that selects
+   * @param self the daemon that dials
    * @param daemons all registered daemons
    * @return the daemons to dial
    */
@@ -33,15 +36,15 @@
           if (dataCentre.equals(self.dataCentre())) {
             selected.addAll(members);
           } else {
-            selected.addAll(few(self.name(), members));
+            selected.addAll(selectByRendezvous(self.name(), members));
           }
         });
     return selected;
   }
 
-  private static List<Registration> few(String self, List<Registration> members) {
+  private static List<Registration> selectByRendezvous(String self, List<Registration> members) {
     List<String> names = members.stream().map(Registration::name).toList();
-    List<String> picked = Rendezvous.pick(self, names, LINKS_TO_OTHER_DATA_CENTRE);
-    return members.stream().filter(member -> picked.contains(member.name())).toList();
+    List<String> selectedNames = Rendezvous.pick(self, names, LINKS_TO_OTHER_DATA_CENTRE);
+    return members.stream().filter(member -> selectedNames.contains(member.name())).toList();
   }
 }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/peer/PeerService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/peer/PeerService.java
@@ -30,10 +30,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Links to the other daemons.
+ * Keeps links to the other daemons and dispatches their messages.
  *
- * <p>Each daemon dials the peers that it selects and sends over those links; answers come back over
- * the link that the question came over.
+ * <p>Each daemon dials the peers that {@link PeerSelection} selects and sends its messages over
+ * those links. A response is sent over the link on which the request arrived.
  */
 public final class PeerService implements Service {
 
@@ -49,7 +49,7 @@
   private final Set<Link> accepted = ConcurrentHashMap.newKeySet();
   private final Set<String> dialing = ConcurrentHashMap.newKeySet();
   private final Map<Class<?>, BiConsumer<Link, Message>> handlers = new ConcurrentHashMap<>();
-  private final List<Consumer<Link>> connectListeners = new CopyOnWriteArrayList<>();
+  private final List<Consumer<Link>> dialListeners = new CopyOnWriteArrayList<>();
   private final List<Consumer<Link>> acceptListeners = new CopyOnWriteArrayList<>();
   private final List<Consumer<Link>> closeListeners = new CopyOnWriteArrayList<>();
   private @Nullable ServerSocket server;
@@ -58,8 +58,8 @@
   /**
    * Creates the service.
    *
-   * @param context what every service needs
-   * @param state tells which daemons are registered
+   * @param context the daemon's settings, identity, clocks and executors
+   * @param state supplies the registered daemons
    */
   public PeerService(Context context, FleetState state) {
     this.context = context;
@@ -67,38 +67,38 @@
   }
 
   /**
-   * Sets who gets a kind of message.
+   * Sets the handler of a message type.
    *
-   * @param type the kind
-   * @param handler gets the messages; must not block
-   * @param <T> the kind
+   * @param type the class of the messages
+   * @param handler receives each message with its link; must not block
+   * @param <T> the type of the messages
    */
   public <T extends Message> void on(Class<T> type, BiConsumer<Link, T> handler) {
     handlers.put(type, (link, message) -> handler.accept(link, type.cast(message)));
   }
 
   /**
-   * Asks to be told of each link that this daemon has dialed.
+   * Registers a listener for links that this daemon dials.
    *
-   * @param listener told once the link is up
+   * @param listener called with each link once the link is up
    */
   public void onDialed(Consumer<Link> listener) {
-    connectListeners.add(listener);
+    dialListeners.add(listener);
   }
 
   /**
-   * Asks to be told of each link that another daemon has dialed.
+   * Registers a listener for links that other daemons dial.
    *
-   * @param listener told once the link is up
+   * @param listener called with each link once the link is up
    */
   public void onAccepted(Consumer<Link> listener) {
     acceptListeners.add(listener);
   }
 
   /**
-   * Asks to be told of each link that has closed.
+   * Registers a listener for links that close, dialed or accepted.
    *
-   * @param listener told once the link is closed
+   * @param listener called with each link once the link is closed
    */
   public void onClosed(Consumer<Link> listener) {
     closeListeners.add(listener);
@@ -133,16 +133,16 @@
         server.close();
       }
     } catch (IOException e) {
-      LOG.debug("The peers' port did not close cleanly.", e);
+      LOG.debug("Closing the listener for peers failed.", e);
     }
     dialed.values().forEach(Link::close);
     accepted.forEach(Link::close);
   }
 
   /**
-   * This daemon's registration, with the port that it really listens on.
+   * Returns this daemon's registration with the actual port of its listener.
    *
-   * @return the registration
+   * @return the registration; its port is 0 before the service is started
    */
   public Registration registration() {
     ServerSocket socket = server;
@@ -154,38 +154,38 @@
   }
 
   /**
-   * Links that this daemon has dialed and that are up.
+   * Returns the links that this daemon dialed and that are up.
    *
-   * @return the links
+   * @return a copy of the links
    */
   public List<Link> links() {
     return new ArrayList<>(dialed.values());
   }
 
   /**
-   * Bytes sent over all links that are up.
+   * Returns the bytes sent over all links that are up, dialed and accepted.
    *
-   * @return bytes
+   * @return the sum in bytes; a link that closes no longer counts
    */
   public long sentBytes() {
-    return both().mapToLong(Link::sentBytes).sum();
+    return allLinks().mapToLong(Link::sentBytes).sum();
   }
 
   /**
-   * Bytes received over all links that are up.
+   * Returns the bytes received over all links that are up, dialed and accepted.
    *
-   * @return bytes
+   * @return the sum in bytes; a link that closes no longer counts
    */
   public long receivedBytes() {
-    return both().mapToLong(Link::receivedBytes).sum();
+    return allLinks().mapToLong(Link::receivedBytes).sum();
   }
 
-  private Stream<Link> both() {
+  private Stream<Link> allLinks() {
     return Stream.concat(dialed.values().stream(), accepted.stream());
   }
 
   /**
-   * Links to daemons of a data centre.
+   * Returns the dialed links to the daemons of a data centre.
    *
    * @param dataCentre the data centre
    * @return the links that are up
@@ -197,7 +197,7 @@
   }
 
   /**
-   * Sends a message to all daemons of the own data centre.
+   * Sends a message to all linked daemons of the own data centre.
    *
    * @param message the message
    */
@@ -206,10 +206,10 @@
   }
 
   /**
-   * The link to a daemon.
+   * Returns the dialed link to a daemon.
    *
-   * @param daemon its name
-   * @return the link, or null when none is up
+   * @param daemon the daemon's name
+   * @return the link, or null if none is up
    */
   public @Nullable Link linkTo(String daemon) {
     return dialed.get(daemon);
@@ -220,16 +220,16 @@
     while (socket != null && !stopped) {
       try {
         Socket connection = socket.accept();
-        context.executor().execute(() -> welcome(connection));
+        context.executor().execute(() -> openAccepted(connection));
       } catch (IOException e) {
         if (!stopped) {
-          LOG.warn("A peer's connection could not be accepted: {}", e.getMessage());
+          LOG.warn("Accepting a connection from a peer failed: {}", e.getMessage());
         }
       }
     }
   }
 
-  private void welcome(Socket connection) {
+  private void openAccepted(Socket connection) {
     try {
       Link link =
           Link.open(
@@ -244,7 +244,7 @@
           });
       acceptListeners.forEach(listener -> listener.accept(link));
     } catch (IOException e) {
-      LOG.warn("A connection to the peers' port was refused: {}", e.getMessage());
+      LOG.warn("Refused a connection to the listener for peers: {}", e.getMessage());
       closeQuietly(connection);
     }
   }
@@ -253,7 +253,7 @@
     try {
       connection.close();
     } catch (IOException e) {
-      LOG.debug("A refused connection did not close cleanly.", e);
+      LOG.debug("Closing a refused connection failed.", e);
     }
   }
 
@@ -291,8 +291,8 @@
       }
       dialed.put(peer.name(), link);
       link.start(context.executor(), this::dispatch, () -> closed(peer.name(), link));
-      LOG.info("Linked to {} in {}.", peer.name(), peer.dataCentre());
-      connectListeners.forEach(listener -> listener.accept(link));
+      LOG.info("Link to {} in {} is up.", peer.name(), peer.dataCentre());
+      dialListeners.forEach(listener -> listener.accept(link));
     } catch (IOException e) {
       LOG.debug("Peer {} cannot be reached: {}", peer.name(), e.getMessage());
     } finally {
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/peer/package-info.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/peer/package-info.java
@@ -1,4 +1,4 @@
-/** Links to the other daemons. */
+/** Connections to the other daemons and the exchange of messages over them. */
 @NullMarked
 package org.fawnvale.daemon.peer;
 
