--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/BundleUpdater.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/BundleUpdater.java
@@ -19,10 +19,13 @@
 import org.fawnvale.platform.StoredObject;
 import org.fawnvale.platform.WriteResult;
 
-/** Takes operators' changes to the platform; one conditional update of the head decides a race. */
+/**
+ * Applies operators' changes to the platform's rollout object. A conditional update decides between
+ * concurrent changes.
+ */
 final class BundleUpdater {
 
-  private static final int TRIES = 5;
+  private static final int MAXIMUM_ATTEMPTS = 5;
 
   private final FleetState state;
   private final Consumer<List<StoredObject>> onWritten;
@@ -34,40 +37,43 @@
     this.store = store;
   }
 
-  /** What an operator's change came to. */
-  sealed interface Filed {
-    record Done(long revision) implements Filed {}
+  /** The outcome of an operator's change. */
+  sealed interface Outcome {
+    record Done(long revision) implements Outcome {}
 
-    record Refused(List<Problem> problems) implements Filed {}
+    record Refused(List<Problem> problems) implements Outcome {}
   }
 
-  /** One change of the head. */
+  /** A change of the rollout. */
   @FunctionalInterface
   interface Change {
     Result<Rollout> apply(Rollout head);
   }
 
-  /** Keeps a bundle under the next free revision and makes it the latest. */
-  Filed submit(String text, String operation, String operator) {
+  /** Validates a bundle, stores it under the next free revision and makes it the latest one. */
+  Outcome submit(String text, String operation, String operator) {
     Checked<Bundle> checked = BundleCheck.check(text);
     if (checked.value() == null) {
-      return new Filed.Refused(checked.problems());
+      return new Outcome.Refused(checked.problems());
     }
     List<Problem> tooLarge = BundleCheck.checkSizes(checked.value(), largestDomain());
     if (!tooLarge.isEmpty() && largestDomain() > 0) {
-      return new Filed.Refused(tooLarge);
+      return new Outcome.Refused(tooLarge);
     }
     return change(
         operation,
         head -> {
           long revision = head.latest() + 1;
-          Result<Long> kept = keep(revision, checked.value());
-          return kept.fold(each -> head.submit(each, operation, operator), Result::failure);
+          Result<Long> stored = storeBundle(revision, checked.value());
+          return stored.fold(each -> head.submit(each, operation, operator), Result::failure);
         });
   }
 
-  /** A revision's content never changes: an object that is there with other content is passed. */
-  private Result<Long> keep(long revision, Bundle bundle) {
+  /**
+   * Stores a bundle under a revision. If the revision's object exists with other content, it is
+   * overwritten, because the caller knows that the rollout does not refer to this revision yet.
+   */
+  private Result<Long> storeBundle(long revision, Bundle bundle) {
     String name = ObjectNames.bundle(revision);
     byte[] value = Documents.write(bundle);
     WriteResult result = store.put(name, ObjectStore.ABSENT, value);
@@ -81,17 +87,17 @@
       return Result.success(revision);
     }
     if (found.isPresent()) {
-      return overwriteUnclaimed(found.get(), value, revision);
+      return overwriteUnreferenced(found.get(), value, revision);
     }
     return Result.failure(
         Problem.of(
             ProblemKind.UNAVAILABLE,
-            "The platform did not keep the bundle.",
+            "The platform did not store the bundle.",
             "Submit it again when the platform is back."));
   }
 
-  /** The head does not name this revision yet, so what stands there was never submitted whole. */
-  private Result<Long> overwriteUnclaimed(StoredObject found, byte[] value, long revision) {
+  /** Overwrites a bundle whose submission ended before the rollout referred to its revision. */
+  private Result<Long> overwriteUnreferenced(StoredObject found, byte[] value, long revision) {
     WriteResult result = store.put(found.name(), found.version(), value);
     if (result instanceof WriteResult.Written written) {
       onWritten.accept(List.of(new StoredObject(found.name(), written.version(), value)));
@@ -100,8 +106,8 @@
     return Result.failure(
         Problem.of(
             ProblemKind.CONFLICT,
-            "Another operator submits at this moment.",
-            "Look at 'fawnvale bundle status' and submit again."));
+            "Another operator is submitting a bundle at the same time.",
+            "Check 'fawnvale bundle status' and submit again."));
   }
 
   private int largestDomain() {
@@ -119,11 +125,14 @@
         .orElse(0);
   }
 
-  /** Changes the head by a conditional update; a lost answer is settled by reading back. */
-  Filed change(String operation, Change change) {
-    Problem last = lost("The platform could not be asked.");
+  /**
+   * Changes the rollout by a conditional update, with up to {@link #MAXIMUM_ATTEMPTS} attempts. An
+   * attempt whose response was lost is recognised by its operation when the rollout is read again.
+   */
+  Outcome change(String operation, Change change) {
+    Problem last = lost("The platform could not be reached.");
     boolean maybeWritten = false;
-    for (int i = 0; i < TRIES; i++) {
+    for (int i = 0; i < MAXIMUM_ATTEMPTS; i++) {
       Result<Optional<StoredObject>> read = store.get(ObjectNames.ROLLOUT);
       if (!read.isSuccess()) {
         last = read.fold(found -> lost(""), problem -> problem);
@@ -134,7 +143,7 @@
       Rollout head = parse(found);
       if (head.contains(operation)) {
         onWritten.accept(List.of(found));
-        return new Filed.Done(head.latest());
+        return new Outcome.Done(head.latest());
       }
       Result<Rollout> next = change.apply(head);
       if (!next.isSuccess()) {
@@ -144,11 +153,11 @@
       WriteResult result = store.put(ObjectNames.ROLLOUT, found.version(), value);
       if (result instanceof WriteResult.Written written) {
         onWritten.accept(List.of(new StoredObject(ObjectNames.ROLLOUT, written.version(), value)));
-        return new Filed.Done(next.fold(Rollout::latest, problem -> 0L));
+        return new Outcome.Done(next.fold(Rollout::latest, problem -> 0L));
       }
       maybeWritten |= result instanceof WriteResult.Unknown;
     }
-    return refused(maybeWritten ? lost("The platform's answer was lost.") : last);
+    return refused(maybeWritten ? lost("The platform's response was lost.") : last);
   }
 
   private static Problem last() {
@@ -162,8 +171,8 @@
         "Run 'fawnvale bundle history' to see whether it is listed.");
   }
 
-  private static Filed refused(Problem problem) {
-    return new Filed.Refused(List.of(problem));
+  private static Outcome refused(Problem problem) {
+    return new Outcome.Refused(List.of(problem));
   }
 
   private StoredObject absent() {
@@ -175,7 +184,7 @@
     try {
       return Documents.read(object.value(), Rollout.class);
     } catch (IOException e) {
-      throw new IllegalStateException("The head of the bundles cannot be read.", e);
+      throw new IllegalStateException("The rollout object cannot be parsed.", e);
     }
   }
 }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/OperatorService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/OperatorService.java
@@ -29,10 +29,10 @@
 import org.fawnvale.kernel.ServiceException;
 import org.fawnvale.platform.ObjectStore;
 
-/** The operators' HTTP port. */
+/** Serves operators over HTTP: bundle changes, status, history and metrics. */
 public final class OperatorService implements Service {
 
-  /** Header that identifies an operation; a repeat with the same one is done once. */
+  /** Header with the identifier of an operation; repeats of an operation are applied only once. */
   public static final String OPERATION_HEADER = "Fawnvale-Operation";
 
   private static final Logger LOG = LogManager.getLogger("operator");
@@ -42,7 +42,7 @@
 
   private final Context context;
   private final FleetState state;
-  private final BundleUpdater desk;
+  private final BundleUpdater updater;
   private final StatusReporter status;
   private final DaemonMetrics metrics;
   private final HttpFront front;
@@ -50,11 +50,11 @@
   /**
    * Creates the service.
    *
-   * @param context what every service needs
-   * @param state what is agreed
-   * @param stateService passes on what operators change
-   * @param store the platform
-   * @param status puts the status together
+   * @param context the daemon's settings, identity, clocks and executors
+   * @param state this daemon's copy of the shared objects
+   * @param stateService distributes the objects that operators change
+   * @param store the platform's object store
+   * @param status builds the status
    * @param metrics the metrics
    */
   public OperatorService(
@@ -66,7 +66,7 @@
       DaemonMetrics metrics) {
     this.context = context;
     this.state = state;
-    this.desk = new BundleUpdater(state, stateService::written, store);
+    this.updater = new BundleUpdater(state, stateService::written, store);
     this.status = status;
     this.metrics = metrics;
     this.front =
@@ -89,7 +89,7 @@
   }
 
   /**
-   * The port that it really listens on.
+   * Returns the actual port of the listener.
    *
    * @return the port
    */
@@ -97,7 +97,7 @@
     return front.port();
   }
 
-  /** A reply of this port. */
+  /** An HTTP response to an operator. */
   private record Reply(int status, String contentType, byte[] body) {
     static Reply json(int status, Object value) {
       return new Reply(status, "application/json", Documents.write(value));
@@ -173,7 +173,7 @@
       Optional<String> text = body(request);
       return text.isEmpty()
           ? invalid("body", null, "The bundle is too large.", "Keep it under 900 kilobytes.")
-          : reply(desk.submit(text.get(), operation, operator), operator, path);
+          : reply(updater.submit(text.get(), operation, operator), operator, path);
     }
     long revision;
     try {
@@ -200,7 +200,7 @@
 
   private Reply changed(
       String path, String operation, String operator, BundleUpdater.Change change) {
-    return reply(desk.change(operation, change), operator, path);
+    return reply(updater.change(operation, change), operator, path);
   }
 
   private static Optional<String> body(ClassicHttpRequest request) throws IOException {
@@ -215,12 +215,12 @@
     }
   }
 
-  private Reply reply(BundleUpdater.Filed filed, String operator, String path) {
-    if (filed instanceof BundleUpdater.Filed.Done done) {
+  private Reply reply(BundleUpdater.Outcome outcome, String operator, String path) {
+    if (outcome instanceof BundleUpdater.Outcome.Done done) {
       LOG.info("Operator {} did {} to revision {}.", operator, path, done.revision());
       return Reply.json(200, Map.of("revision", done.revision()));
     }
-    return problems(((BundleUpdater.Filed.Refused) filed).problems());
+    return problems(((BundleUpdater.Outcome.Refused) outcome).problems());
   }
 
   private static Reply invalid(
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/Status.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/Status.java
@@ -6,20 +6,21 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What a daemon tells operators.
+ * The status that a daemon reports to operators; the component names are the JSON keys.
  *
  * @param daemon the daemon that answers
  * @param dataCentre its data centre
- * @param rollout the head of all bundles, as this daemon has it
- * @param bundle name of the bundle in force; null before the first
- * @param confirmedMillisAgo how long ago the platform confirmed this, milliseconds
+ * @param rollout the rollout, as this daemon knows it
+ * @param bundle name of the bundle in force; null before the first one
+ * @param confirmedMillisAgo milliseconds since the platform confirmed the daemon's copy of the
+ *     state
  * @param holdsLease true when this daemon coordinates its data centre
- * @param liveDaemons daemons of the data centre that beat
- * @param linkedDataCentres data centres that this daemon has links to
- * @param progress how far the domains are
+ * @param liveDaemons daemons of the data centre that sent a message recently, and this daemon
+ * @param linkedDataCentres data centres to which this daemon has links
+ * @param progress replicas wanted, present and current, by data centre and role
  * @param replicas the replicas of the own data centre
  * @param stranded healthy nodes of the own data centre that are in no complete replica
- * @param limits what this daemon cannot do at the moment
+ * @param limits descriptions of what this daemon cannot do at the moment
  */
 public record Status(
     String daemon,
@@ -44,7 +45,8 @@
    * @param version the model's full version
    * @param generation its generation
    * @param members its nodes
-   * @param state serving, draining, or the member that keeps it from serving
+   * @param state {@code serving}, {@code draining}, or {@code waits for} and the member that is not
+   *     ready
    */
   public record ReplicaLine(
       String id,
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/StatusReporter.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/StatusReporter.java
@@ -20,7 +20,7 @@
 import org.fawnvale.daemon.state.FleetView;
 import org.fawnvale.daemon.state.StateService;
 
-/** Puts the status together. */
+/** Builds the operators' status and counts the downtime of replicas. */
 public final class StatusReporter {
 
   private static final long STALE_MILLIS = 10_000;
@@ -35,15 +35,15 @@
   private final LongAdder downtimeSeconds = new LongAdder();
 
   /**
-   * Creates the desk.
+   * Creates the reporter.
    *
-   * @param context what every service needs
-   * @param state what is agreed
-   * @param stateService tells how old that is
-   * @param lease tells whether this daemon coordinates
-   * @param table evidence on the nodes
-   * @param evidence tells which daemons live
-   * @param linked tells which data centres are linked
+   * @param context the daemon's settings, identity, clocks and executors
+   * @param state this daemon's copy of the shared objects
+   * @param stateService supplies the age of that copy
+   * @param lease the lease of the data centre's coordinator
+   * @param table the latest reports on the nodes
+   * @param evidence supplies the live daemons
+   * @param linked supplies the data centres to which this daemon has links
    */
   public StatusReporter(
       Context context,
@@ -63,7 +63,7 @@
   }
 
   /**
-   * The status now.
+   * Returns the current status.
    *
    * @return the status
    */
@@ -86,10 +86,10 @@
   }
 
   /**
-   * Counts replicas of the own data centre by state.
+   * Counts the replicas of the own data centre in a state.
    *
-   * @param statePrefix the start of the state's text
-   * @return how many
+   * @param statePrefix prefix of the state's text, as in {@link Status.ReplicaLine}
+   * @return the number of replicas
    */
   public long count(String statePrefix) {
     return replicas(state.view()).stream()
@@ -97,13 +97,13 @@
         .count();
   }
 
-  /** Adds the replicas that wait for a member to the group downtime; called once a second. */
+  /** Adds one second of downtime for each replica that waits for a member; call once a second. */
   public void countDowntime() {
     downtimeSeconds.add(count("waits"));
   }
 
   /**
-   * Group downtime of the data centre since this daemon started.
+   * Returns the downtime of the data centre's replicas since this daemon started.
    *
    * @return replica-seconds
    */
@@ -140,24 +140,24 @@
   }
 
   /**
-   * Healthy nodes of the data centre that are in no complete replica.
+   * Returns the healthy nodes of the data centre that are in no complete replica.
    *
-   * @param view what is agreed
-   * @return their names
+   * @param view the shared state
+   * @return the names of the nodes
    */
   public List<String> stranded(FleetView view) {
     long now = context.nowNanos();
-    Set<String> busy = new HashSet<>();
+    Set<String> inCompleteReplica = new HashSet<>();
     for (DomainState domain : view.domainsOf(context.identity().dataCentre()).values()) {
       for (Replica replica : domain.replicas()) {
         if (table.missingMember(replica, now) == null) {
-          busy.addAll(replica.members());
+          inCompleteReplica.addAll(replica.members());
         }
       }
     }
     List<String> stranded = new ArrayList<>();
     for (Node node : view.nodesOf(context.identity().dataCentre())) {
-      boolean idle = node.service() == null && !busy.contains(node.name());
+      boolean idle = node.service() == null && !inCompleteReplica.contains(node.name());
       if (idle && table.isAlive(node.name(), now)) {
         stranded.add(node.name());
       }
--- a/fawnvale-daemon/src/test/java/org/fawnvale/daemon/operate/BundleUpdaterFuzzTest.java
+++ b/fawnvale-daemon/src/test/java/org/fawnvale/daemon/operate/BundleUpdaterFuzzTest.java
@@ -23,12 +23,15 @@
 import org.fawnvale.daemon.state.ObjectNames;
 import org.fawnvale.platform.StoredObject;
 
-/** Operators who race, with lost calls and answers: what they are told is what happened. */
+/**
+ * Checks that the outcome reported to concurrent operators matches the stored rollout, despite lost
+ * requests and lost responses.
+ */
 class BundleUpdaterFuzzTest {
 
-  private static final int DESKS = 2;
+  private static final int UPDATERS = 2;
 
-  /** What an operator asks for. */
+  /** Kind of an operator's request. */
   enum Action {
     SUBMIT,
     APPROVE,
@@ -37,39 +40,47 @@
     ROLL_FORWARD
   }
 
-  /** One request of one operator, and another that may overtake it. */
-  record Asked(int desk, Action action, FakeStore.Fault fault, boolean overtaken) {}
+  /** A request to one updater; a concurrent request to the other may be stored before it. */
+  record Request(int updater, Action action, FakeStore.Fault fault, boolean overtaken) {}
 
   @Property(tries = 1500, seed = "20261202")
-  void operatorsAreToldTheTruth(@ForAll("requests") List<Asked> requests) throws IOException {
+  void reportedOutcomesMatchStoredHistory(@ForAll("requests") List<Request> requests)
+      throws IOException {
     FakeStore store = new FakeStore();
     List<FleetState> states = new ArrayList<>();
-    List<BundleUpdater> desks = new ArrayList<>();
-    for (int i = 0; i < DESKS; i++) {
+    List<BundleUpdater> updaters = new ArrayList<>();
+    for (int i = 0; i < UPDATERS; i++) {
       FleetState state = new FleetState();
       states.add(state);
-      desks.add(new BundleUpdater(state, state::apply, store));
+      updaters.add(new BundleUpdater(state, state::apply, store));
     }
     Set<String> done = new HashSet<>();
     Set<String> refused = new HashSet<>();
     long accepted = 0;
     int number = 0;
-    for (Asked asked : requests) {
+    for (Request request : requests) {
       number++;
       String operation = "operation-" + number;
       String overtaking = "overtaking-" + number;
-      store.failWith(once(asked.fault()));
-      BundleUpdater other = desks.get(1 - asked.desk());
+      store.failWith(once(request.fault()));
+      BundleUpdater other = updaters.get(1 - request.updater());
       store.beforeWrite(
-          asked.overtaken()
+          request.overtaken()
               ? () -> {
                 store.beforeWrite(() -> {});
-                note(
-                    overtaking, ask(other, asked.action(), overtaking, head(store)), done, refused);
+                recordOutcome(
+                    overtaking,
+                    submitRequest(other, request.action(), overtaking, head(store)),
+                    done,
+                    refused);
               }
               : () -> {});
       Rollout seen = head(store);
-      note(operation, ask(desks.get(asked.desk()), asked.action(), operation, seen), done, refused);
+      recordOutcome(
+          operation,
+          submitRequest(updaters.get(request.updater()), request.action(), operation, seen),
+          done,
+          refused);
       store.beforeWrite(() -> {});
 
       Rollout head = head(store);
@@ -88,27 +99,28 @@
     assertThat(recorded).doesNotContainAnyElementsOf(refused);
   }
 
-  private static void note(
-      String operation, BundleUpdater.Filed filed, Set<String> done, Set<String> refused) {
-    if (filed instanceof BundleUpdater.Filed.Done) {
+  private static void recordOutcome(
+      String operation, BundleUpdater.Outcome outcome, Set<String> done, Set<String> refused) {
+    if (outcome instanceof BundleUpdater.Outcome.Done) {
       done.add(operation);
-    } else if (filed instanceof BundleUpdater.Filed.Refused no
+    } else if (outcome instanceof BundleUpdater.Outcome.Refused no
         && no.problems().get(0).kind() != ProblemKind.OUTCOME_UNKNOWN) {
       refused.add(operation);
     }
   }
 
-  private static BundleUpdater.Filed ask(
-      BundleUpdater desk, Action action, String operation, Rollout seen) {
+  private static BundleUpdater.Outcome submitRequest(
+      BundleUpdater updater, Action action, String operation, Rollout seen) {
     return switch (action) {
-      case SUBMIT -> desk.submit(bundle(operation), operation, "ana");
-      case APPROVE -> desk.change(operation, head -> head.approve(seen.latest(), operation, "ana"));
+      case SUBMIT -> updater.submit(bundle(operation), operation, "ana");
+      case APPROVE ->
+          updater.change(operation, head -> head.approve(seen.latest(), operation, "ana"));
       case ROLL_OUT ->
-          desk.change(operation, head -> head.rollOut(seen.latest(), operation, "ana"));
+          updater.change(operation, head -> head.rollOut(seen.latest(), operation, "ana"));
       case STOP ->
-          desk.change(operation, head -> head.stop(seen.accepted(), "why", operation, "ana"));
+          updater.change(operation, head -> head.stop(seen.accepted(), "why", operation, "ana"));
       case ROLL_FORWARD ->
-          desk.change(operation, head -> head.rollForward(seen.accepted(), operation, "ana"));
+          updater.change(operation, head -> head.rollForward(seen.accepted(), operation, "ana"));
     };
   }
 
@@ -136,7 +148,7 @@
   }
 
   @Provide
-  Arbitrary<List<Asked>> requests() {
+  Arbitrary<List<Request>> requests() {
     Arbitrary<FakeStore.Fault> fault =
         Arbitraries.frequency(
             Tuple.of(6, FakeStore.Fault.NONE),
@@ -144,11 +156,11 @@
             Tuple.of(2, FakeStore.Fault.ANSWER_LOST),
             Tuple.of(1, FakeStore.Fault.CALL_LOST));
     return Combinators.combine(
-            Arbitraries.integers().between(0, DESKS - 1),
+            Arbitraries.integers().between(0, UPDATERS - 1),
             Arbitraries.of(Action.class),
             fault,
             Arbitraries.of(true, false))
-        .as(Asked::new)
+        .as(Request::new)
         .list()
         .ofMinSize(5)
         .ofMaxSize(24);
