--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/OperatorService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/OperatorService.java
@@ -20,7 +20,7 @@
 import org.fawnvale.core.result.Problem;
 import org.fawnvale.core.result.ProblemKind;
 import org.fawnvale.daemon.Context;
-import org.fawnvale.daemon.http.BoundedHttpServer;
+
 import org.fawnvale.daemon.metrics.DaemonMetrics;
 import org.fawnvale.daemon.state.Documents;
 import org.fawnvale.daemon.state.FleetState;
@@ -28,11 +28,12 @@
 import org.fawnvale.kernel.Service;
 import org.fawnvale.kernel.ServiceException;
 import org.fawnvale.platform.ObjectStore;
+import org.fawnvale.daemon.http.BoundedHttpServer;
 
-/** The operators' HTTP port. */
+/** Serves operators over HTTP: bundle changes, status, history and metrics. */
 public final class OperatorService implements Service {
 
-  /** Header that identifies an operation; a repeat with the same one is done once. */
+  /** Header with the identifier of an operation; repeats of an operation are applied only once. */
   public static final String OPERATION_HEADER = "Fawnvale-Operation";
 
   private static final Logger LOG = LogManager.getLogger("operator");
@@ -42,19 +43,19 @@
 
   private final Context context;
   private final FleetState state;
-  private final BundleDesk desk;
-  private final StatusDesk status;
+  private final BundleUpdater updater;
+  private final StatusReporter status;
   private final DaemonMetrics metrics;
   private final BoundedHttpServer server;
 
   /**
    * Creates the service.
    *
-   * @param context what every service needs
-   * @param state what is agreed
-   * @param stateService passes on what operators change
-   * @param store the platform
-   * @param status puts the status together
+   * @param context the daemon's settings, identity, clocks and executors
+   * @param state this daemon's copy of the shared objects
+   * @param stateService distributes the objects that operators change
+   * @param store the platform's object store
+   * @param status builds the status
    * @param metrics the metrics
    */
   public OperatorService(
@@ -62,11 +63,11 @@
       FleetState state,
       StateService stateService,
       ObjectStore store,
-      StatusDesk status,
+      StatusReporter status,
       DaemonMetrics metrics) {
     this.context = context;
     this.state = state;
-    this.desk = new BundleDesk(state, stateService::written, store);
+    this.updater = new BundleUpdater(state, stateService::written, store);
     this.status = status;
     this.metrics = metrics;
     this.server =
@@ -89,7 +90,7 @@
   }
 
   /**
-   * The port that it really listens on.
+   * Returns the actual port of the listener.
    *
    * @return the port
    */
@@ -97,7 +98,7 @@
     return server.port();
   }
 
-  /** A reply of this port. */
+  /** An HTTP response to an operator. */
   private record Reply(int status, String contentType, byte[] body) {
     static Reply json(int status, Object value) {
       return new Reply(status, "application/json", Documents.write(value));
@@ -173,7 +174,7 @@
       Optional<String> text = body(request);
       return text.isEmpty()
           ? invalid("body", null, "The bundle is too large.", "Keep it under 900 kilobytes.")
-          : reply(desk.submit(text.get(), operation, operator), operator, path);
+          : reply(updater.submit(text.get(), operation, operator), operator, path);
     }
     long revision;
     try {
@@ -198,8 +199,9 @@
     };
   }
 
-  private Reply changed(String path, String operation, String operator, BundleDesk.Change change) {
-    return reply(desk.change(operation, change), operator, path);
+  private Reply changed(
+      String path, String operation, String operator, BundleUpdater.Change change) {
+    return reply(updater.change(operation, change), operator, path);
   }
 
   private static Optional<String> body(ClassicHttpRequest request) throws IOException {
@@ -214,12 +216,12 @@
     }
   }
 
-  private Reply reply(BundleDesk.Filed filed, String operator, String path) {
-    if (filed instanceof BundleDesk.Filed.Done done) {
+  private Reply reply(BundleUpdater.Outcome outcome, String operator, String path) {
+    if (outcome instanceof BundleUpdater.Outcome.Done done) {
       LOG.info("Operator {} did {} to revision {}.", operator, path, done.revision());
       return Reply.json(200, Map.of("revision", done.revision()));
     }
-    return problems(((BundleDesk.Filed.Refused) filed).problems());
+    return problems(((BundleUpdater.Outcome.Refused) outcome).problems());
   }
 
   private static Reply invalid(
