--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
@@ -41,7 +41,7 @@
    */
   private static final double CONNECT_COST = 0.05;
 
-  private static final String ANY_MODEL = "";
+  private static final String NO_MODEL = "";
 
   /**
    * The smallest sample: the better of two random upstreams. It keeps daemons from all sending to
@@ -106,7 +106,7 @@
     serving.clear();
     states.keySet().removeAll(incarnations.update(nodes));
     for (Node node : nodes) {
-      String model = node.model() == null ? ANY_MODEL : node.model();
+      String model = node.model() == null ? NO_MODEL : node.model();
       serving.computeIfAbsent(new Key(node.service(), model), key -> new ArrayList<>()).add(node);
     }
   }
@@ -121,9 +121,9 @@
   }
 
   /**
-   * Sets which data centres can be reachableNodes.
+   * Sets which data centres can be reached.
    *
-   * @param test true for a data centre that can be reachableNodes
+   * @param test true for a data centre that can be reached
    */
   public void setReachable(Predicate<String> test) {
     reachable = test;
@@ -142,7 +142,7 @@
    * Tells whether an upstream's data centre can be reached.
    *
    * @param node the upstream
-   * @return true when it can be reachableNodes
+   * @return true when it can be reached
    */
   public boolean isReachable(Node node) {
     return reachable.test(node.dataCentre());
@@ -255,10 +255,10 @@
     List<Node> accepting = new ArrayList<>();
     for (Node node : candidates) {
       UpstreamState state = state(node.id());
-      boolean permitted = !excluded.contains(node.id()) && !state.isSuspect();
+      boolean eligible = !excluded.contains(node.id()) && !state.isSuspect();
       SharedLimits.Room room = gate.limits().room(node, now);
       boolean hasRoom = room != SharedLimits.Room.NONE;
-      if (permitted && hasRoom && gate.acceptsRequests(node.incarnation(), now)) {
+      if (eligible && hasRoom && gate.acceptsRequests(node.incarnation(), now)) {
         usable.add(node);
         boolean accepts = !state.isBackedOff(now) && !reportedRejecting.contains(node.id());
         if (accepts && room != SharedLimits.Room.ASK) {
@@ -343,7 +343,7 @@
     return Collections.min(nodes, Comparator.comparingDouble(this::cost));
   }
 
-  /** Returns the upstreams that can be reachableNodes, or all of them when none can. */
+  /** Returns the upstreams that can be reached, or all of them when none can. */
   private List<Node> candidates(DispatchRequest request) {
     List<Node> all = serving.getOrDefault(new Key(request.service(), request.model()), List.of());
     List<Node> reachableNodes =
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/RetryBudget.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/RetryBudget.java
@@ -9,11 +9,8 @@
  */
 public final class RetryBudget {
 
-  /**
-   * The part of the allowed retries that is used. The rest absorbs differences in what the daemons
-   * count.
-   */
-  private static final double SAFETY = 0.8;
+  /** The part of the allowed retries that is used, as a safety margin. */
+  private static final double SAFETY_FACTOR = 0.8;
 
   private final double ratio;
   private final double slack;
@@ -54,7 +51,7 @@
   public boolean tryTake(int daemons, long nowNanos) {
     removeExpired(requests, nowNanos);
     removeExpired(retries, nowNanos);
-    double allowed = SAFETY * (ratio * requests.size() + slack / Math.max(1, daemons));
+    double allowed = SAFETY_FACTOR * (ratio * requests.size() + slack / Math.max(1, daemons));
     if (retries.size() + 1 > allowed) {
       return false;
     }
