--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/CoordinatorService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/CoordinatorService.java
@@ -25,7 +25,7 @@
 import org.fawnvale.core.planning.PlanInput;
 import org.fawnvale.core.planning.Planner;
 import org.fawnvale.core.planning.PlannerSettings;
-
+import org.fawnvale.core.planning.RolloutMonitor;
 import org.fawnvale.core.readiness.ReadinessTable;
 import org.fawnvale.core.result.Result;
 import org.fawnvale.daemon.Context;
@@ -40,7 +40,6 @@
 import org.fawnvale.platform.WriteResult;
 import org.fawnvale.upstream.EngineClient;
 import org.jspecify.annotations.Nullable;
-import org.fawnvale.core.planning.RolloutMonitor;
 
 /**
  * Plans the replicas of the data centre and sends orders to its engines while this daemon holds the
@@ -90,7 +89,8 @@
     this.store = store;
     this.lease = lease;
     this.table = table;
-    this.rolloutMonitor = RolloutMonitor.create(context.settings().timing().rolloutPatienceMillis());
+    this.rolloutMonitor =
+        RolloutMonitor.create(context.settings().timing().rolloutPatienceMillis());
     this.sender = new OrderSender(context, lease, engines);
   }
 
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/evidence/EvidenceService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/evidence/EvidenceService.java
@@ -13,8 +13,8 @@
 import org.apache.logging.log4j.Logger;
 import org.fawnvale.core.model.Node;
 import org.fawnvale.core.model.NodeReport;
+import org.fawnvale.core.readiness.PeerTimestampLog;
 import org.fawnvale.core.readiness.ReadinessTable;
-
 import org.fawnvale.core.settings.DaemonSettings;
 import org.fawnvale.daemon.Context;
 import org.fawnvale.daemon.peer.PeerService;
@@ -23,7 +23,6 @@
 import org.fawnvale.kernel.Service;
 import org.fawnvale.wire.Link;
 import org.fawnvale.wire.Message;
-import org.fawnvale.core.readiness.PeerTimestampLog;
 
 /**
  * Probes nodes and exchanges the nodes' reports with the other daemons of the data centre.
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/BundleUpdater.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/BundleUpdater.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.fawnvale.core.check.BundleCheck;
-
+import org.fawnvale.core.check.CheckedDocument;
 import org.fawnvale.core.model.Bundle;
 import org.fawnvale.core.model.Node;
 import org.fawnvale.core.model.Rollout;
@@ -18,7 +18,6 @@
 import org.fawnvale.platform.ObjectStore;
 import org.fawnvale.platform.StoredObject;
 import org.fawnvale.platform.WriteResult;
-import org.fawnvale.core.check.CheckedDocument;
 
 /**
  * Applies operators' changes to the platform's rollout object. A conditional update decides between
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/OperatorService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/OperatorService.java
@@ -20,7 +20,7 @@
 import org.fawnvale.core.result.Problem;
 import org.fawnvale.core.result.ProblemKind;
 import org.fawnvale.daemon.Context;
-
+import org.fawnvale.daemon.http.BoundedHttpServer;
 import org.fawnvale.daemon.metrics.DaemonMetrics;
 import org.fawnvale.daemon.state.Documents;
 import org.fawnvale.daemon.state.FleetState;
@@ -28,7 +28,6 @@
 import org.fawnvale.kernel.Service;
 import org.fawnvale.kernel.ServiceException;
 import org.fawnvale.platform.ObjectStore;
-import org.fawnvale.daemon.http.BoundedHttpServer;
 
 /** Serves operators over HTTP: bundle changes, status, history and metrics. */
 public final class OperatorService implements Service {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
@@ -293,7 +293,8 @@
       return new Choice.Refuse("every upstream is full", UpstreamGate.NOW);
     }
     boolean needsPermit =
-        gate.limits().admission(best, monotonicNanos.getAsLong()) == SharedLimits.Admission.ASK_OWNER;
+        gate.limits().admission(best, monotonicNanos.getAsLong())
+            == SharedLimits.Admission.ASK_OWNER;
     return new Choice.Send(best, load(best), needsPermit);
   }
 
