--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
@@ -99,20 +99,20 @@
         rolledBackAtNanos);
   }
 
-  /** Tells whether the effective list may change without a change of the store's list. */
+  /** Returns whether the effective list may change without a change of the store's list. */
   boolean changesWithTime() {
     return vanishedNodes.hasRetainedNodes() || restoredNodes.changesWithTime();
   }
 
   /**
-   * Tells whether missing entries may return: after an outage or a rollback of the store. Otherwise
-   * a missing entry means that its node is shutting down.
+   * Returns whether missing entries may return: after an outage or a rollback of the store.
+   * Otherwise a missing entry means that its node is shutting down.
    */
   private boolean missingMayReturn(long now) {
     return outages.mayHaveExpired(now) || now - rolledBackAtNanos < REWRITE_NANOS;
   }
 
-  /** Tells whether the store answers this daemon. */
+  /** Returns whether the store answers this daemon. */
   boolean storeAnswers() {
     boolean isCertain =
         nodes.isActive() || storeSuspicion.isCleared(configurations.lastAnswerNanos());
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/PlannedStop.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/PlannedStop.java
@@ -50,7 +50,7 @@
   interface InFlightRequests {
 
     /**
-     * Tells whether any request is in flight.
+     * Returns whether any request is in flight.
      *
      * @param refuseNew whether the gateway refuses new requests from now on
      * @return true while a request is in flight
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/QuarantinePersistence.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/QuarantinePersistence.java
@@ -37,7 +37,7 @@
     if (mayHaveRecords) {
       store.load();
     }
-    quarantine.onBarred(this::onBarred);
+    quarantine.onQuarantined(this::onQuarantined);
     quarantine.onCleared(store::delete);
   }
 
@@ -46,7 +46,7 @@
    * observed the node exit which led to the quarantine saves the record, and so does the leader,
    * because the other daemon may be shutting down.
    */
-  private void onBarred(QuarantineRecord quarantined, boolean own) {
+  private void onQuarantined(QuarantineRecord quarantined, boolean own) {
     if (own || leading) {
       store.save(quarantined);
     }
@@ -63,7 +63,7 @@
     leading = leadsNow;
     if (leadsNow && !era.equals(savedInEra)) {
       savedInEra = era;
-      quarantine.barredRecords().forEach(store::save);
+      quarantine.quarantinedRecords().forEach(store::save);
     }
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SharedStateUpdates.java
@@ -34,7 +34,7 @@
     this.limitPermits = limitPermits;
   }
 
-  /** Tells whether an update since the last call has to reach the other daemons at once. */
+  /** Returns whether an update since the last call has to reach the other daemons at once. */
   boolean takeUrgentUpdate() {
     boolean hasUrgentRecords = quarantine.takeUrgentUpdate();
     return limits.knownLimits().takeUrgent() || hasUrgentRecords;
@@ -63,14 +63,15 @@
    * quarantined requests.
    *
    * @param live the last messages of the live peers
-   * @param recentlySeenCount the number of daemons heard recently, this one included
+   * @param recentlySeenCount the number of daemons seen recently, this one included
    */
   void updateReachableDaemons(Collection<PeerMessage> live, int recentlySeenCount) {
     List<RendezvousOwners.Daemon> others = new ArrayList<>();
     live.forEach(
-        note ->
+        message ->
             others.add(
-                new RendezvousOwners.Daemon(note.name(), note.address(), note.dataCentre())));
+                new RendezvousOwners.Daemon(
+                    message.name(), message.address(), message.dataCentre())));
     if (owners.updateReachable(others, recentlySeenCount, System.nanoTime())) {
       limits.ownersChanged();
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/UpstreamSelector.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/UpstreamSelector.java
@@ -126,7 +126,7 @@
     return one.epoch() > other.epoch() ? one : other;
   }
 
-  /** Tells whether the list shows the head in a later group than the announcement. */
+  /** Returns whether the list shows the head in a later group than the announcement. */
   private static boolean isInLaterGroup(Node node, PeerMessage.ServingGroup group) {
     Membership membership = node.membership();
     return membership != null && membership.epoch() > group.epoch();
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
@@ -47,7 +47,7 @@
 
   private static final int CHOICE_RETRY_MILLIS = 100;
   private static final String CONNECTION_BROKEN = "connection broken";
-  private static final String BARRED = "ends the nodes that run it";
+  private static final String QUARANTINED = "ends the nodes that run it";
   private static final long UPSTREAM_WAIT_NANOS = 1_500_000_000L;
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
@@ -105,8 +105,8 @@
     return computed;
   }
 
-  /** Cancels the request because it is barred: it crashes the nodes that run it. */
-  void abortAsBarred() {
+  /** Cancels the request because it is quarantined: it crashes the nodes that run it. */
+  void abortAsQuarantined() {
     if (finished) {
       return;
     }
@@ -115,11 +115,11 @@
       running.cancel(false);
       mayHaveRun = true;
     }
-    refuse(BARRED);
+    refuse(QUARANTINED);
   }
 
   private void sendToNextUpstream(String reason) {
-    if (gateway.quarantine().isBarred(this)) {
+    if (gateway.quarantine().isQuarantined(this)) {
       requestTrialOrRefuse(reason);
       return;
     }
@@ -143,13 +143,13 @@
   }
 
   /**
-   * Requests a trial for a barred request. The daemon that owns the request grants a trial to one
-   * of the daemons that ask, after the request has been barred for a while.
+   * Requests a trial for a quarantined request. The daemon that owns the request grants a trial to
+   * one of the daemons that ask, after the request has been quarantined for a while.
    */
   private void requestTrialOrRefuse(String reason) {
     boolean mayRequestTrial = !trialRequested && gateway.quarantine().mayRequestTrial(this);
     if (!mayRequestTrial) {
-      refuse(BARRED);
+      refuse(QUARANTINED);
       return;
     }
     trialRequested = true;
@@ -323,7 +323,7 @@
   }
 
   private int retryAfterMillis() {
-    return gateway.quarantine().isBarred(this)
+    return gateway.quarantine().isQuarantined(this)
         ? RequestQuarantine.RETRY_AFTER_MILLIS
         : gateway.retryAfterMillis(request, tried);
   }
@@ -534,12 +534,12 @@
     }
 
     /**
-     * Handles a broken connection. If one more node exit would bar the request, the retry waits
-     * until the probe has shown whether the node exited.
+     * Handles a broken connection. If one more node exit would quarantine the request, the retry
+     * waits until the probe has shown whether the node exited.
      */
     private void handleBreak() {
       mayHaveRun = true;
-      if (gateway.quarantine().isOneExitFromBarred(Forwarder.this)) {
+      if (gateway.quarantine().isOneExitFromQuarantine(Forwarder.this)) {
         attempt = null;
         gateway
             .quarantine()
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -103,7 +103,7 @@
     this.metrics = metrics;
     this.log = new RequestLog(metrics, dispatcher);
     this.streamMonitor = new StreamMonitor(dispatcher, metrics);
-    this.quarantine = new RequestQuarantine(client, dispatcher, metrics, this::cancelBarred);
+    this.quarantine = new RequestQuarantine(client, dispatcher, metrics, this::cancelQuarantined);
     this.startupQueue = new StartupRequestQueue(timers, StartupRequestQueue.MAX_WAIT_MILLIS);
     HeaderNames names = platform.headers();
     this.gatewayHeaders =
@@ -456,13 +456,13 @@
   }
 
   /**
-   * Cancels the attempts of a request that has just been barred. A node may have queued the request
-   * without running it yet.
+   * Cancels the attempts of a request that has just been quarantined. A node may have queued the
+   * request without running it yet.
    */
-  private void cancelBarred(Fingerprint fingerprint) {
+  private void cancelQuarantined(Fingerprint fingerprint) {
     for (Forwarder forwarder : List.copyOf(running)) {
       if (forwarder.fingerprint().equals(fingerprint)) {
-        forwarder.abortAsBarred();
+        forwarder.abortAsQuarantined();
       }
     }
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/GatewayMetrics.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/GatewayMetrics.java
@@ -51,8 +51,8 @@
     registry.gauge("fawnvale.quarantine.barred", quarantine, Quarantine::quarantinedCount);
   }
 
-  void nodeExit(boolean barred) {
-    count("fawnvale.ends.under.requests", "outcome", barred ? "barred" : "noted");
+  void nodeExit(boolean quarantined) {
+    count("fawnvale.ends.under.requests", "outcome", quarantined ? "barred" : "noted");
   }
 
   private void count(String name, String tag, String value) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
@@ -23,7 +23,7 @@
 
   private static final Logger LOG = LogManager.getLogger("gateway");
 
-  /** Retry-After of barred requests, in milliseconds: the time until a trial is allowed. */
+  /** Retry-After of quarantined requests, in milliseconds: the time until a trial is allowed. */
   static final int RETRY_AFTER_MILLIS =
       (int) TimeUnit.NANOSECONDS.toMillis(Quarantine.TRIAL_DELAY_NANOS);
 
@@ -34,17 +34,17 @@
    */
   private static final long REMOTE_CONFIRMATION_NANOS = 1_100_000_000L;
 
-  /** Receives the requests that become barred. */
+  /** Receives the requests that become quarantined. */
   @FunctionalInterface
-  public interface BarredListener {
+  public interface QuarantineListener {
 
     /**
-     * Called when a request becomes barred.
+     * Called when a request becomes quarantined.
      *
      * @param requestRecord record of the request
      * @param own whether this daemon observed the last node exit; false if a peer reported it
      */
-    void barred(QuarantineRecord requestRecord, boolean own);
+    void quarantined(QuarantineRecord requestRecord, boolean own);
   }
 
   private final Quarantine quarantine = new Quarantine();
@@ -53,7 +53,7 @@
   private final Deque<RemoteExit> remoteExits = new ArrayDeque<>();
   private final GatewayMetrics metrics;
   private final Consumer<Fingerprint> cancelRequests;
-  private BarredListener barredListener = (requestRecord, own) -> {};
+  private QuarantineListener quarantineListener = (requestRecord, own) -> {};
   private TrialRequester trialRequester = (fingerprint, result) -> result.accept(false);
   private Consumer<Fingerprint> clearedListener = fingerprint -> {};
 
@@ -77,10 +77,10 @@
   }
 
   /**
-   * Returns whether a request is barred; computes its fingerprint only while any request is
+   * Returns whether a request is quarantined; computes its fingerprint only while any request is
    * suspected.
    */
-  boolean isBarred(Forwarder forwarder) {
+  boolean isQuarantined(Forwarder forwarder) {
     return !quarantine.isEmpty()
         && quarantine.isQuarantined(forwarder.fingerprint(), System.nanoTime());
   }
@@ -92,7 +92,7 @@
     }
   }
 
-  /** Requests trials of barred requests from the daemons that own them. */
+  /** Requests trials of quarantined requests from the daemons that own them. */
   @FunctionalInterface
   public interface TrialRequester {
 
@@ -106,7 +106,7 @@
   }
 
   /**
-   * Sets what requests trials of barred requests. Until it is set, no trial is granted.
+   * Sets what requests trials of quarantined requests. Until it is set, no trial is granted.
    *
    * @param requester requests the trials
    */
@@ -114,13 +114,13 @@
     trialRequester = requester;
   }
 
-  /** Returns whether a barred request may be harmless, so that a trial should be requested. */
+  /** Returns whether a quarantined request may be harmless, so that a trial should be requested. */
   boolean mayRequestTrial(Forwarder forwarder) {
     return quarantine.mayRequestTrial(forwarder.fingerprint(), System.nanoTime());
   }
 
   /**
-   * Requests a trial of a barred request.
+   * Requests a trial of a quarantined request.
    *
    * @param result receives whether the request may be sent now
    */
@@ -138,7 +138,7 @@
   }
 
   /**
-   * Grants this or another daemon a trial of a barred request.
+   * Grants this or another daemon a trial of a quarantined request.
    *
    * @param fingerprint fingerprint of the request
    * @return whether the trial is granted
@@ -147,8 +147,8 @@
     return quarantine.grantTrial(fingerprint, System.nanoTime());
   }
 
-  /** Returns whether one more node exit would bar the request. */
-  boolean isOneExitFromBarred(Forwarder forwarder) {
+  /** Returns whether one more node exit would quarantine the request. */
+  boolean isOneExitFromQuarantine(Forwarder forwarder) {
     return !quarantine.isEmpty()
         && quarantine.failureCount(forwarder.fingerprint()) >= Quarantine.MAX_FAILURES - 1;
   }
@@ -174,30 +174,30 @@
 
   private void recordExit(Fingerprint fingerprint, Node node) {
     int exits = quarantine.recordFailure(fingerprint, node.incarnation(), System.nanoTime());
-    boolean barred = exits >= Quarantine.MAX_FAILURES;
-    metrics.nodeExit(barred);
+    boolean quarantined = exits >= Quarantine.MAX_FAILURES;
+    metrics.nodeExit(quarantined);
     LOG.info("fingerprint={} node={} ends={} outcome=ended", fingerprint, node.id(), exits);
-    if (barred) {
+    if (quarantined) {
       LOG.warn("fingerprint={} node={} ends={} outcome=barred", fingerprint, node.id(), exits);
-      notifyBarred(fingerprint, true);
+      notifyQuarantined(fingerprint, true);
       cancelRequests.accept(fingerprint);
     }
   }
 
-  private void notifyBarred(Fingerprint fingerprint, boolean own) {
+  private void notifyQuarantined(Fingerprint fingerprint, boolean own) {
     QuarantineRecord requestRecord = quarantine.recordOf(fingerprint);
     if (requestRecord != null) {
-      barredListener.barred(requestRecord, own);
+      quarantineListener.quarantined(requestRecord, own);
     }
   }
 
   /**
-   * Sets the listener for requests that become barred.
+   * Sets the listener for requests that become quarantined.
    *
    * @param listener receives their records
    */
-  public void onBarred(BarredListener listener) {
-    barredListener = listener;
+  public void onQuarantined(QuarantineListener listener) {
+    quarantineListener = listener;
   }
 
   /** Records that a node has completed a request successfully. */
@@ -205,16 +205,17 @@
     if (quarantine.isEmpty()) {
       return;
     }
-    boolean wasBarred = quarantine.failureCount(forwarder.fingerprint()) >= Quarantine.MAX_FAILURES;
+    boolean wasQuarantined =
+        quarantine.failureCount(forwarder.fingerprint()) >= Quarantine.MAX_FAILURES;
     quarantine.recordResponse(forwarder.fingerprint(), System.nanoTime());
-    if (wasBarred) {
+    if (wasQuarantined) {
       LOG.warn("fingerprint={} outcome=cleared by=answer", forwarder.fingerprint());
       clearedListener.accept(forwarder.fingerprint());
     }
   }
 
   /**
-   * Sets the listener for barred requests that a successful response has cleared.
+   * Sets the listener for quarantined requests that a successful response has cleared.
    *
    * @param listener receives their fingerprints
    */
@@ -223,24 +224,24 @@
   }
 
   /**
-   * Merges the records of another daemon and cancels the requests that they bar.
+   * Merges the records of another daemon and cancels the requests that this quarantines.
    *
    * @param records records that the other daemon sent
    */
   public void receive(List<QuarantineRecord> records) {
     for (Fingerprint fingerprint : quarantine.mergeFromPeer(records, System.nanoTime())) {
       LOG.warn("fingerprint={} outcome=barred by=peers", fingerprint);
-      notifyBarred(fingerprint, false);
+      notifyQuarantined(fingerprint, false);
       cancelRequests.accept(fingerprint);
     }
   }
 
   /**
-   * Returns the records of the barred requests.
+   * Returns the records of the quarantined requests.
    *
    * @return records of the requests that are sent to no node
    */
-  public List<QuarantineRecord> barredRecords() {
+  public List<QuarantineRecord> quarantinedRecords() {
     return quarantine.quarantinedRecords();
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
@@ -52,13 +52,13 @@
   /**
    * Merges the limits that another daemon has sent.
    *
-   * @param notes records of limits
+   * @param updates records of limits
    */
-  public void receive(List<LimitUpdate> notes) {
+  public void receive(List<LimitUpdate> updates) {
     long now = System.nanoTime();
-    for (LimitUpdate note : notes) {
-      KnownLimits.Change change = limits.merge(note, now);
-      log.updateReceived(note, change);
+    for (LimitUpdate update : updates) {
+      KnownLimits.Change change = limits.merge(update, now);
+      log.updateReceived(update, change);
     }
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitNoteCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitUpdateCodec.java
@@ -9,25 +9,26 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** Encodes the limit records that daemons exchange as MessagePack. */
-public final class LimitNoteCodec {
+public final class LimitUpdateCodec {
 
-  private LimitNoteCodec() {}
+  private LimitUpdateCodec() {}
 
   /**
    * Writes limit records.
    *
    * @param packer destination
-   * @param notes records
+   * @param updates records
    * @throws IOException if the packer fails
    */
-  public static void write(MessageBufferPacker packer, List<LimitUpdate> notes) throws IOException {
-    packer.packArrayHeader(notes.size());
-    for (LimitUpdate note : notes) {
-      packer.packString(note.incarnation().id());
-      packer.packLong(note.incarnation().startedMillis());
-      packer.packInt(note.version());
-      packer.packDouble(note.perSecond());
-      packer.packLong(note.ageMillis());
+  public static void write(MessageBufferPacker packer, List<LimitUpdate> updates)
+      throws IOException {
+    packer.packArrayHeader(updates.size());
+    for (LimitUpdate update : updates) {
+      packer.packString(update.incarnation().id());
+      packer.packLong(update.incarnation().startedMillis());
+      packer.packInt(update.version());
+      packer.packDouble(update.perSecond());
+      packer.packLong(update.ageMillis());
     }
   }
 
@@ -40,14 +41,14 @@
    */
   public static List<LimitUpdate> read(MessageUnpacker in) throws IOException {
     int count = in.unpackArrayHeader();
-    List<LimitUpdate> notes = new ArrayList<>();
+    List<LimitUpdate> updates = new ArrayList<>();
     for (int index = 0; index < count; index++) {
       String id = in.unpackString();
       NodeIncarnation incarnation = new NodeIncarnation(id, in.unpackLong());
       int stamp = in.unpackInt();
       double perSecond = in.unpackDouble();
-      notes.add(new LimitUpdate(incarnation, stamp, perSecond, in.unpackLong()));
+      updates.add(new LimitUpdate(incarnation, stamp, perSecond, in.unpackLong()));
     }
-    return notes;
+    return updates;
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/OwnerClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/OwnerClient.java
@@ -8,7 +8,7 @@
 import org.fawnvale.serving.http.Timers;
 import org.fawnvale.serving.spi.Call;
 
-/** Calls the daemon that owns a limit or a barred request. */
+/** Calls the daemon that owns a limit or a quarantined request. */
 public final class OwnerClient {
 
   private static final int OK = 200;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/PermitRequest.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/PermitRequest.java
@@ -27,7 +27,7 @@
   /** Returns the path of the HTTP request, with the encoded permit request. */
   String target() throws IOException {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-      LimitNoteCodec.write(packer, List.of(limit));
+      LimitUpdateCodec.write(packer, List.of(limit));
       packer.packString(dataCentre);
       return PATH + Base64.getUrlEncoder().withoutPadding().encodeToString(packer.toByteArray());
     }
@@ -46,11 +46,12 @@
           "The permit request is not in base 64; use one version of the daemons.", e);
     }
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
-      List<LimitUpdate> notes = LimitNoteCodec.read(in);
-      if (notes.size() != 1) {
-        throw new IOException("A permit request must contain one limit, not " + notes.size() + ".");
+      List<LimitUpdate> updates = LimitUpdateCodec.read(in);
+      if (updates.size() != 1) {
+        throw new IOException(
+            "A permit request must contain one limit, not " + updates.size() + ".");
       }
-      return new PermitRequest(notes.get(0), in.unpackString());
+      return new PermitRequest(updates.get(0), in.unpackString());
     }
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialPermitService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/TrialPermitService.java
@@ -8,9 +8,9 @@
 import org.fawnvale.serving.core.quarantine.Fingerprint;
 
 /**
- * Requests trials of barred requests from the daemons that own them, and answers other daemons'
- * requests. One daemon decides for all, since a caller may retry at any daemon. Callers of the
- * methods hold the lock.
+ * Requests trials of quarantined requests from the daemons that own them, and answers other
+ * daemons' requests. One daemon decides for all, since a caller may retry at any daemon. Callers of
+ * the methods hold the lock.
  */
 public final class TrialPermitService {
 
@@ -18,7 +18,7 @@
 
   private static final String PATH = "/trials/leave/";
 
-  /** A barred request belongs to no data centre. */
+  /** A quarantined request belongs to no data centre. */
   private static final String NO_DATA_CENTRE = "";
 
   private static final byte[] GRANTED = {1};
@@ -48,7 +48,7 @@
   }
 
   /**
-   * Requests one trial of a barred request.
+   * Requests one trial of a quarantined request.
    *
    * @param fingerprint fingerprint of the request
    * @param result receives whether the trial is granted; called once, with the lock held
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/package-info.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/package-info.java
@@ -1,4 +1,4 @@
-/** Permits for shared limits and for trials of barred requests, exchanged between daemons. */
+/** Permits for shared limits and for trials of quarantined requests, exchanged between daemons. */
 @NullMarked
 package org.fawnvale.serving.limit;
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerMessageCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerMessageCodec.java
@@ -11,7 +11,7 @@
 import org.fawnvale.serving.core.peer.PeerMessage;
 import org.fawnvale.serving.core.quarantine.QuarantineRecord;
 import org.fawnvale.serving.core.watch.CopyPositions;
-import org.fawnvale.serving.limit.LimitNoteCodec;
+import org.fawnvale.serving.limit.LimitUpdateCodec;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
@@ -76,7 +76,7 @@
         DigestCodec.write(packer, digest);
       }
       QuarantineRecordCodec.write(packer, datagram.quarantineRecords());
-      LimitNoteCodec.write(packer, datagram.limitUpdates());
+      LimitUpdateCodec.write(packer, datagram.limitUpdates());
       return packer.toByteArray();
     }
   }
@@ -173,7 +173,7 @@
       }
       List<QuarantineRecord> quarantineRecords = QuarantineRecordCodec.read(in);
       return new Datagram(
-          message, positions, addresses, digests, quarantineRecords, LimitNoteCodec.read(in));
+          message, positions, addresses, digests, quarantineRecords, LimitUpdateCodec.read(in));
     }
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/PeerCopyExchange.java
@@ -161,7 +161,7 @@
   }
 
   /**
-   * Tells whether a peer's query asks for objects of this kind.
+   * Returns whether a peer's query asks for objects of this kind.
    *
    * @param target the path and query
    * @return true when {@link #respond} answers it
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/StoreWatch.java
@@ -189,7 +189,7 @@
   }
 
   /**
-   * Tells whether this daemon watches the store itself.
+   * Returns whether this daemon watches the store itself.
    *
    * @return false while this daemon takes its copy from peers
    */
@@ -235,7 +235,7 @@
   }
 
   /**
-   * Tells whether the store answers.
+   * Returns whether the store answers.
    *
    * @return false from a failed call until the next successful one
    */
--- a/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/NodeCrashingRequestsTest.java
+++ b/fawnvale-serving/src/test/java/org/fawnvale/serving/gateway/NodeCrashingRequestsTest.java
@@ -28,7 +28,7 @@
 
   private static final int NODES = 10;
 
-  /** Number of nodes that a request may crash before it is barred. */
+  /** Number of nodes that a request may crash before it is quarantined. */
   private static final int MAX_EXITS = 3;
 
   private final List<ScriptedUpstream> upstreams = new ArrayList<>();
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void pendingRequestIsCancelledWhenPeersReportItAsBarred() throws Exception {
+  void pendingRequestIsCancelledWhenPeersReportItAsQuarantined() throws Exception {
     ScriptedUpstream silent = new ScriptedUpstream(ScriptedUpstream.NO_RESPONSE);
     upstreams.add(silent);
     serve();
@@ -118,7 +118,7 @@
   }
 
   @Test
-  void barredRequestIsRefusedAsNotRun() throws Exception {
+  void quarantinedRequestIsRefusedAsNotRun() throws Exception {
     startCrashingNodes();
     synchronized (running.lock()) {
       gateway
