--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
@@ -224,7 +224,7 @@
   }
 
   /**
-   * Merges the records of another daemon and cancels the requests that this quarantines.
+   * Merges the records of another daemon and cancels the requests that this puts in quarantine.
    *
    * @param records records that the other daemon sent
    */
