--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -403,8 +403,7 @@
     logLines.add("domain=" + domain + " exchanges " + choice.describe(plan));
     exchanges.begin(domain, plan, now);
     for (ObservedGroup group : plan.victims()) {
-      dissolve(
-          group, Dissolution.Manner.GRACEFUL, "its nodes serve more as another model", now);
+      dissolve(group, Dissolution.Manner.GRACEFUL, "its nodes serve more as another model", now);
     }
   }
 
