--- a/fawnvale-wire/src/main/java/org/fawnvale/wire/CountedInput.java
+++ b/fawnvale-wire/src/main/java/org/fawnvale/wire/CountedInput.java
@@ -5,7 +5,7 @@
 import java.io.InputStream;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts the bytes that are read. */
+/** An input stream that counts the bytes read. */
 final class CountedInput extends FilterInputStream {
 
   private final LongAdder bytes = new LongAdder();
--- a/fawnvale-wire/src/main/java/org/fawnvale/wire/FrameCodec.java
+++ b/fawnvale-wire/src/main/java/org/fawnvale/wire/FrameCodec.java
@@ -11,10 +11,10 @@
 import org.jspecify.annotations.Nullable;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
-/** Frames: four bytes of length, big-endian, then one message in MessagePack. */
+/** Codec of frames: a big-endian four-byte length, then one message in MessagePack. */
 public final class FrameCodec {
 
-  /** Bytes of a frame's length field. */
+  /** Size of a frame's length field, bytes. */
   public static final int HEADER_BYTES = Integer.BYTES;
 
   private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
@@ -30,7 +30,7 @@
   /**
    * Creates a codec.
    *
-   * @param maximumBytes the largest payload that is read or written, bytes
+   * @param maximumBytes maximum size of an encoded or decoded payload, bytes
    * @return the codec
    */
   public static FrameCodec withLimit(int maximumBytes) {
@@ -38,11 +38,11 @@
   }
 
   /**
-   * Encodes a message to the payload of a frame.
+   * Encodes a message as the payload of a frame.
    *
    * @param message the message
    * @return the payload
-   * @throws FrameException when it is larger than the limit
+   * @throws FrameException if the payload exceeds the limit or cannot be encoded
    */
   public byte[] encode(Message message) throws FrameException {
     try {
@@ -61,8 +61,8 @@
    * Writes a payload as a frame.
    *
    * @param payload the payload
-   * @param out where to
-   * @throws IOException when the connection fails
+   * @param out the destination, not flushed
+   * @throws IOException if the connection fails
    */
   public void write(byte[] payload, DataOutputStream out) throws IOException {
     out.writeInt(payload.length);
@@ -72,10 +72,10 @@
   /**
    * Reads one frame.
    *
-   * @param in where from
-   * @return its message; null at a clean end between two frames
-   * @throws FrameException when the frame is over the limit, torn, or holds no message
-   * @throws IOException when the connection fails
+   * @param in the source
+   * @return its message; null if the stream ends between two frames
+   * @throws FrameException if the frame exceeds the limit, is truncated, or holds no known message
+   * @throws IOException if the connection fails
    */
   public @Nullable Message read(DataInputStream in) throws IOException {
     int first = in.read();
--- a/fawnvale-wire/src/main/java/org/fawnvale/wire/FrameException.java
+++ b/fawnvale-wire/src/main/java/org/fawnvale/wire/FrameException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A frame that cannot be read or written; the link that carried it is closed. */
+/** Thrown for a frame that cannot be decoded or encoded, or for a failed handshake. */
 public final class FrameException extends IOException {
 
   private static final long serialVersionUID = 1L;
@@ -10,7 +10,7 @@
   /**
    * Creates the exception.
    *
-   * @param message what is wrong with the frame
+   * @param message the cause, for logs
    */
   public FrameException(String message) {
     super(message);
@@ -19,7 +19,7 @@
   /**
    * Creates the exception with its cause.
    *
-   * @param message what is wrong with the frame
+   * @param message the cause, for logs
    * @param cause the underlying failure
    */
   public FrameException(String message, Throwable cause) {
--- a/fawnvale-wire/src/main/java/org/fawnvale/wire/Handshake.java
+++ b/fawnvale-wire/src/main/java/org/fawnvale/wire/Handshake.java
@@ -10,7 +10,7 @@
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
 
-/** Mutual proof, at the start of a link, that both ends know the peers' key. */
+/** Mutual authentication of both ends of a link by the shared peer key. */
 final class Handshake {
 
   private static final String ALGORITHM = "HmacSHA256";
@@ -27,7 +27,7 @@
     this.codec = codec;
   }
 
-  /** Exchanges hellos and proofs; returns who is at the other end, or throws. */
+  /** Exchanges hellos and proofs; returns the peer's identity, or throws if that fails. */
   Identity perform(DataInputStream in, DataOutputStream out) throws IOException {
     byte[] nonce = new byte[NONCE_BYTES];
     RANDOM.nextBytes(nonce);
@@ -38,7 +38,7 @@
     send(new Message.Proof(sign(other.nonce(), own)), out);
     Message.Proof proof = expect(Message.Proof.class, in);
     if (!MessageDigest.isEqual(proof.mac(), sign(nonce, other))) {
-      throw new FrameException("The other end does not know the peers' key.");
+      throw new FrameException("Authentication failed: the peer does not have the shared key.");
     }
     return new Identity(other.daemon(), other.dataCentre(), other.incarnation());
   }
@@ -51,7 +51,7 @@
   private <T extends Message> T expect(Class<T> type, DataInputStream in) throws IOException {
     Message message = codec.read(in);
     if (!type.isInstance(message)) {
-      throw new FrameException("The other end did not follow the handshake.");
+      throw new FrameException("The peer sent an unexpected message during the handshake.");
     }
     return type.cast(message);
   }
--- a/fawnvale-wire/src/main/java/org/fawnvale/wire/Identity.java
+++ b/fawnvale-wire/src/main/java/org/fawnvale/wire/Identity.java
@@ -1,10 +1,10 @@
 package org.fawnvale.wire;
 
 /**
- * Who is at one end of a link.
+ * The identity of a daemon at one end of a link.
  *
  * @param daemon the daemon's name
- * @param dataCentre its data centre
- * @param incarnation a text that no other start of any daemon has
+ * @param dataCentre the daemon's data centre
+ * @param incarnation unique id of this start of the daemon
  */
 public record Identity(String daemon, String dataCentre, String incarnation) {}
--- a/fawnvale-wire/src/main/java/org/fawnvale/wire/Link.java
+++ b/fawnvale-wire/src/main/java/org/fawnvale/wire/Link.java
@@ -18,8 +18,8 @@
 /**
  * An authenticated TCP connection between two daemons.
  *
- * <p>Sending never blocks: messages wait in a bounded queue, and a link whose queue is full is
- * closed, because its other end is frozen or unreachable.
+ * <p>Sending never blocks: messages wait in a bounded queue. If the queue is full, the peer is
+ * considered frozen or unreachable, and the link is closed.
  */
 public final class Link implements AutoCloseable {
 
@@ -56,13 +56,13 @@
   /**
    * Connects to a daemon and performs the handshake.
    *
-   * @param address where it listens
-   * @param self this end
-   * @param key the peers' key
+   * @param address address that the daemon listens on
+   * @param self identity of this daemon
+   * @param key secret key shared by all peers
    * @param codec the frame codec
-   * @param timeoutMillis bound on the connection and on each step of the handshake, milliseconds
+   * @param timeoutMillis timeout of connecting and of each read of the handshake, milliseconds
    * @return the link, not yet started
-   * @throws IOException when the other end cannot be reached or does not prove itself
+   * @throws IOException if the peer cannot be reached or fails to authenticate
    */
   public static Link dial(
       InetSocketAddress address, Identity self, byte[] key, FrameCodec codec, int timeoutMillis)
@@ -81,12 +81,12 @@
    * Performs the handshake on a connection.
    *
    * @param socket the connection
-   * @param self this end
-   * @param key the peers' key
+   * @param self identity of this daemon
+   * @param key secret key shared by all peers
    * @param codec the frame codec
-   * @param timeoutMillis bound on each step of the handshake, milliseconds
+   * @param timeoutMillis timeout of each read of the handshake, milliseconds
    * @return the link, not yet started
-   * @throws IOException when the other end does not prove itself
+   * @throws IOException if the peer fails to authenticate
    */
   public static Link open(
       Socket socket, Identity self, byte[] key, FrameCodec codec, int timeoutMillis)
@@ -103,11 +103,11 @@
   }
 
   /**
-   * Starts to read and write.
+   * Starts reading and writing.
    *
-   * @param executor runs one reading and one writing task until the link closes
-   * @param handler gets the messages
-   * @param onClose called once when the link has closed
+   * @param executor runs one reader task and one writer task until the link closes
+   * @param handler called by the reader task for each message
+   * @param onClose called once by the reader task after the link has closed
    */
   public void start(Executor executor, MessageHandler handler, Runnable onClose) {
     executor.execute(this::writeLoop);
@@ -120,10 +120,10 @@
   }
 
   /**
-   * Queues a message.
+   * Queues a message for sending; closes the link if the queue is full.
    *
    * @param message the message
-   * @return false when the link is closed, the message is too large, or the queue is full
+   * @return false if the link is closed, the message is too large, or the queue is full
    */
   public boolean send(Message message) {
     if (closed.get()) {
@@ -142,36 +142,36 @@
   }
 
   /**
-   * Who is at the other end.
+   * Returns the peer's identity.
    *
-   * @return the identity that the other end has proved
+   * @return the identity authenticated by the handshake
    */
   public Identity peer() {
     return peer;
   }
 
   /**
-   * Bytes sent so far, frames with their length fields.
+   * Returns the number of bytes sent, including the frames' length fields.
    *
-   * @return bytes
+   * @return bytes since the link was opened
    */
   public long sentBytes() {
     return sentBytes.sum();
   }
 
   /**
-   * Bytes received so far.
+   * Returns the number of bytes received.
    *
-   * @return bytes
+   * @return bytes since the link was opened
    */
   public long receivedBytes() {
     return received.bytes();
   }
 
   /**
-   * Tells whether the link is closed.
+   * Returns whether the link is closed.
    *
-   * @return true once it is
+   * @return true once the link has been closed by either side or by a failure
    */
   public boolean isClosed() {
     return closed.get();
--- a/fawnvale-wire/src/main/java/org/fawnvale/wire/Message.java
+++ b/fawnvale-wire/src/main/java/org/fawnvale/wire/Message.java
@@ -47,12 +47,12 @@
   record Proof(byte[] mac) implements Message {}
 
   /**
-   * A heartbeat that also renews the sender's last vouches.
+   * A heartbeat that also renews the sender's last readiness reports (vouches).
    *
    * @param stamp the sender's monotonic clock, nanoseconds
-   * @param echo the receiver's newest stamp that is older than all probes behind the vouches; 0
-   *     when there is none
-   * @param vouchVersion the version of the vouches that this beat renews
+   * @param echo the receiver's newest stamp that is older than all probes behind the vouches; 0 if
+   *     there is none
+   * @param vouchVersion the version of the vouches that this heartbeat renews
    * @param stateVersion the newest revision of the platform that the sender has applied
    * @param loads running and waiting requests of each vouched node, in the order of the vouches
    */
@@ -61,12 +61,12 @@
       implements Message {}
 
   /**
-   * What the sender found at the nodes that answer it; replaces its earlier vouches.
+   * The state of all nodes that answer the sender's probes; replaces its earlier vouches.
    *
    * @param version rises with every change
    * @param nodes the nodes
    * @param lost nodes that stopped answering since the last vouches; a node that is in neither list
-   *     was handed to another prober
+   *     is now probed by another daemon
    */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record Vouches(long version, List<Vouch> nodes, List<String> lost) implements Message {
@@ -79,10 +79,10 @@
   }
 
   /**
-   * What was found at one node that answers.
+   * The state of one node that answers the sender's probes.
    *
-   * @param node its name
-   * @param incarnation its incarnation
+   * @param node the node's name
+   * @param incarnation the node's incarnation
    * @param replica the replica it reported; null for none
    * @param generation the generation it reported
    * @param version the model version it reported; null for none
@@ -103,8 +103,8 @@
    * Objects of the platform that the receiver may not have yet.
    *
    * @param objects the objects
-   * @param platformAgeMillis how long ago the platform last confirmed them to the sender, or to
-   *     whom the sender has them from; milliseconds
+   * @param platformAgeMillis time since the platform last confirmed them, to the sender or to the
+   *     daemon that the sender received them from; milliseconds
    */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record StateUpdate(List<StateObject> objects, long platformAgeMillis) implements Message {
@@ -118,15 +118,15 @@
   /**
    * One object of the platform.
    *
-   * @param name its name
-   * @param version its version; higher is newer
-   * @param value its value
+   * @param name the object's name
+   * @param version the object's version; higher is newer
+   * @param value the object's value
    */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record StateObject(String name, long version, byte[] value) {}
 
   /**
-   * Asks for all objects that are newer than what the sender has.
+   * Requests all objects of which the sender has an older version or none.
    *
    * @param versions the version that the sender has of each object, by name
    */
@@ -140,34 +140,34 @@
   }
 
   /**
-   * Asks the daemon that batches a slot to claim a key.
+   * Requests a claim of a key from the daemon that batches the key's slot.
    *
    * @param number identifies the request on this link
    * @param key the key's digest
-   * @param owner who will run the request: its incarnation and a number
+   * @param owner owner of the attempt to run the request: incarnation and number
    */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record ClaimRequest(long number, String key, String owner) implements Message {}
 
   /**
-   * Answers a claim.
+   * The response to a claim request.
    *
    * @param number the request's number
-   * @param verdict what became of the claim, as the name of a claim verdict
-   * @param owner who holds the key, when somebody does
+   * @param verdict result of the claim, as the name of an enum constant
+   * @param owner current owner of the key; null if there is none
    */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record ClaimReply(long number, String verdict, @Nullable String owner) implements Message {}
 
   /**
-   * Hands a caller's request to a daemon of another data centre.
+   * Forwards a caller's request to a daemon of another data centre.
    *
    * @param number identifies the request on this link
-   * @param workspace the workspace that the sender has proved
+   * @param workspace the workspace that the sender has authenticated
    * @param method the HTTP method
    * @param path the path
    * @param headers the request's headers
-   * @param remainingMillis time left until its deadline, milliseconds
+   * @param remainingMillis time remaining until the deadline, milliseconds
    * @param body the body
    */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
@@ -188,7 +188,7 @@
   }
 
   /**
-   * Says that nobody waits for a forwarded request any more.
+   * Cancels a forwarded request whose response is no longer needed.
    *
    * @param number the request's number
    */
@@ -196,11 +196,11 @@
   record ForwardCancel(long number) implements Message {}
 
   /**
-   * Starts the answer to a forwarded request.
+   * The status and headers of the response to a forwarded request.
    *
    * @param number the request's number
    * @param status the HTTP status
-   * @param headers the answer's headers
+   * @param headers the response's headers
    */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record ForwardHead(long number, int status, Map<String, String> headers) implements Message {
@@ -212,20 +212,20 @@
   }
 
   /**
-   * A part of the answer to a forwarded request.
+   * A part of the response body of a forwarded request.
    *
    * @param number the request's number
-   * @param bytes the part
+   * @param bytes the part's bytes
    */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record ForwardChunk(long number, byte[] bytes) implements Message {}
 
   /**
-   * Ends the answer to a forwarded request.
+   * The end of the response to a forwarded request.
    *
    * @param number the request's number
-   * @param length bytes in all parts together; what differs is torn
-   * @param whole true when the answer is whole
+   * @param length total size of all parts, bytes; a body of any other size is truncated
+   * @param whole true if the sender received the complete response
    */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record ForwardEnd(long number, long length, boolean whole) implements Message {}
--- a/fawnvale-wire/src/main/java/org/fawnvale/wire/MessageHandler.java
+++ b/fawnvale-wire/src/main/java/org/fawnvale/wire/MessageHandler.java
@@ -1,13 +1,13 @@
 package org.fawnvale.wire;
 
-/** Receives what the other end of a link sends, one message at a time and in order. */
+/** Receives a peer's messages, one at a time and in order. */
 @FunctionalInterface
 public interface MessageHandler {
 
   /**
-   * Handles one message; must not block for long, since the next one waits.
+   * Handles one message. Must not block for long: it runs on the link's reader task.
    *
-   * @param link the link that it came over
+   * @param link the link that received the message
    * @param message the message
    */
   void handle(Link link, Message message);
--- a/fawnvale-wire/src/test/java/org/fawnvale/wire/FrameFuzzTest.java
+++ b/fawnvale-wire/src/test/java/org/fawnvale/wire/FrameFuzzTest.java
@@ -18,42 +18,42 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.constraints.IntRange;
 
-/** Frames come out as they went in, or not at all: cut at any byte, with any byte changed. */
+/** Guards against decoding truncated frames, and against other errors on corrupted ones. */
 class FrameFuzzTest {
 
   private final FrameCodec codec = FrameCodec.withLimit(64 * 1024);
 
   @Property(tries = 500, seed = "20261202")
-  void aCutNeverMakesAMessage(
+  void truncatedFramesAreNeverDecoded(
       @ForAll("messages") List<Message> messages, @ForAll @IntRange(max = 5000) int cut)
       throws IOException {
     byte[] bytes = write(messages);
     int length = Math.min(cut, bytes.length);
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes, 0, length));
     List<Message> read = new ArrayList<>();
-    boolean torn = false;
+    boolean truncated = false;
     try {
       for (Message next = codec.read(in); next != null; next = codec.read(in)) {
         read.add(next);
       }
     } catch (FrameException e) {
-      torn = true;
+      truncated = true;
     }
     assertThat(encoded(read)).isEqualTo(encoded(messages.subList(0, read.size())));
-    assertThat(torn || write(read).length == length).isTrue();
+    assertThat(truncated || write(read).length == length).isTrue();
   }
 
   @Property(tries = 1000, seed = "20261202")
-  void bytesThatAreNoMessageAreRefused(
+  void corruptedFramesFailWithFrameException(
       @ForAll("messages") List<Message> messages,
-      @ForAll @IntRange(max = 5000) int place,
+      @ForAll @IntRange(max = 5000) int index,
       @ForAll byte value)
       throws IOException {
     byte[] bytes = write(messages);
     if (bytes.length == 0) {
       return;
     }
-    bytes[place % bytes.length] = value;
+    bytes[index % bytes.length] = value;
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
     try {
       Message next = codec.read(in);
@@ -91,7 +91,7 @@
     Arbitrary<Long> number = Arbitraries.longs();
     Arbitrary<String> text = Arbitraries.strings().alpha().ofMaxLength(20);
     Arbitrary<byte[]> bytes = Arbitraries.bytes().array(byte[].class).ofMaxSize(200);
-    Arbitrary<Message> beats =
+    Arbitrary<Message> heartbeats =
         Combinators.combine(number, number, number, Arbitraries.integers().array(int[].class))
             .as((stamp, echo, version, loads) -> new Message.Beat(stamp, echo, version, 3, loads));
     Arbitrary<Message> chunks = Combinators.combine(number, bytes).as(Message.ForwardChunk::new);
@@ -108,6 +108,6 @@
                         n,
                         List.of(new Message.Vouch(node, "1", replica, n, replica, null, "READY")),
                         List.of(node)));
-    return Arbitraries.oneOf(beats, chunks, replies, heads, vouches).list().ofMaxSize(8);
+    return Arbitraries.oneOf(heartbeats, chunks, replies, heads, vouches).list().ofMaxSize(8);
   }
 }
--- a/fawnvale-wire/src/test/java/org/fawnvale/wire/LinkTest.java
+++ b/fawnvale-wire/src/test/java/org/fawnvale/wire/LinkTest.java
@@ -21,7 +21,7 @@
 
 class LinkTest {
 
-  private static final int PATIENCE_MILLIS = 10_000;
+  private static final int TIMEOUT_MILLIS = 10_000;
   private static final Identity NORTH = new Identity("n", "north", "1");
   private static final Identity SOUTH = new Identity("s", "south", "2");
 
@@ -44,7 +44,7 @@
     return CompletableFuture.supplyAsync(
         () -> {
           try {
-            return Link.open(server.accept(), SOUTH, bytes(key), codec, PATIENCE_MILLIS);
+            return Link.open(server.accept(), SOUTH, bytes(key), codec, TIMEOUT_MILLIS);
           } catch (IOException e) {
             throw new IllegalStateException(e);
           }
@@ -55,7 +55,7 @@
   private Link dial(String key) throws IOException {
     InetSocketAddress address =
         new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
-    return Link.dial(address, NORTH, bytes(key), codec, PATIENCE_MILLIS);
+    return Link.dial(address, NORTH, bytes(key), codec, TIMEOUT_MILLIS);
   }
 
   private static byte[] bytes(String text) {
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void messagesArriveInOrderAndBothEndsKnowEachOther() throws Exception {
+  void messagesArriveInOrderAndBothEndsAreAuthenticated() throws Exception {
     CompletableFuture<Link> accepted = accept("the key");
     Link north = dial("the key");
     Link south = accepted.get();
@@ -74,7 +74,7 @@
       assertThat(north.send(new Message.ForwardCancel(i))).isTrue();
     }
     for (int i = 0; i < 100; i++) {
-      assertThat(received.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS))
+      assertThat(received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS))
           .isEqualTo(new Message.ForwardCancel(i));
     }
     assertThat(north.peer()).isEqualTo(SOUTH);
@@ -84,14 +84,14 @@
   }
 
   @Test
-  void anEndThatDoesNotKnowTheKeyIsRefused() {
+  void aPeerWithAWrongKeyIsRejected() {
     CompletableFuture<Link> accepted = accept("the key");
     assertThatThrownBy(() -> dial("another key")).isInstanceOf(IOException.class);
     assertThatThrownBy(accepted::get).hasRootCauseInstanceOf(IOException.class);
   }
 
   @Test
-  void aFrozenEndDoesNotBlockTheSender() throws Exception {
+  void aFrozenPeerDoesNotBlockTheSender() throws Exception {
     CompletableFuture<Link> accepted = accept("the key");
     Link north = dial("the key");
     Link south = accepted.get();
@@ -102,7 +102,7 @@
     while (north.send(new Message.ForwardChunk(sent, piece))) {
       sent++;
     }
-    assertThat(closed.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
+    assertThat(closed.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
     assertThat(north.isClosed()).isTrue();
     south.close();
   }
