--- a/fawnvale-dist/src/test/java/org/fawnvale/dist/AtMostOnceTest.java
+++ b/fawnvale-dist/src/test/java/org/fawnvale/dist/AtMostOnceTest.java
@@ -16,7 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An unsafe request runs at most once, and "not run" is true: the services' counts are the oracle.
+ * Guards against running an unsafe request twice, and against reporting "not run" for a request
+ * that ran. The services' run counts are the oracle.
  */
 class AtMostOnceTest {
 
@@ -65,7 +66,7 @@
   }
 
   @Test
-  void theSameKeyAtAllDaemonsAtOnce() throws IOException {
+  void concurrentRequestsWithOneKeyRunOnce() throws IOException {
     List<List<CompletableFuture<HttpResponse<String>>>> all = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       List<CompletableFuture<HttpResponse<String>>> same = new ArrayList<>();
@@ -82,7 +83,7 @@
   }
 
   @Test
-  void answersOfThePlatformThatAreLost() throws IOException {
+  void lostPlatformResponsesCauseNoSecondRun() throws IOException {
     String daemon = fleet.daemon(Fleet.NORTH, 1);
     for (int i = 0; i < 5; i++) {
       String key = "lost-" + i;
@@ -96,7 +97,7 @@
   }
 
   @Test
-  void whileThePlatformIsOutOnlyMadeKeysRun() throws IOException {
+  void onlyIssuedKeysRunDuringAPlatformOutage() throws IOException {
     String daemon = fleet.daemon(Fleet.SOUTH, 1);
     String made = madeKey(daemon);
     fleet.local().control("platform", "{\"fault\": \"outage\"}");
@@ -127,7 +128,7 @@
   }
 
   @Test
-  void anAnswerThatIsLostAfterTheRunIsUnknownAndNeverRunAgain() throws IOException {
+  void aResponseLostAfterTheRunIsUnknownAndNotRepeated() throws IOException {
     services("{\"fault\": \"drop-answers\", \"count\": 1}");
     HttpResponse<String> first = fleet.order(fleet.daemon(Fleet.NORTH, 1), "dropped");
     assertThat(first.statusCode()).isEqualTo(502);
@@ -139,7 +140,7 @@
   }
 
   @Test
-  void whatAServiceRefusedMayBeAskedAgainUnderTheSameKey() throws IOException {
+  void aRequestRejectedByAServiceMayBeRepeatedWithTheSameKey() throws IOException {
     services("{\"fault\": \"refuse\", \"count\": 100}");
     HttpResponse<String> refused = fleet.order(fleet.daemon(Fleet.NORTH, 2), "refused");
     assertThat(outcome(refused)).isEqualTo(NOT_RUN);
@@ -160,7 +161,7 @@
   }
 
   @Test
-  void aDaemonThatIsFrozenAtAnyMomentDoesNotRunItLater() throws IOException {
+  void aFrozenDaemonDoesNotRunTheRequestAfterResuming() throws IOException {
     String frozen = fleet.daemon(Fleet.NORTH, 2);
     for (int i = 0; i < 12; i++) {
       String key = "frozen-" + i;
@@ -175,7 +176,7 @@
   }
 
   @Test
-  void aDaemonThatIsKilledWithTheClaimLeavesItClaimed() throws IOException {
+  void theClaimOfAKilledDaemonPersists() throws IOException {
     String killed = fleet.daemon(Fleet.SOUTH, 2);
     services("{\"fault\": \"late\", \"millis\": 700}");
     CompletableFuture<HttpResponse<String>> first = later(killed, "killed");
--- a/fawnvale-dist/src/test/java/org/fawnvale/dist/EdgeFleet.java
+++ b/fawnvale-dist/src/test/java/org/fawnvale/dist/EdgeFleet.java
@@ -25,7 +25,7 @@
 import org.fawnvale.standins.UsersPlatformStandIn;
 
 /**
- * Three daemons of two data centres within the test, before a stand-in of the users' platform with
+ * Three daemons of two data centres in the test process, a stand-in of the users' platform with
  * four model workers in each data centre, and a caller.
  */
 final class EdgeFleet implements AutoCloseable {
@@ -62,7 +62,7 @@
     return fleet;
   }
 
-  /** Stops all; the workers must have seen no promise broken. */
+  /** Stops everything and checks that the workers observed no violated invariant. */
   @Override
   public void close() {
     platform.close();
@@ -74,7 +74,7 @@
     return platform;
   }
 
-  /** The number of daemons. */
+  /** Returns the number of daemons. */
   int size() {
     return daemons.size();
   }
@@ -99,8 +99,8 @@
     daemons.add(ServingDaemon.start(one, new UsersPlatform(), EarlyListener.open(one.frontend())));
   }
 
-  /** Ends all daemons at once and starts them again: nothing that they knew is left. */
-  void startAllAgain() throws IOException {
+  /** Stops all daemons at once and starts them again, which discards their in-memory state. */
+  void restartAllDaemons() throws IOException {
     daemons.parallelStream().forEach(ServingDaemon::stop);
     daemons.clear();
     for (Settings one : settings) {
@@ -124,8 +124,8 @@
   }
 
   /**
-   * A port below those that the system gives to outgoing connections: one of these may be taken
-   * between the look and the daemon's start.
+   * Returns a free port below the ephemeral range, where an outgoing connection cannot take it
+   * before the daemon starts.
    */
   private static int freePort(String address) throws IOException {
     while (true) {
@@ -178,7 +178,7 @@
     }
   }
 
-  /** Waits until a line stands among the figures of each daemon. */
+  /** Waits until the metrics of each daemon contain a line. */
   void awaitFigure(String line) throws InterruptedException {
     for (Settings one : settings) {
       await(() -> figures(one.metrics()).contains(line));
@@ -196,7 +196,7 @@
     }
   }
 
-  /** The status of the answer to a request with a body; 0 without an answer. */
+  /** Returns the status of the response to a request with a body; 0 if there is none. */
   int statusOf(int daemon, String path, String id, String requestBody) {
     try {
       return client
--- a/fawnvale-dist/src/test/java/org/fawnvale/dist/Fleet.java
+++ b/fawnvale-dist/src/test/java/org/fawnvale/dist/Fleet.java
@@ -19,7 +19,7 @@
 import org.fawnvale.standins.fleet.FleetPlan;
 import org.fawnvale.standins.fleet.LocalFleet;
 
-/** A running fleet with a bundle in force, and the words in which tests talk to it. */
+/** A running fleet with a bundle in force, with helper methods for tests. */
 final class Fleet implements AutoCloseable {
 
   static final String NORTH = "north";
@@ -28,7 +28,7 @@
   static final String CHAT = "/v1/chat/completions";
 
   private static final int ENGINES = 7;
-  private static final long PATIENCE_SECONDS = 60;
+  private static final long TIMEOUT_SECONDS = 60;
 
   private final LocalFleet local;
   private final Path folder;
@@ -38,7 +38,7 @@
     this.folder = folder;
   }
 
-  /** A condition that a test waits for; failing to look counts as not yet. */
+  /** A condition that a test waits for; an IOException counts as false. */
   @FunctionalInterface
   interface Condition {
     boolean holds() throws IOException;
@@ -83,7 +83,7 @@
     }
   }
 
-  /** A bundle is checked against the nodes that the daemon knows, so it is not submitted before. */
+  /** Returns whether each daemon knows all nodes, against which it validates a bundle. */
   private boolean nodesKnown() throws IOException {
     for (String daemon : local.daemons()) {
       if (local.status(daemon).path("stranded").size() < ENGINES) {
@@ -192,7 +192,7 @@
             .POST(HttpRequest.BodyPublishers.ofString("{\"key\":\"" + key + "\"}")));
   }
 
-  /** How often a key ran at the plain services of all data centres. */
+  /** Returns how often a key ran at the plain services of all data centres. */
   int runs(String key) throws IOException {
     int runs = 0;
     for (String dataCentre : List.of(NORTH, SOUTH)) {
@@ -201,7 +201,7 @@
     return runs;
   }
 
-  /** How many requests started at the engines of a data centre. */
+  /** Returns how many requests started at the engines of a data centre. */
   int started(String dataCentre) throws IOException {
     int started = 0;
     for (JsonNode node : local.counts("engine-" + dataCentre)) {
@@ -212,11 +212,11 @@
     return started;
   }
 
-  /** Waits for a condition; how long it takes decides nothing but a generous bound. */
+  /** Waits for a condition, up to a generous timeout. */
   void await(String what, Condition condition) throws IOException {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
     while (System.nanoTime() < end) {
-      if (looksTrue(condition)) {
+      if (holds(condition)) {
         return;
       }
       pause(50);
@@ -224,7 +224,7 @@
     throw new IOException("never: " + what + "; logs in " + folder);
   }
 
-  private static boolean looksTrue(Condition condition) {
+  private static boolean holds(Condition condition) {
     try {
       return condition.holds();
     } catch (IOException e) {
--- a/fawnvale-dist/src/test/java/org/fawnvale/dist/MemberLossTest.java
+++ b/fawnvale-dist/src/test/java/org/fawnvale/dist/MemberLossTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Members that die, freeze and return; coordinators that are frozen; engines without fences. */
+/** Guards against failed recovery after members die or freeze, or after a coordinator freezes. */
 class MemberLossTest {
 
   private Fleet fleet;
@@ -39,7 +39,7 @@
             "engine-" + Fleet.NORTH, "{\"node\": \"" + node + "\", \"fault\": \"" + fault + "\"}");
   }
 
-  /** Loses a member and checks that callers are served meanwhile and the replica is rebuilt. */
+  /** Loses a member; checks that callers are served meanwhile and that the replica is rebuilt. */
   private void lose(String fault) throws IOException {
     String daemon = fleet.daemon(Fleet.NORTH, 1);
     JsonNode replica = replicas(daemon).get(0);
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void aMemberThatReturnsEmptyIsOrderedBack() throws IOException {
+  void aMemberThatRestartsEmptyRejoinsTheReplica() throws IOException {
     fleet = Fleet.start();
     String daemon = fleet.daemon(Fleet.NORTH, 1);
     fault(members(replicas(daemon).get(1)).get(1), "restart");
@@ -107,18 +107,18 @@
   }
 
   @Test
-  void aCoordinatorThatWakesAfterItsLeaseDoesNoHarm() throws IOException {
+  void aCoordinatorResumedAfterLeaseExpiryHasNoEffect() throws IOException {
     fleet = Fleet.start();
-    wakeAfterLapse();
+    resumeAfterLeaseExpiry();
   }
 
   @Test
-  void norDoesItWhereEnginesCheckNoFences() throws IOException {
+  void aCoordinatorResumedAfterLeaseExpiryHasNoEffectWithoutEngineFences() throws IOException {
     fleet = Fleet.start("--ignores-fences");
-    wakeAfterLapse();
+    resumeAfterLeaseExpiry();
   }
 
-  private void wakeAfterLapse() throws IOException {
+  private void resumeAfterLeaseExpiry() throws IOException {
     String first = fleet.daemon(Fleet.NORTH, 1);
     String second = fleet.daemon(Fleet.NORTH, 2);
     boolean firstHolds = fleet.local().status(first).path("holdsLease").asBoolean();
--- a/fawnvale-dist/src/test/java/org/fawnvale/dist/OutageTest.java
+++ b/fawnvale-dist/src/test/java/org/fawnvale/dist/OutageTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Each data centre goes on serving what it can, and nothing that was accepted reverts. */
+/** Guards against lost service, or reverted bundles, while the platform is unreachable. */
 class OutageTest {
 
   private static Fleet fleet;
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void chatsGoOnWhileThePlatformIsOutAlsoThroughADaemonThatStartsThen() throws IOException {
+  void chatsAreServedDuringAPlatformOutageEvenByANewlyStartedDaemon() throws IOException {
     String restarted = fleet.daemon(Fleet.NORTH, 2);
     long revision = accepted(restarted);
     fleet.local().control("platform", "{\"fault\": \"outage\"}");
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void aDataCentreCutFromThePlatformHearsOfABundleFromItsNeighbour() throws IOException {
+  void aDataCentreCutOffFromThePlatformReceivesABundleFromAPeer() throws IOException {
     long next = accepted(fleet.daemon(Fleet.SOUTH, 1)) + 1;
     fleet.local().cutFromPlatform(Fleet.NORTH);
     String bundle = Fleet.bundle("1").replace("test-1", "heard-from-the-neighbour");
--- a/fawnvale-dist/src/test/java/org/fawnvale/dist/PlannedStopTest.java
+++ b/fawnvale-dist/src/test/java/org/fawnvale/dist/PlannedStopTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Planned stops under steady streamed load lose nothing: of daemons, of replicas, of versions. */
+/** Guards against lost requests during planned daemon stops, member drains and rollouts. */
 class PlannedStopTest {
 
   private static final int CLIENTS = 6;
@@ -32,7 +32,7 @@
     fleet.close();
   }
 
-  /** Clients that stream without pause, each through a daemon that says it is ready. */
+  /** Clients that stream continuously, each through a daemon that reports itself ready. */
   private static final class Load implements AutoCloseable {
     private final AtomicBoolean stopped = new AtomicBoolean();
     private final AtomicInteger whole = new AtomicInteger();
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void eachDaemonInTurn() throws IOException {
+  void restartingEachDaemonInTurnLosesNoRequest() throws IOException {
     Load load = new Load();
     try (load) {
       for (String daemon : fleet.local().daemons()) {
@@ -142,7 +142,7 @@
   }
 
   @Test
-  void aRolloutToAnotherVersion() throws IOException {
+  void aRolloutLosesNoRequest() throws IOException {
     long next = currentRevision() + 1;
     Load load = new Load();
     try (load) {
--- a/fawnvale-dist/src/test/java/org/fawnvale/dist/SharedLimitTest.java
+++ b/fawnvale-dist/src/test/java/org/fawnvale/dist/SharedLimitTest.java
@@ -25,31 +25,25 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A node names a limit of requests a second, and it binds all daemons together.
+ * A request rate limit named by a node binds all daemons together.
  *
- * <p>The story: for nine seconds nodes of the model service named in each answer how many requests
- * a second they take from all daemons together. Three seconds later they still got 15 requests in
- * four seconds at a limit of one, and 16 at a limit of 1.6.
- *
- * <p>The cause: nothing read the word. The evidence: the nodes' rates were the same before and
- * after they named their limits; one of them was sent 4.8 requests a second by six daemons. Kept by
- * each daemon for itself the limit would still have been exceeded by as many daemons as sent there.
+ * <p>Guards against daemons that ignore a node's limit, or that each use the whole limit.
  */
 class SharedLimitTest {
 
-  /** Callers of a daemon, in all half as many as one plain node has places. */
-  private static final int FEW_CALLERS = 1;
+  /** Callers of each daemon; all callers together use half of one plain node's capacity. */
+  private static final int LOW_LOAD_CALLERS = 1;
 
-  private static final int MANY_CALLERS = 4;
+  private static final int HIGH_LOAD_CALLERS = 4;
 
-  /** Twice the places of a plain node. */
-  private static final int AT_ONCE = 12;
+  /** Concurrent requests: twice a plain node's capacity. */
+  private static final int CONCURRENT_REQUESTS = 12;
 
   private static final long WINDOW_NANOS = TimeUnit.SECONDS.toNanos(4);
-  private static final long WATCHED_NANOS = TimeUnit.SECONDS.toNanos(7);
+  private static final long OBSERVATION_NANOS = TimeUnit.SECONDS.toNanos(7);
 
-  /** How long daemons have to hear of a limit: the users' pages allow this much. */
-  private static final long KNOWN_AFTER_NANOS = TimeUnit.SECONDS.toNanos(3);
+  /** Maximum time until all daemons observe a limit, as the users specify it. */
+  private static final long PROPAGATION_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   private static final double ALLOWED_SHARE = 1.5;
   private static final int ALLOWED_BESIDE = 5;
@@ -58,7 +52,7 @@
   private EdgeFleet fleet;
   private UsersPlatformStandIn platform;
 
-  /** Notes when requests reach workers. */
+  /** Records when requests reach workers. */
   private static final class Arrivals implements WorkerObserver {
     private final Map<String, Queue<Long>> times = new ConcurrentHashMap<>();
 
@@ -71,7 +65,7 @@
       return new ArrayList<>(times.getOrDefault(worker, new ArrayDeque<>()));
     }
 
-    /** The most arrivals in a window that begins after a moment. */
+    /** Returns the maximum number of arrivals in any window that starts after the given time. */
     int most(String worker, long sinceNanos) {
       List<Long> later = at(worker).stream().filter(at -> at - sinceNanos >= 0).sorted().toList();
       int most = 0;
@@ -106,11 +100,11 @@
   }
 
   /**
-   * Waits until each daemon sends to both plain nodes: it may hear of one before the other, and
-   * prefers the near one unless many ask at once.
+   * Waits until each daemon sends requests to both plain nodes. A daemon may discover one node
+   * before the other, and prefers the nearer one unless many requests are concurrent.
    */
   private void awaitBothPlainNodes() throws InterruptedException {
-    ExecutorService callers = Executors.newFixedThreadPool(AT_ONCE);
+    ExecutorService callers = Executors.newFixedThreadPool(CONCURRENT_REQUESTS);
     try {
       for (int daemon = 0; daemon < fleet.size(); daemon++) {
         int asked = daemon;
@@ -122,11 +116,11 @@
     }
   }
 
-  /** At how many nodes requests that are sent to a daemon at once begin. */
+  /** Returns the number of nodes that start the concurrent requests sent to a daemon. */
   private int beganWithin(String round, int daemon, ExecutorService callers) {
     List<CompletableFuture<Void>> answers = new ArrayList<>();
     Set<String> began = ConcurrentHashMap.newKeySet();
-    for (int number = 0; number < AT_ONCE; number++) {
+    for (int number = 0; number < CONCURRENT_REQUESTS; number++) {
       String id = round + "-" + number;
       answers.add(
           CompletableFuture.runAsync(
@@ -140,11 +134,11 @@
     return began.size();
   }
 
-  /** Callers ask each daemon one request after the other while the workers are watched. */
+  /** Sends sequential requests to each daemon while recording arrivals at the workers. */
   private Map<Integer, AtomicInteger> askAll(
       String path, int callersADaemon, Predicate<Integer> each) throws InterruptedException {
     Map<Integer, AtomicInteger> byStatus = new ConcurrentHashMap<>();
-    long until = System.nanoTime() + KNOWN_AFTER_NANOS + WATCHED_NANOS;
+    long until = System.nanoTime() + PROPAGATION_NANOS + OBSERVATION_NANOS;
     List<Thread> callers = new ArrayList<>();
     for (int number = 0; number < callersADaemon * fleet.size(); number++) {
       int caller = number;
@@ -170,7 +164,7 @@
   }
 
   private void assertWithin(String worker, double limit, long namedNanos) {
-    assertThat(arrivals.most(worker, namedNanos + KNOWN_AFTER_NANOS))
+    assertThat(arrivals.most(worker, namedNanos + PROPAGATION_NANOS))
         .as("requests at %s in 4 s", worker)
         .isLessThanOrEqualTo(allowed(limit));
   }
@@ -182,38 +176,38 @@
     platform.nameLimit("p-a", "1.6");
     long named = System.nanoTime();
     Map<Integer, AtomicInteger> byStatus =
-        askAll(UsersConfiguration.SAFE_PATH, FEW_CALLERS, status -> status == 200);
+        askAll(UsersConfiguration.SAFE_PATH, LOW_LOAD_CALLERS, status -> status == 200);
     assertWithin("p-a", 1.6, named);
     assertThat(byStatus.keySet()).containsExactly(200);
   }
 
   @Test
-  void headsGetWhatTheirLimitsAllowAndTheOthersServeTheRest() throws Exception {
+  void nodesGetNoMoreThanTheirLimitsAndOthersServeTheRest() throws Exception {
     fleet.awaitServing();
     List<String> heads = platform.openGroups().stream().map(members -> members.get(0)).toList();
     platform.nameLimit(heads.get(0), "1");
     platform.nameLimit(heads.get(1), "1");
     long named = System.nanoTime();
-    Map<Integer, AtomicInteger> byStatus = askAll("/chat/x", MANY_CALLERS, status -> true);
+    Map<Integer, AtomicInteger> byStatus = askAll("/chat/x", HIGH_LOAD_CALLERS, status -> true);
     assertWithin(heads.get(0), 1, named);
     assertWithin(heads.get(1), 1, named);
     assertThat(byStatus.get(200).get()).isPositive();
   }
 
   @Test
-  void whereAllNodesNameLimitsTheirSumIsServedAndTheOthersAreRefusedAtOnce() throws Exception {
+  void ifAllNodesNameLimitsTheirSumIsServedAndTheRestIsRejectedAtOnce() throws Exception {
     awaitBothPlainNodes();
     platform.nameLimit("p-a", "1");
     platform.nameLimit("p-b", "2");
     long named = System.nanoTime();
     Map<Integer, AtomicInteger> byStatus =
-        askAll(UsersConfiguration.SAFE_PATH, MANY_CALLERS, SharedLimitTest::pauseAfter);
+        askAll(UsersConfiguration.SAFE_PATH, HIGH_LOAD_CALLERS, SharedLimitTest::pauseAfter);
     assertWithin("p-a", 1, named);
     assertWithin("p-b", 2, named);
     assertThat(byStatus.keySet()).containsExactlyInAnyOrder(200, 503);
   }
 
-  /** A caller that is refused comes back a little later, for ever. */
+  /** Repeats a rejected request after a short delay, without limit. */
   private static boolean pauseAfter(int status) {
     try {
       Thread.sleep(status == 200 ? 0 : 50);
@@ -224,12 +218,12 @@
   }
 
   @Test
-  void aLimitThatIsNamedNoMoreIsOver() throws Exception {
+  void aLimitEndsWhenResponsesNoLongerNameIt() throws Exception {
     awaitBothPlainNodes();
     platform.nameLimit("p-a", "1");
     platform.nameLimit("p-b", "1");
     long named = System.nanoTime();
-    askAll(UsersConfiguration.SAFE_PATH, MANY_CALLERS, SharedLimitTest::pauseAfter);
+    askAll(UsersConfiguration.SAFE_PATH, HIGH_LOAD_CALLERS, SharedLimitTest::pauseAfter);
     assertWithin("p-a", 1, named);
     platform.nameLimit("p-a", null);
     platform.nameLimit("p-b", null);
@@ -238,7 +232,7 @@
     }
   }
 
-  /** More answers one after the other than both limits would allow in the time of a test. */
+  /** Checks for more sequential responses than both limits allow during a test. */
   private void awaitManyInARow(int daemon) throws InterruptedException {
     int[] inARow = {0};
     int[] number = {0};
--- a/fawnvale-dist/src/test/java/org/fawnvale/dist/SoakTest.java
+++ b/fawnvale-dist/src/test/java/org/fawnvale/dist/SoakTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A short soak of the built jar: daemons as processes under troubles that overlap. Longer ones are
- * played by hand; a seed that has shown a fault is added here and stays.
+ * A short soak test of the built jar: daemons run as processes under overlapping faults. Seeds that
+ * exposed a defect are kept here as regression tests.
  */
 class SoakTest {
 
@@ -19,12 +19,12 @@
       Path.of(System.getProperty("fawnvale.root", ".."), "target").toString();
 
   /**
-   * A daemon that is short of processor time may have read an answer later than the half second of
-   * the rule; the rests that are drawn last 1.5 to 6 s.
+   * Tolerance for a daemon that reads a response later than half a second for lack of processor
+   * time. Retry-After pauses in the run last 1.5 to 6 s.
    */
   private static final String SLACK_MILLIS = "1500";
 
-  private static String play(int expectedExit, String... arguments) throws Exception {
+  private static String runSoak(int expectedExit, String... arguments) throws Exception {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     PrintStream out = new PrintStream(bytes, true, StandardCharsets.UTF_8);
     int exit = Soak.run(out, arguments);
@@ -33,9 +33,9 @@
     return report;
   }
 
-  /** Plays the short run in which every other trouble is one of some. */
-  private static void playOften(String troubles) throws Exception {
-    play(
+  /** Runs the short soak in which every second fault is one of the given kinds. */
+  private static void runSoakWithFrequent(String faults) throws Exception {
+    runSoak(
         0,
         "--target",
         TARGET,
@@ -44,33 +44,33 @@
         "--seconds",
         "15",
         "--often",
-        troubles,
+        faults,
         "--slack-ms",
         SLACK_MILLIS);
   }
 
   @Test
-  void noPromiseIsBrokenUnderOverlappingTroubles() throws Exception {
-    play(0, "--target", TARGET, "--seed", "1", "--seconds", "15", "--slack-ms", SLACK_MILLIS);
+  void invariantsHoldUnderOverlappingFaults() throws Exception {
+    runSoak(0, "--target", TARGET, "--seed", "1", "--seconds", "15", "--slack-ms", SLACK_MILLIS);
   }
 
-  /** The store comes back from copies all the time, while daemons end and configurations change. */
+  /** The store is repeatedly restored while daemons stop and configurations change. */
   @Test
-  void norWhileTheStoreGoesBackAgainAndAgain() throws Exception {
-    playOften("store-goes-back,routes-added,leaves-quietly");
+  void invariantsHoldWhileTheStoreIsRepeatedlyRestored() throws Exception {
+    runSoakWithFrequent("store-goes-back,routes-added,leaves-quietly");
   }
 
-  /** Workers name limits all the time, while daemons end and freeze. */
+  /** Workers repeatedly name limits while daemons stop and freeze. */
   @Test
-  void norWhileWorkersNameLimits() throws Exception {
-    playOften("limit-of-one,limits-of-all,limit-that-changes,limit-garbled");
+  void invariantsHoldWhileWorkersNameLimits() throws Exception {
+    runSoakWithFrequent("limit-of-one,limits-of-all,limit-that-changes,limit-garbled");
   }
 
   @Test
-  void badUsageIsRefused() throws Exception {
-    play(2, "--target", TARGET, "--daemons", "1");
-    play(2, "--target", TARGET, "--seed", "many");
-    play(2, "--target", TARGET, "--often", "rain");
-    play(2, "--target", TARGET + "/none");
+  void invalidArgumentsAreRejected() throws Exception {
+    runSoak(2, "--target", TARGET, "--daemons", "1");
+    runSoak(2, "--target", TARGET, "--seed", "many");
+    runSoak(2, "--target", TARGET, "--often", "rain");
+    runSoak(2, "--target", TARGET + "/none");
   }
 }
--- a/fawnvale-dist/src/test/java/org/fawnvale/dist/StartTest.java
+++ b/fawnvale-dist/src/test/java/org/fawnvale/dist/StartTest.java
@@ -14,23 +14,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What the built jar loads until it listens. After a loss of power all daemons start at once, and
- * callers find nobody until they have: on 0.36 of a core each tenth of a second of processor time
- * takes three.
- *
- * <p>With Log4j's core, the parsers of all commands and an old list of classes a start loaded 3,389
- * classes, 104 of them from outside the archive, and took 1.03 s of processor time in its first 2.5
- * s; later 2,557, 29 and 0.67 s, now 2,109 and 8 (medians of three, one machine). The daemon is
- * started as its machines start it, by a variable and without other arguments, which needs no
- * command line.
+ * Guards against a slower daemon start: limits how many classes the built jar loads until it
+ * listens, and how many of them come from outside the class-data-sharing archive.
  */
 class StartTest {
 
-  private static final int MOST_CLASSES = 2_300;
-  private static final int MOST_FROM_ELSEWHERE = 30;
+  private static final int MAXIMUM_CLASSES = 2_300;
+  private static final int MAXIMUM_OUTSIDE_ARCHIVE = 30;
 
-  /** The API looks at each provider before it takes the one that is named. */
-  private static final int MOST_OF_CORE = 12;
+  /** Log4j's API loads each provider before it selects the configured one. */
+  private static final int MAXIMUM_LOG4J_CORE_CLASSES = 12;
 
   private static final String FROM_ARCHIVE = "source: shared objects file";
 
@@ -114,10 +107,11 @@
   }
 
   @Test
-  void aStartLoadsLittleAndNearlyAllOfItFromTheArchive() {
-    assertThat(loaded.size()).isLessThan(MOST_CLASSES);
-    assertThat(count("org.apache.logging.log4j.core.")).isLessThanOrEqualTo(MOST_OF_CORE);
-    assertThat(loaded.size() - count(FROM_ARCHIVE)).isLessThan(MOST_FROM_ELSEWHERE);
+  void startupLoadsFewClassesAndMostOfThemFromTheArchive() {
+    assertThat(loaded.size()).isLessThan(MAXIMUM_CLASSES);
+    assertThat(count("org.apache.logging.log4j.core."))
+        .isLessThanOrEqualTo(MAXIMUM_LOG4J_CORE_CLASSES);
+    assertThat(loaded.size() - count(FROM_ARCHIVE)).isLessThan(MAXIMUM_OUTSIDE_ARCHIVE);
   }
 
   private long count(String text) {
--- a/fawnvale-dist/src/test/java/org/fawnvale/dist/StoreThatGoesBackTest.java
+++ b/fawnvale-dist/src/test/java/org/fawnvale/dist/StoreThatGoesBackTest.java
@@ -10,27 +10,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The platform's store goes back to a copy and gives its revisions out again.
+ * The platform's store is restored from an older copy and issues its revisions again.
  *
- * <p>The story: the store was away for three seconds and came back some seconds older. Then a
- * configuration was acknowledged and a plain node said that it leaves. Callers got 404 for a route
- * of that configuration more than two seconds later, and requests still reached the node. The
- * daemons' copies showed a higher revision than the store had; they dropped each list as older than
- * what they knew, asked for the changes since their own revision, were told that there is no such
- * history, and listed again without a pause. Only when the store's counter had passed their own did
- * they hear of changes again, and then of none that lay below.
- *
- * <p>The evidence: while it lasted each daemon made a hundred calls a second, half of them lists
- * that were answered; three of eight daemons skipped one configuration more than the others, and
- * their copies had shown just its revision before.
+ * <p>Guards against daemons that ignore the store's changes because their own copies show higher
+ * revisions, and against daemons that list all objects repeatedly without a pause.
  */
 class StoreThatGoesBackTest {
 
-  /** More changes than all that follow, so that the counter does not pass where the copies are. */
-  private static final int CHANGES_THAT_ARE_LOST = 200;
+  /** Exceeds the number of later changes, so that the revision stays below the daemons' copies. */
+  private static final int LOST_CHANGES = 200;
 
-  /** A list of each daemon, one more where a call failed or was cut meanwhile. */
-  private static final int MOST_LISTS = 12;
+  /** Limit of list calls: one for each daemon, and one more for each failed call. */
+  private static final int MAXIMUM_LISTS = 12;
 
   private EdgeFleet fleet;
   private UsersPlatformStandIn platform;
@@ -55,10 +46,10 @@
     }
   }
 
-  /** Changes of no weight, which all daemons have taken in, and which the store then loses. */
+  /** Makes irrelevant changes, waits until all daemons have applied them, and reverts the store. */
   private void loseChanges() throws InterruptedException {
     long copy = platform.copyOfStore();
-    for (int change = 0; change < CHANGES_THAT_ARE_LOST; change++) {
+    for (int change = 0; change < LOST_CHANGES; change++) {
       platform.configure(2, "/lost" + change + "/");
     }
     platform.configure(3, "/chat/");
@@ -68,7 +59,7 @@
   }
 
   @Test
-  void aConfigurationThatFollowsIsInForceAtEveryDaemon() throws Exception {
+  void everyDaemonAppliesANewConfigurationAfterTheRestore() throws Exception {
     fleet.awaitServing();
     loseChanges();
     int lists = platform.listsOfConfiguration();
@@ -77,11 +68,11 @@
     for (int daemon = 0; daemon < fleet.size(); daemon++) {
       assertThat(fleet.statusOf(daemon, "/chat/x", "old" + daemon)).isEqualTo(404);
     }
-    assertThat(platform.listsOfConfiguration() - lists).isLessThan(MOST_LISTS);
+    assertThat(platform.listsOfConfiguration() - lists).isLessThan(MAXIMUM_LISTS);
   }
 
   @Test
-  void aNodeThatSaysItLeavesIsSentNothingSoonAfter() throws Exception {
+  void aNodeThatStartsDrainingAfterTheRestoreSoonGetsNoRequests() throws Exception {
     fleet.awaitServing();
     awaitServingOf(UsersConfiguration.SAFE_PATH);
     loseChanges();
@@ -92,8 +83,8 @@
   }
 
   /**
-   * The story goes on: the node had said that it leaves before the store went back, so that the
-   * store shows it as ready until the node writes again.
+   * The node reported that it leaves before the store was restored, so that the store shows it as
+   * ready until the node writes again.
    */
   @Test
   void aNodeThatHadSaidItLeavesIsSentNothingThoughTheStoreShowsItAsReady() throws Exception {
@@ -116,9 +107,9 @@
     }
   }
 
-  /** A configuration that the store has lost stays in force until its writer writes again. */
+  /** A configuration that the store has lost stays in force until it is written again. */
   @Test
-  void aConfigurationThatIsLostStaysInForceAndNoRouteOfTheFormerOneComesBack() throws Exception {
+  void aLostConfigurationStaysInForceAndOlderRoutesDoNotReturn() throws Exception {
     fleet.awaitServing();
     long copy = platform.copyOfStore();
     platform.configure(5, "/lost/");
@@ -134,7 +125,7 @@
     awaitServingOf("/after/x");
   }
 
-  /** Waits until many requests in a row go elsewhere: half of them would go there otherwise. */
+  /** Waits until many consecutive requests avoid the worker, which would otherwise get half. */
   private void awaitNothingAt(String worker, int daemon) throws InterruptedException {
     int[] elsewhere = {0};
     int[] number = {0};
--- a/fawnvale-dist/src/test/java/org/fawnvale/dist/UsersPlatformTest.java
+++ b/fawnvale-dist/src/test/java/org/fawnvale/dist/UsersPlatformTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Three daemons of two data centres before a stand-in of the users' platform, through the real
- * adapter: groups form, requests are answered, and losses are borne.
+ * Three daemons of two data centres with the real adapter and a stand-in of the users' platform.
+ * Guards against failures to form groups, to serve requests, and to recover from losses.
  */
 class UsersPlatformTest {
 
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void everyDaemonServesThoughOneOfEachDataCentreWatchesTheWorkers() throws Exception {
+  void everyDaemonServesWhileOnePerDataCentreWatchesTheWorkers() throws Exception {
     fleet.awaitServing();
     EdgeFleet.await(() -> platform.watchersOfWorkers() <= 2);
     platform.addWorker("i-b4", "b");
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void connectionsToTheStoreThatGoSilentKeepNoConfigurationFromComing() throws Exception {
+  void silentStoreConnectionsDoNotBlockNewConfigurations() throws Exception {
     fleet.awaitServing();
     platform.silenceWaitingCalls();
     platform.configure(5, "/talk/");
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void aStreamWhoseGroupLosesAMemberGoesOnAtAnotherGroup() throws Exception {
+  void aStreamContinuesAtAnotherGroupAfterItsGroupLosesAMember() throws Exception {
     fleet.awaitServing();
     platform.loseAMemberDuring("lossy");
     HttpResponse<String> answer = fleet.send(0, "/chat/x", "lossy");
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void serviceGoesOnWhileTheStoreIsDownAndANewConfigurationArrivesAfterwards() throws Exception {
+  void requestsAreServedDuringAStoreOutageAndNewConfigurationsArriveAfterwards() throws Exception {
     fleet.awaitServing();
     platform.storeDown(true);
     assertThat(fleet.statusOf(1, "/chat/x", "r1")).isEqualTo(200);
@@ -106,9 +106,9 @@
   }
 
   /**
-   * A request ends each worker that begins to run it, and its caller asks all daemons again and
-   * again. Three workers end, one of them may twice: they start again under their ids. Then no
-   * daemon sends it on, nor does any after all daemons have lost what they knew.
+   * A request crashes each worker that runs it, and its caller retries at all daemons. After three
+   * workers have crashed (one possibly twice, since workers restart under their ids), no daemon
+   * forwards the request, even after all daemons have lost their in-memory state.
    */
   @Test
   void aRequestThatEndsWorkersIsSentToNoneMoreByAnyDaemonEvenAfterAllStartedAgain()
@@ -125,7 +125,7 @@
     for (int daemon = 0; daemon < fleet.size(); daemon++) {
       assertThat(statusOfDeadly(daemon, "again" + daemon)).isEqualTo(503);
     }
-    fleet.startAllAgain();
+    fleet.restartAllDaemons();
     fleet.awaitServing();
     fleet.awaitFigure("fawnvale_quarantine_barred 1.0");
     for (int daemon = 0; daemon < fleet.size(); daemon++) {
@@ -134,7 +134,7 @@
     assertThat(platform.endedWorkers()).hasSize(ended);
   }
 
-  /** What the system itself has written is gone with the store's history, and is written again. */
+  /** Restoring the store discards records that the daemons wrote, which they write again. */
   @Test
   void aRequestThatEndsWorkersIsKeptAgainAfterTheStoreHasGoneBack() throws Exception {
     fleet.awaitServing();
--- a/fawnvale-dist/src/test/java/org/fawnvale/dist/WholePathTest.java
+++ b/fawnvale-dist/src/test/java/org/fawnvale/dist/WholePathTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** The whole path, from an operator's bundle to a caller's answer, as separate processes. */
+/** End-to-end test with separate processes, from an operator's bundle to a caller's response. */
 class WholePathTest {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void everyDaemonAnswersStreamedAndWhole() throws IOException {
+  void everyDaemonServesStreamedAndBufferedResponses() throws IOException {
     for (String daemon : fleet.local().daemons()) {
       HttpResponse<String> streamed = fleet.chat(daemon, "hello from " + daemon, 5, true);
       assertThat(streamed.statusCode()).isEqualTo(200);
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void anUnsafeCallRunsOnceWhoeverIsAskedAgain() throws IOException {
+  void anUnsafeCallRunsOnceEvenIfRepeatedAtAnyDaemon() throws IOException {
     HttpResponse<String> first = fleet.order(fleet.daemon(Fleet.NORTH, 1), "order-1");
     HttpResponse<String> again = fleet.order(fleet.daemon(Fleet.NORTH, 1), "order-1");
     HttpResponse<String> elsewhere = fleet.order(fleet.daemon(Fleet.SOUTH, 2), "order-1");
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void badInputIsRefusedWithARemedyAndNothingIsSent() throws IOException {
+  void invalidInputIsRejectedWithARemedyAndNothingIsSent() throws IOException {
     String daemon = fleet.daemon(Fleet.NORTH, 2);
     int before = fleet.started(Fleet.NORTH) + fleet.started(Fleet.SOUTH);
     String good = "{\"model\":\"drafter\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}";
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void operatorsSeeWhatIsInForceAndWhoWonARace() throws IOException {
+  void operatorsSeeTheBundleInForceAndTheWinnerOfARace() throws IOException {
     String status = fleet.command(fleet.daemon(Fleet.SOUTH, 1), "status");
     assertThat(status).contains("revision 1 (test-1)").contains("serving").contains("drafting");
 
