--- a/fawnvale-dist/src/test/java/org/fawnvale/dist/SharedLimitTest.java
+++ b/fawnvale-dist/src/test/java/org/fawnvale/dist/SharedLimitTest.java
@@ -182,7 +182,7 @@
   }
 
   @Test
-  void nodesGetNoMoreThanTheirLimitsAndOthersServeTheRest() throws Exception {
+  void groupHeadsGetNoMoreThanTheirLimitsAllow() throws Exception {
     fleet.awaitServing();
     List<String> heads = platform.openGroups().stream().map(members -> members.get(0)).toList();
     platform.nameLimit(heads.get(0), "1");
@@ -207,7 +207,7 @@
     assertThat(byStatus.keySet()).containsExactlyInAnyOrder(200, 503);
   }
 
-  /** Repeats a rejected request after a short delay, without limit. */
+  /** Pauses after a rejection, so that callers retry with a delay; false if interrupted. */
   private static boolean pauseAfter(int status) {
     try {
       Thread.sleep(status == 200 ? 0 : 50);
@@ -232,7 +232,7 @@
     }
   }
 
-  /** Checks for more sequential responses than both limits allow during a test. */
+  /** Waits for more consecutive successes than both limits would allow during a test. */
   private void awaitManyInARow(int daemon) throws InterruptedException {
     int[] inARow = {0};
     int[] number = {0};
