--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/Callers.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/Callers.java
@@ -22,22 +22,22 @@
 final class Callers implements AutoCloseable {
 
   /** Prefix of the bodies of requests that crash each worker that runs them. */
-  static final String DEADLY_BODY = "deadly";
+  static final String CRASHING_BODY_PREFIX = "deadly";
 
   /** The body of all requests when all callers send the same one. */
-  private static final String POPULAR_BODY = "popular";
+  private static final String SHARED_BODY = "popular";
 
-  private static final String OWN_BODY = "prompt";
-  private static final Duration PATIENCE = Duration.ofSeconds(8);
-  private static final int MOST_PAUSE_MILLIS = 60;
-  private static final double LONGEST_WAIT_SECONDS = 2;
+  private static final String UNIQUE_BODY_PREFIX = "prompt";
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(8);
+  private static final int MAX_PAUSE_MILLIS = 60;
+  private static final double MAX_WAIT_SECONDS = 2;
 
   private final List<EdgeDaemon> daemons;
   private final Recorder recorder;
   private final boolean sameBodies;
   private final List<Thread> threads = new ArrayList<>();
   private final AtomicInteger numbers = new AtomicInteger();
-  private volatile boolean over;
+  private volatile boolean closed;
 
   Callers(List<EdgeDaemon> daemons, Recorder recorder, boolean sameBodies) {
     this.daemons = daemons;
@@ -50,38 +50,38 @@
     return attempt.substring(0, attempt.indexOf('-'));
   }
 
-  void start(int count, Random draws) {
+  void start(int count, Random random) {
     for (int number = 0; number < count; number++) {
-      Random own = new Random(draws.nextLong());
-      Thread thread = new Thread(() -> call(own), "caller-" + number);
+      Random callerRandom = new Random(random.nextLong());
+      Thread thread = new Thread(() -> sendLoop(callerRandom), "caller-" + number);
       thread.setDaemon(true);
       threads.add(thread);
       thread.start();
     }
   }
 
-  private void call(Random draws) {
+  private void sendLoop(Random random) {
     HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    int daemon = draws.nextInt(daemons.size());
-    Kind[] kinds = Kind.values();
-    while (!over) {
-      Reply reply = ask(client, daemon, kinds[draws.nextInt(kinds.length)], body());
+    int daemon = random.nextInt(daemons.size());
+    RequestKind[] kinds = RequestKind.values();
+    while (!closed) {
+      Reply reply = sendRequest(client, daemon, kinds[random.nextInt(kinds.length)], body());
       if (!reply.answer().isSuccess()) {
-        daemon = draws.nextInt(daemons.size());
+        daemon = random.nextInt(daemons.size());
         pause((long) (1_000 * reply.waitSeconds()));
       }
-      pause(draws.nextInt(MOST_PAUSE_MILLIS));
+      pause(random.nextInt(MAX_PAUSE_MILLIS));
     }
   }
 
   /** Returns a new body for each request, unless all callers send the same body. */
   private String body() {
-    return sameBodies ? POPULAR_BODY : OWN_BODY + numbers.incrementAndGet();
+    return sameBodies ? SHARED_BODY : UNIQUE_BODY_PREFIX + numbers.incrementAndGet();
   }
 
   /** Sends a request with a unique body. */
-  Answer probe(int daemon, Kind kind) {
-    return askOnce(daemon, kind, "probe" + numbers.incrementAndGet()).answer();
+  Answer probe(int daemon, RequestKind kind) {
+    return sendOnce(daemon, kind, "probe" + numbers.incrementAndGet()).answer();
   }
 
   /**
@@ -92,16 +92,16 @@
   record Reply(Answer answer, double waitSeconds) {}
 
   /** Sends one request over a new connection. */
-  Reply askOnce(int daemon, Kind kind, String body) {
+  Reply sendOnce(int daemon, RequestKind kind, String body) {
     HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    return ask(client, daemon, kind, body);
+    return sendRequest(client, daemon, kind, body);
   }
 
-  private Reply ask(HttpClient client, int daemon, Kind kind, String body) {
+  private Reply sendRequest(HttpClient client, int daemon, RequestKind kind, String body) {
     String attempt = body + "-" + numbers.incrementAndGet();
     HttpRequest.Builder request =
         HttpRequest.newBuilder(URI.create("http://" + daemons.get(daemon).frontend() + kind.path()))
-            .timeout(PATIENCE)
+            .timeout(REQUEST_TIMEOUT)
             .POST(HttpRequest.BodyPublishers.ofString(body));
     headers(attempt, kind).forEach(request::header);
     recorder.sent(attempt, daemon, kind);
@@ -126,16 +126,16 @@
   }
 
   /** Requests to the plain service carry no model name. */
-  private static Map<String, String> headers(String attempt, Kind kind) {
-    return kind == Kind.STREAM
+  private static Map<String, String> headers(String attempt, RequestKind kind) {
+    return kind == RequestKind.STREAM
         ? UsersConfiguration.headersOfACaller(attempt)
         : UsersConfiguration.headersOfAPlainCaller(attempt);
   }
 
   private static double waitSeconds(HttpResponse<String> response) {
-    String told = response.headers().firstValue("Retry-After").orElse("0");
-    double spread = 1 + ThreadLocalRandom.current().nextDouble() / 10;
-    return Math.min(LONGEST_WAIT_SECONDS, Double.parseDouble(told) * spread);
+    String retryAfter = response.headers().firstValue("Retry-After").orElse("0");
+    double jitter = 1 + ThreadLocalRandom.current().nextDouble() / 10;
+    return Math.min(MAX_WAIT_SECONDS, Double.parseDouble(retryAfter) * jitter);
   }
 
   static void pause(long millis) {
@@ -148,10 +148,10 @@
 
   @Override
   public void close() {
-    over = true;
+    closed = true;
     for (Thread thread : threads) {
       try {
-        thread.join(PATIENCE.toMillis());
+        thread.join(REQUEST_TIMEOUT.toMillis());
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/Check.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/Check.java
@@ -7,7 +7,7 @@
   /**
    * Evaluates a run.
    *
-   * @param story the recorded events of the run
+   * @param history the recorded events of the run
    */
-  Verdict judge(Story story);
+  Verdict judge(RunHistory history);
 }
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/Checks.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/Checks.java
@@ -12,11 +12,11 @@
 final class Checks {
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
-  private static final int MOST_IN_A_REST = 2;
-  private static final int MOST_ENDS = 3;
+  private static final int MAX_REQUESTS_IN_PAUSE = 2;
+  private static final int MAX_CRASHES = 3;
 
   /** How long the report of the third crash may take to reach all daemons. */
-  private static final long KNOWN_AFTER_NANOS = 3_000_000_000L;
+  private static final long PROPAGATION_NANOS = 3_000_000_000L;
 
   private Checks() {}
 
@@ -29,45 +29,46 @@
    */
   static Map<String, Check> all(long slackMillis, long leavingMillis) {
     Map<String, Check> checks = new LinkedHashMap<>();
-    checks.put("rest", story -> rest(story, slackMillis * NANOS_PER_MILLI));
-    checks.put("leaving", story -> leaving(story, leavingMillis * NANOS_PER_MILLI));
-    checks.put("limit", LimitCheck::kept);
+    checks.put("rest", history -> retryAfterPause(history, slackMillis * NANOS_PER_MILLI));
+    checks.put("leaving", history -> leaving(history, leavingMillis * NANOS_PER_MILLI));
+    checks.put("limit", LimitCheck::respected);
     checks.put("unsafe-once", Checks::unsafeOnce);
-    checks.put("refused-is-true", Checks::refusedIsTrue);
-    checks.put("own-answer", Checks::ownAnswer);
-    checks.put("whole-stream", Checks::wholeStream);
+    checks.put("refused-is-true", Checks::refusedNeverRuns);
+    checks.put("own-answer", Checks::matchingAnswer);
+    checks.put("whole-stream", Checks::completeStream);
     checks.put("attempts", Checks::attempts);
-    checks.put("ends", Checks::ends);
-    checks.put("in-force", story -> StoreChecks.inForce(story, leavingMillis * NANOS_PER_MILLI));
-    checks.put("never-back", StoreChecks::neverBack);
+    checks.put("ends", Checks::crashingRequests);
+    checks.put(
+        "in-force", history -> StoreChecks.applied(history, leavingMillis * NANOS_PER_MILLI));
+    checks.put("never-back", StoreChecks::neverRolledBack);
     checks.put(
         "leaving-listed",
-        story -> StoreChecks.leavingListed(story, leavingMillis * NANOS_PER_MILLI));
+        history -> StoreChecks.leavingListed(history, leavingMillis * NANOS_PER_MILLI));
     return checks;
   }
 
   /** A daemon sends a worker at most two requests during the Retry-After pause it received. */
-  private static Verdict rest(Story story, long slackNanos) {
+  private static Verdict retryAfterPause(RunHistory history, long slackNanos) {
     Verdict.Builder verdict = new Verdict.Builder();
-    Map<String, Event.Sent> sent = story.sent();
-    List<Event.Arrived> arrivals = story.all(Event.Arrived.class);
-    for (Event.Asked asked : story.all(Event.Asked.class)) {
-      Integer daemon = Story.daemonOf(sent, asked.attempt());
-      long wished = asked.atNanos() + asked.restMillis() * NANOS_PER_MILLI;
-      long until = Math.min(wished, story.endOfLife(asked.worker(), asked.atNanos()));
+    Map<String, Event.Sent> sent = history.sent();
+    List<Event.Arrived> arrivals = history.all(Event.Arrived.class);
+    for (Event.Asked asked : history.all(Event.Asked.class)) {
+      Integer daemon = RunHistory.daemonOf(sent, asked.attempt());
+      long pauseEnd = asked.atNanos() + asked.restMillis() * NANOS_PER_MILLI;
+      long until = Math.min(pauseEnd, history.endOfLife(asked.worker(), asked.atNanos()));
       if (asked.restMillis() == 0 || daemon == null) {
         continue;
       }
-      verdict.tempted();
+      verdict.countCase();
       long count =
           arrivals.stream()
               .filter(event -> event.worker().equals(asked.worker()))
-              .filter(event -> daemon.equals(Story.daemonOf(sent, event.attempt())))
+              .filter(event -> daemon.equals(RunHistory.daemonOf(sent, event.attempt())))
               .filter(event -> event.atNanos() > asked.atNanos() + slackNanos)
               .filter(event -> event.atNanos() < until)
               .count();
-      if (count > MOST_IN_A_REST && !story.wasSignalled(daemon, asked.atNanos(), until)) {
-        verdict.breach(
+      if (count > MAX_REQUESTS_IN_PAUSE && !history.wasSignalled(daemon, asked.atNanos(), until)) {
+        verdict.addBreach(
             asked.worker()
                 + " asked daemon "
                 + daemon
@@ -80,39 +81,40 @@
   }
 
   /** After the bound, a daemon sends no new request to a worker that reported it is leaving. */
-  private static Verdict leaving(Story story, long boundNanos) {
+  private static Verdict leaving(RunHistory history, long boundNanos) {
     Verdict.Builder verdict = new Verdict.Builder();
-    Map<String, Event.Sent> sent = story.sent();
-    Map<String, Long> told = new HashMap<>();
-    for (Event event : story.events()) {
+    Map<String, Event.Sent> sent = history.sent();
+    Map<String, Long> reported = new HashMap<>();
+    for (Event event : history.events()) {
       if (event instanceof Event.Asked asked && asked.leaving()) {
-        Integer daemon = Story.daemonOf(sent, asked.attempt());
-        told.putIfAbsent(asked.worker() + " " + daemon, asked.atNanos());
+        Integer daemon = RunHistory.daemonOf(sent, asked.attempt());
+        reported.putIfAbsent(asked.worker() + " " + daemon, asked.atNanos());
       } else if (event instanceof Event.Arrived arrived) {
         Event.Sent request = sent.get(arrived.attempt());
-        Long since = request == null ? null : told.get(arrived.worker() + " " + request.daemon());
+        Long since =
+            request == null ? null : reported.get(arrived.worker() + " " + request.daemon());
         if (request == null || since == null) {
           continue;
         }
-        verdict.tempted();
+        verdict.countCase();
         boolean late = request.atNanos() - since > boundNanos;
-        if (late && !story.wasSignalled(request.daemon(), since, arrived.atNanos())) {
-          verdict.breach(arrived.attempt() + " reached " + arrived.worker() + ", which leaves");
+        if (late && !history.wasSignalled(request.daemon(), since, arrived.atNanos())) {
+          verdict.addBreach(arrived.attempt() + " reached " + arrived.worker() + ", which leaves");
         }
       }
     }
     return verdict.build();
   }
 
-  private static Verdict unsafeOnce(Story story) {
+  private static Verdict unsafeOnce(RunHistory history) {
     Verdict.Builder verdict = new Verdict.Builder();
-    Map<String, List<String>> began = story.beganAt();
-    for (Event.Sent sent : story.all(Event.Sent.class)) {
+    Map<String, List<String>> began = history.beganAt();
+    for (Event.Sent sent : history.all(Event.Sent.class)) {
       List<String> workers = began.getOrDefault(sent.attempt(), List.of());
       if (!sent.kind().isRepeatable() && !workers.isEmpty()) {
-        verdict.tempted();
+        verdict.countCase();
         if (workers.size() > 1) {
-          verdict.breach(sent.attempt() + " is unsafe and began at " + workers);
+          verdict.addBreach(sent.attempt() + " is unsafe and began at " + workers);
         }
       }
     }
@@ -120,17 +122,17 @@
   }
 
   /** An unsafe request that a daemon refused as "not run" never runs, before or afterwards. */
-  private static Verdict refusedIsTrue(Story story) {
+  private static Verdict refusedNeverRuns(RunHistory history) {
     Verdict.Builder verdict = new Verdict.Builder();
-    Map<String, Event.Sent> sent = story.sent();
-    Map<String, List<String>> began = story.beganAt();
-    for (Event.Answered answered : story.all(Event.Answered.class)) {
+    Map<String, Event.Sent> sent = history.sent();
+    Map<String, List<String>> began = history.beganAt();
+    for (Event.Answered answered : history.all(Event.Answered.class)) {
       Event.Sent request = sent.get(answered.attempt());
       boolean unsafe = request != null && !request.kind().isRepeatable();
       if (unsafe && answered.answer().saysNotRun()) {
-        verdict.tempted();
+        verdict.countCase();
         if (began.containsKey(answered.attempt())) {
-          verdict.breach(answered.attempt() + " was refused and ran");
+          verdict.addBreach(answered.attempt() + " was refused and ran");
         }
       }
     }
@@ -138,40 +140,40 @@
   }
 
   /** A successful response has the id of its request and the signature of a worker that ran it. */
-  private static Verdict ownAnswer(Story story) {
+  private static Verdict matchingAnswer(RunHistory history) {
     Verdict.Builder verdict = new Verdict.Builder();
-    Map<String, List<String>> began = story.beganAt();
-    for (Event.Answered answered : story.all(Event.Answered.class)) {
+    Map<String, List<String>> began = history.beganAt();
+    for (Event.Answered answered : history.all(Event.Answered.class)) {
       Answer answer = answered.answer();
       if (!answer.isSuccess()) {
         continue;
       }
-      verdict.tempted();
+      verdict.countCase();
       List<String> workers = began.getOrDefault(answered.attempt(), List.of());
       boolean own =
           answer.attempt().equals(answered.attempt()) && workers.contains(answer.signature());
       if (!own) {
-        verdict.breach(answered.attempt() + " got the answer " + answer);
+        verdict.addBreach(answered.attempt() + " got the answer " + answer);
       }
     }
     return verdict.build();
   }
 
   /** A stream that ends normally contains each event once and in order. */
-  private static Verdict wholeStream(Story story) {
+  private static Verdict completeStream(RunHistory history) {
     StringBuilder whole = new StringBuilder();
     for (int event = 1; event <= UsersConfiguration.EVENTS; event++) {
       whole.append("id: ").append(event).append("\ndata: ").append(event).append("\n\n");
     }
     Verdict.Builder verdict = new Verdict.Builder();
-    Map<String, Event.Sent> sent = story.sent();
-    for (Event.Answered answered : story.all(Event.Answered.class)) {
+    Map<String, Event.Sent> sent = history.sent();
+    for (Event.Answered answered : history.all(Event.Answered.class)) {
       Event.Sent request = sent.get(answered.attempt());
-      boolean stream = request != null && request.kind() == Kind.STREAM;
+      boolean stream = request != null && request.kind() == RequestKind.STREAM;
       if (stream && answered.answer().isSuccess()) {
-        verdict.tempted();
+        verdict.countCase();
         if (!whole.toString().equals(answered.answer().body())) {
-          verdict.breach(answered.attempt() + " got the stream " + answered.answer().body());
+          verdict.addBreach(answered.attempt() + " got the stream " + answered.answer().body());
         }
       }
     }
@@ -179,11 +181,11 @@
   }
 
   /** A request runs on at most as many workers as allowed, not counting workers that crashed. */
-  private static Verdict attempts(Story story) {
+  private static Verdict attempts(RunHistory history) {
     Verdict.Builder verdict = new Verdict.Builder();
     Set<String> ends = new HashSet<>();
-    story.all(Event.Ended.class).forEach(end -> ends.add(end.attempt() + " " + end.worker()));
-    story
+    history.all(Event.Ended.class).forEach(end -> ends.add(end.attempt() + " " + end.worker()));
+    history
         .beganAt()
         .forEach(
             (attempt, workers) -> {
@@ -193,10 +195,10 @@
                       .filter(worker -> !ends.contains(attempt + " " + worker))
                       .count();
               if (workers.size() > 1) {
-                verdict.tempted();
+                verdict.countCase();
               }
               if (count > UsersConfiguration.MOST_ATTEMPTS) {
-                verdict.breach(attempt + " ran at " + workers);
+                verdict.addBreach(attempt + " ran at " + workers);
               }
             });
     return verdict.build();
@@ -206,45 +208,45 @@
    * After a request has crashed three workers and the daemons had time to learn of it, requests
    * with the same body reach workers at most three more times.
    */
-  private static Verdict ends(Story story) {
+  private static Verdict crashingRequests(RunHistory history) {
     Verdict.Builder verdict = new Verdict.Builder();
-    Map<String, Long> known = knownAfterThreeEnds(story);
+    Map<String, Long> known = knownAfterThreeCrashes(history);
     Map<String, Integer> sends = new HashMap<>();
-    Map<String, Event.Sent> sent = story.sent();
+    Map<String, Event.Sent> sent = history.sent();
     for (Event.Sent request : sent.values()) {
-      if (isLater(request, known)) {
-        verdict.tempted();
+      if (isSentAfterPropagation(request, known)) {
+        verdict.countCase();
       }
     }
-    for (Event.Arrived arrived : story.all(Event.Arrived.class)) {
+    for (Event.Arrived arrived : history.all(Event.Arrived.class)) {
       Event.Sent request = sent.get(arrived.attempt());
-      if (request != null && isLater(request, known)) {
+      if (request != null && isSentAfterPropagation(request, known)) {
         sends.merge(Callers.bodyOf(arrived.attempt()), 1, Integer::sum);
       }
     }
     sends.forEach(
         (body, count) -> {
-          if (count > MOST_ENDS) {
-            verdict.breach(body + " was sent " + count + " times after it had ended three");
+          if (count > MAX_CRASHES) {
+            verdict.addBreach(body + " was sent " + count + " times after it had ended three");
           }
         });
     return verdict.build();
   }
 
   /** Returns when all daemons must know each request that crashed three workers, by body. */
-  private static Map<String, Long> knownAfterThreeEnds(Story story) {
+  private static Map<String, Long> knownAfterThreeCrashes(RunHistory history) {
     Map<String, Integer> ends = new HashMap<>();
     Map<String, Long> known = new HashMap<>();
-    for (Event.Ended end : story.all(Event.Ended.class)) {
+    for (Event.Ended end : history.all(Event.Ended.class)) {
       String body = Callers.bodyOf(end.attempt());
-      if (ends.merge(body, 1, Integer::sum) == MOST_ENDS) {
-        known.put(body, end.atNanos() + KNOWN_AFTER_NANOS);
+      if (ends.merge(body, 1, Integer::sum) == MAX_CRASHES) {
+        known.put(body, end.atNanos() + PROPAGATION_NANOS);
       }
     }
     return known;
   }
 
-  private static boolean isLater(Event.Sent request, Map<String, Long> known) {
+  private static boolean isSentAfterPropagation(Event.Sent request, Map<String, Long> known) {
     Long since = known.get(Callers.bodyOf(request.attempt()));
     return since != null && request.atNanos() > since;
   }
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/Event.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/Event.java
@@ -18,7 +18,7 @@
    * @param daemon the number of the daemon that it was sent to
    * @param kind its kind
    */
-  record Sent(long atNanos, String attempt, int daemon, Kind kind) implements Event {}
+  record Sent(long atNanos, String attempt, int daemon, RequestKind kind) implements Event {}
 
   /**
    * A caller received a response, complete or not.
@@ -70,7 +70,7 @@
   record NamedLimit(long atNanos, String attempt, String worker, String limit) implements Event {
 
     /** Returns whether the worker stopped advertising a limit. */
-    boolean isOver() {
+    boolean isEnd() {
       return attempt.isEmpty();
     }
   }
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/World.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/FaultContext.java
@@ -20,7 +20,7 @@
  * @param versions the newest configuration version
  * @param outages the number of active faults that keep the store down
  */
-record World(
+record FaultContext(
     UsersPlatformStandIn platform,
     List<EdgeDaemon> daemons,
     Callers callers,
@@ -30,10 +30,10 @@
     AtomicInteger outages) {
 
   /** The largest increment between two configuration versions. */
-  private static final int MOST_STEP = 4;
+  private static final int MAX_VERSION_STEP = 4;
 
   long nextVersion() {
-    return versions.addAndGet(1 + ThreadLocalRandom.current().nextInt(MOST_STEP));
+    return versions.addAndGet(1 + ThreadLocalRandom.current().nextInt(MAX_VERSION_STEP));
   }
 
   /** Stops the store. Outages may overlap: the store returns when the last one ends. */
@@ -50,11 +50,11 @@
     recorder.storeTrouble(false);
   }
 
-  static <T> T any(List<T> some, Random draws) {
-    return some.get(draws.nextInt(some.size()));
+  static <T> T any(List<T> some, Random random) {
+    return some.get(random.nextInt(some.size()));
   }
 
-  void later(long millis, Step step) {
+  void schedule(long millis, Step step) {
     timer.schedule(() -> run(step), millis, TimeUnit.MILLISECONDS);
   }
 
@@ -62,7 +62,7 @@
     try {
       step.run();
     } catch (Exception e) {
-      recorder.struck("failed: " + e);
+      recorder.faultInjected("failed: " + e);
     }
   }
 
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/Recorder.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/Recorder.java
@@ -15,7 +15,7 @@
     return System.nanoTime() - startNanos;
   }
 
-  void sent(String attempt, int daemon, Kind kind) {
+  void sent(String attempt, int daemon, RequestKind kind) {
     events.add(new Event.Sent(now(), attempt, daemon, kind));
   }
 
@@ -27,7 +27,7 @@
     events.add(new Event.Signalled(now(), daemon, what));
   }
 
-  void struck(String text) {
+  void faultInjected(String text) {
     events.add(new Event.Struck(now(), text));
   }
 
@@ -71,7 +71,7 @@
     events.add(new Event.NamedLimit(now(), attempt, worker, limit));
   }
 
-  void limitOver(String worker) {
+  void limitEnded(String worker) {
     events.add(new Event.NamedLimit(now(), "", worker, ""));
   }
 
@@ -85,7 +85,7 @@
     events.add(new Event.Ended(now(), attempt, worker));
   }
 
-  Story story() {
-    return new Story(List.copyOf(events));
+  RunHistory history() {
+    return new RunHistory(List.copyOf(events));
   }
 }
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/Kind.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/RequestKind.java
@@ -3,7 +3,7 @@
 import org.fawnvale.standins.UsersConfiguration;
 
 /** The kinds of requests that callers send. */
-enum Kind {
+enum RequestKind {
   /** A streaming request, which another worker may resume. */
   STREAM(UsersConfiguration.STREAM_PATH + "x", true),
   /** A request that may run more than once. */
@@ -14,7 +14,7 @@
   private final String path;
   private final boolean repeatable;
 
-  Kind(String path, boolean repeatable) {
+  RequestKind(String path, boolean repeatable) {
     this.path = path;
     this.repeatable = repeatable;
   }
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/Prober.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/RouteProber.java
@@ -13,28 +13,28 @@
 import org.fawnvale.standins.fleet.EdgeDaemon;
 
 /** Requests the newest route from random daemons and records whether they serve it yet. */
-final class Prober implements AutoCloseable {
+final class RouteProber implements AutoCloseable {
 
-  private static final Duration PATIENCE = Duration.ofSeconds(3);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(3);
   private static final int PAUSE_MILLIS = 40;
 
   private final List<EdgeDaemon> daemons;
   private final Recorder recorder;
   private final AtomicLong newest;
   private final Thread thread;
-  private volatile boolean over;
+  private volatile boolean closed;
 
   /**
    * Creates a prober that is not started yet.
    *
    * @param newest the newest configuration version whose write to the store has started
-   * @param draws selects the daemon for each probe
+   * @param random selects the daemon for each probe
    */
-  Prober(List<EdgeDaemon> daemons, Recorder recorder, AtomicLong newest, Random draws) {
+  RouteProber(List<EdgeDaemon> daemons, Recorder recorder, AtomicLong newest, Random random) {
     this.daemons = daemons;
     this.recorder = recorder;
     this.newest = newest;
-    this.thread = new Thread(() -> ask(draws), "prober");
+    this.thread = new Thread(() -> probeLoop(random), "prober");
     thread.setDaemon(true);
   }
 
@@ -42,25 +42,25 @@
     thread.start();
   }
 
-  private void ask(Random draws) {
+  private void probeLoop(Random random) {
     HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     int number = 0;
-    while (!over) {
-      int daemon = draws.nextInt(daemons.size());
+    while (!closed) {
+      int daemon = random.nextInt(daemons.size());
       long version = newest.get();
       if (version > 1) {
         number++;
-        ask(client, daemon, version, "route" + number);
+        probe(client, daemon, version, "route" + number);
       }
       Callers.pause(PAUSE_MILLIS);
     }
   }
 
-  private void ask(HttpClient client, int daemon, long version, String attempt) {
+  private void probe(HttpClient client, int daemon, long version, String attempt) {
     String address = "http://" + daemons.get(daemon).frontend();
     HttpRequest.Builder request =
         HttpRequest.newBuilder(URI.create(address + UsersConfiguration.pathSince(version) + "x"))
-            .timeout(PATIENCE)
+            .timeout(REQUEST_TIMEOUT)
             .POST(HttpRequest.BodyPublishers.ofString(attempt));
     UsersConfiguration.headersOfAPlainCaller(attempt).forEach(request::header);
     long sent = recorder.now();
@@ -80,9 +80,9 @@
 
   @Override
   public void close() {
-    over = true;
+    closed = true;
     try {
-      thread.join(PATIENCE.toMillis());
+      thread.join(REQUEST_TIMEOUT.toMillis());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/Story.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/RunHistory.java
@@ -12,9 +12,9 @@
  *
  * @param events the events, earliest first
  */
-record Story(List<Event> events) {
+record RunHistory(List<Event> events) {
 
-  Story {
+  RunHistory {
     List<Event> sorted = new ArrayList<>(events);
     sorted.sort(Comparator.comparingLong(Event::atNanos));
     events = List.copyOf(sorted);
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/Soak.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/Soak.java
@@ -51,33 +51,33 @@
   public static int run(PrintStream out, String... arguments)
       throws IOException, InterruptedException {
     try {
-      return new Soak(SoakOptions.parse(arguments), out).play() ? CLEAN : BREACH;
+      return new Soak(SoakOptions.parse(arguments), out).runAll() ? CLEAN : BREACH;
     } catch (ArgumentParserException e) {
       e.getParser().handleError(e);
       return BAD_USAGE;
     }
   }
 
-  private boolean play() throws IOException, InterruptedException {
+  private boolean runAll() throws IOException, InterruptedException {
     boolean clean = true;
     Map<String, Verdict> all = new LinkedHashMap<>();
     for (int run = 0; run < options.seeds(); run++) {
       long seed = options.firstSeed() + run;
       Path folder = Files.createTempDirectory("fawnvale-soak-" + seed + "-");
-      SoakRun.Result result = new SoakRun(options, seed, folder).play();
+      SoakRun.Result result = new SoakRun(options, seed, folder).run();
       result.verdicts().forEach((name, verdict) -> all.merge(name, verdict, Verdict::plus));
-      out.println(line(result));
+      out.println(toJson(result));
       out.println(run + 1 + " of " + options.seeds() + " runs played");
       if (!result.isClean()) {
         clean = false;
-        tell(result, folder);
+        reportBreach(result, folder);
       }
     }
-    report(all);
+    printSummary(all);
     return clean;
   }
 
-  private String line(SoakRun.Result result) throws IOException {
+  private String toJson(SoakRun.Result result) throws IOException {
     ObjectNode line = MAPPER.createObjectNode();
     line.put("seed", result.seed());
     line.put("clean", result.isClean());
@@ -88,9 +88,9 @@
   }
 
   /** Writes the recorded events next to the logs and prints the command that repeats the run. */
-  private void tell(SoakRun.Result result, Path folder) throws IOException {
-    List<String> story = result.story().events().stream().map(Object::toString).toList();
-    Files.write(folder.resolve("story.txt"), story);
+  private void reportBreach(SoakRun.Result result, Path folder) throws IOException {
+    List<String> history = result.history().events().stream().map(Object::toString).toList();
+    Files.write(folder.resolve("story.txt"), history);
     out.println("BREACH with seed " + result.seed() + "; logs and story in " + folder);
     out.printf(
         "again: ./soak --seed %d --seconds %d --daemons %d --often %s --slack-ms %d%n",
@@ -101,7 +101,7 @@
         options.slackMillis());
   }
 
-  private void report(Map<String, Verdict> all) {
+  private void printSummary(Map<String, Verdict> all) {
     out.println("CHECK             TEMPTED  BREACHES");
     all.forEach(
         (name, verdict) ->
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/SoakOptions.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/SoakOptions.java
@@ -33,8 +33,8 @@
     List<String> often,
     long slackMillis) {
 
-  private static final int MOST_DAEMONS = 40;
-  private static final int MOST_NETWORKS = 255;
+  private static final int MAX_DAEMONS = 40;
+  private static final int MAX_NETWORKS = 255;
 
   static ArgumentParser parser() {
     ArgumentParser parser =
@@ -49,7 +49,7 @@
         .type(Integer.class)
         .setDefault(20)
         .help("troubles last so long");
-    parser.addArgument("--daemons").type(Integer.class).setDefault(4).help("2 to " + MOST_DAEMONS);
+    parser.addArgument("--daemons").type(Integer.class).setDefault(4).help("2 to " + MAX_DAEMONS);
     parser
         .addArgument("--network")
         .type(Integer.class)
@@ -62,7 +62,7 @@
     parser
         .addArgument("--often")
         .setDefault("")
-        .help("troubles, by comma, of which every other one is drawn: " + Troubles.all().keySet());
+        .help("troubles, by comma, of which every other one is drawn: " + Faults.all().keySet());
     parser
         .addArgument("--slack-ms")
         .type(Long.class)
@@ -94,22 +94,22 @@
   }
 
   private void check(ArgumentParser parser) throws ArgumentParserException {
-    refuseUnless(seeds > 0, parser, "--seeds " + seeds + ": give 1 or more");
-    refuseUnless(seconds > 0, parser, "--seconds " + seconds + ": give 1 or more");
-    boolean some = daemons >= 2 && daemons <= MOST_DAEMONS;
-    refuseUnless(some, parser, "--daemons " + daemons + ": give 2 to " + MOST_DAEMONS);
-    boolean apart = network >= 2 && network <= MOST_NETWORKS;
-    refuseUnless(apart, parser, "--network " + network + ": give 2 to " + MOST_NETWORKS);
+    require(seeds > 0, parser, "--seeds " + seeds + ": give 1 or more");
+    require(seconds > 0, parser, "--seconds " + seconds + ": give 1 or more");
+    boolean some = daemons >= 2 && daemons <= MAX_DAEMONS;
+    require(some, parser, "--daemons " + daemons + ": give 2 to " + MAX_DAEMONS);
+    boolean apart = network >= 2 && network <= MAX_NETWORKS;
+    require(apart, parser, "--network " + network + ": give 2 to " + MAX_NETWORKS);
     for (String name : often) {
-      boolean isTrouble = Troubles.all().containsKey(name);
-      refuseUnless(isTrouble, parser, "--often " + name + ": give names of troubles, see --help");
+      boolean isTrouble = Faults.all().containsKey(name);
+      require(isTrouble, parser, "--often " + name + ": give names of troubles, see --help");
     }
-    refuseUnless(slackMillis >= 0, parser, "--slack-ms " + slackMillis + ": give 0 or more");
+    require(slackMillis >= 0, parser, "--slack-ms " + slackMillis + ": give 0 or more");
     boolean built = Files.exists(target.resolve("fawnvale.jar"));
-    refuseUnless(built, parser, "--target " + target + ": build the jar there first, mvn package");
+    require(built, parser, "--target " + target + ": build the jar there first, mvn package");
   }
 
-  private static void refuseUnless(boolean holds, ArgumentParser parser, String text)
+  private static void require(boolean holds, ArgumentParser parser, String text)
       throws ArgumentParserException {
     if (!holds) {
       throw new ArgumentParserException(text, parser);
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/SoakRun.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/SoakRun.java
@@ -29,7 +29,7 @@
   private static final int GROUP_WORKERS = 8;
   private static final int PLAIN_WORKERS = 4;
   private static final long RECOVERY_SECONDS = 60;
-  private static final int LOOK_MILLIS = 100;
+  private static final int PROBE_INTERVAL_MILLIS = 100;
 
   /** How long requests may reach a worker after it reports that it is leaving. */
   private static final long LEAVING_MILLIS = 4_000;
@@ -55,14 +55,14 @@
    * @param troubles the number of injected faults by name
    * @param answers the number of responses by status
    * @param verdicts the result of each check by name
-   * @param story the recorded events
+   * @param history the recorded events
    */
   record Result(
       long seed,
       Map<String, Integer> troubles,
       Map<Integer, Integer> answers,
       Map<String, Verdict> verdicts,
-      Story story) {
+      RunHistory history) {
 
     boolean isClean() {
       return verdicts.values().stream().allMatch(verdict -> verdict.breaches().isEmpty());
@@ -75,32 +75,33 @@
     this.folder = folder;
   }
 
-  Result play() throws IOException, InterruptedException {
-    Random draws = new Random(seed);
-    Map<String, Integer> struck = new TreeMap<>();
+  Result run() throws IOException, InterruptedException {
+    Random random = new Random(seed);
+    Map<String, Integer> injected = new TreeMap<>();
     Verdict.Builder recovery = new Verdict.Builder();
-    Thread ender = new Thread(this::endAll, "ender");
-    Runtime.getRuntime().addShutdownHook(ender);
+    Thread shutdownHook = new Thread(this::closeDaemons, "ender");
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
     try (UsersPlatformStandIn platform = UsersPlatformStandIn.start()) {
       startFleet(platform);
       try (Callers callers = new Callers(daemons, recorder, options.sameBodies())) {
         AtomicLong versions = new AtomicLong(1);
-        World world =
-            new World(platform, daemons, callers, recorder, timer, versions, new AtomicInteger());
-        awaitService(callers, recovery, "at the start");
-        callers.start(CALLERS, new Random(draws.nextLong()));
-        try (Prober prober = new Prober(daemons, recorder, versions, new Random(seed))) {
+        FaultContext context =
+            new FaultContext(
+                platform, daemons, callers, recorder, timer, versions, new AtomicInteger());
+        awaitRecovery(callers, recovery, "at the start");
+        callers.start(CALLERS, new Random(random.nextLong()));
+        try (RouteProber prober = new RouteProber(daemons, recorder, versions, new Random(seed))) {
           prober.start();
-          strike(world, draws, struck);
-          TimeUnit.MILLISECONDS.sleep(Troubles.LONGEST_MILLIS);
+          injectFaults(context, random, injected);
+          TimeUnit.MILLISECONDS.sleep(Faults.MAX_DURATION_MILLIS);
         }
-        awaitService(callers, recovery, "after the last trouble");
+        awaitRecovery(callers, recovery, "after the last trouble");
       }
-      return judge(struck, platform.violations(), recovery.build());
+      return judge(injected, platform.violations(), recovery.build());
     } finally {
       timer.shutdownNow();
-      endAll();
-      Runtime.getRuntime().removeShutdownHook(ender);
+      closeDaemons();
+      Runtime.getRuntime().removeShutdownHook(shutdownHook);
     }
   }
 
@@ -122,59 +123,59 @@
     }
   }
 
-  private void endAll() {
+  private void closeDaemons() {
     daemons.forEach(EdgeDaemon::close);
   }
 
   /** Injects random faults, which overlap because most last longer than the pause between them. */
-  private void strike(World world, Random draws, Map<String, Integer> struck)
+  private void injectFaults(FaultContext context, Random random, Map<String, Integer> injected)
       throws InterruptedException {
-    Map<String, Trouble> troubles = Troubles.all();
-    List<String> names = List.copyOf(troubles.keySet());
+    Map<String, Fault> faults = Faults.all();
+    List<String> names = List.copyOf(faults.keySet());
     long until = recorder.now() + TimeUnit.SECONDS.toNanos(options.seconds());
     while (recorder.now() < until) {
-      boolean ofOften = !options.often().isEmpty() && draws.nextBoolean();
-      String name = World.any(ofOften ? options.often() : names, draws);
-      String drawn = troubles.get(name).strike(world, draws);
-      recorder.struck(name + ": " + drawn);
-      struck.merge(name, 1, Integer::sum);
-      TimeUnit.MILLISECONDS.sleep(200 + draws.nextInt(1_800));
+      boolean preferOften = !options.often().isEmpty() && random.nextBoolean();
+      String name = FaultContext.any(preferOften ? options.often() : names, random);
+      String parameters = faults.get(name).inject(context, random);
+      recorder.faultInjected(name + ": " + parameters);
+      injected.merge(name, 1, Integer::sum);
+      TimeUnit.MILLISECONDS.sleep(200 + random.nextInt(1_800));
     }
   }
 
   /** Waits until each daemon serves a request of each kind. */
-  private void awaitService(Callers callers, Verdict.Builder verdict, String when)
+  private void awaitRecovery(Callers callers, Verdict.Builder verdict, String when)
       throws InterruptedException {
     long until = recorder.now() + TimeUnit.SECONDS.toNanos(RECOVERY_SECONDS);
     for (EdgeDaemon daemon : daemons) {
-      for (Kind kind : Kind.values()) {
-        verdict.tempted();
+      for (RequestKind kind : RequestKind.values()) {
+        verdict.countCase();
         boolean served = false;
         while (!served && recorder.now() < until) {
           served = callers.probe(daemon.number(), kind).isSuccess();
           if (!served) {
-            TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(PROBE_INTERVAL_MILLIS);
           }
         }
         if (!served) {
-          verdict.breach("daemon " + daemon.number() + " doesn't serve " + kind + " " + when);
+          verdict.addBreach("daemon " + daemon.number() + " doesn't serve " + kind + " " + when);
         }
       }
     }
   }
 
-  private Result judge(Map<String, Integer> struck, List<String> seenByWorkers, Verdict recovery) {
-    Story story = recorder.story();
+  private Result judge(Map<String, Integer> injected, List<String> violations, Verdict recovery) {
+    RunHistory history = recorder.history();
     Map<String, Verdict> verdicts = new LinkedHashMap<>();
     Checks.all(options.slackMillis(), LEAVING_MILLIS)
-        .forEach((name, check) -> verdicts.put(name, check.judge(story)));
-    int begun = story.all(Event.Began.class).size();
-    verdicts.put(GROUPS_WHOLE, new Verdict(begun, seenByWorkers));
+        .forEach((name, check) -> verdicts.put(name, check.judge(history)));
+    int began = history.all(Event.Began.class).size();
+    verdicts.put(GROUPS_WHOLE, new Verdict(began, violations));
     verdicts.put(RECOVERY, recovery);
     Map<Integer, Integer> answers = new TreeMap<>();
-    story
+    history
         .all(Event.Answered.class)
         .forEach(event -> answers.merge(event.answer().status(), 1, Integer::sum));
-    return new Result(seed, struck, answers, verdicts, story);
+    return new Result(seed, injected, answers, verdicts, history);
   }
 }
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/Verdict.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/Verdict.java
@@ -17,11 +17,11 @@
     private final List<String> breaches = new ArrayList<>();
     private int tempted;
 
-    void tempted() {
+    void countCase() {
       tempted++;
     }
 
-    void breach(String text) {
+    void addBreach(String text) {
       breaches.add(text);
     }
 
--- a/fawnvale-soak/src/test/java/org/fawnvale/soak/ChecksTest.java
+++ b/fawnvale-soak/src/test/java/org/fawnvale/soak/ChecksTest.java
@@ -25,10 +25,10 @@
   }
 
   private Verdict judge(String check) {
-    return Checks.all(SLACK_MILLIS, LEAVING_MILLIS).get(check).judge(new Story(events));
+    return Checks.all(SLACK_MILLIS, LEAVING_MILLIS).get(check).judge(new RunHistory(events));
   }
 
-  private void sent(long millis, String attempt, int daemon, Kind kind) {
+  private void sent(long millis, String attempt, int daemon, RequestKind kind) {
     events.add(new Event.Sent(millis * MILLI, attempt, daemon, kind));
   }
 
@@ -49,10 +49,10 @@
   }
 
   private void arriveInARest(int count, int daemon, long fromMillis) {
-    sent(0, "a-0", 1, Kind.SAFE);
+    sent(0, "a-0", 1, RequestKind.SAFE);
     askedForRest(10, "a-0", "w", 3_000);
     for (int number = 1; number <= count; number++) {
-      sent(fromMillis, "a-" + number, daemon, Kind.SAFE);
+      sent(fromMillis, "a-" + number, daemon, RequestKind.SAFE);
       arrived(fromMillis + number, "a-" + number, "w");
     }
   }
@@ -96,9 +96,9 @@
   }
 
   private void reachAWorkerThatLeaves(long sentMillis) {
-    sent(0, "a-0", 1, Kind.SAFE);
+    sent(0, "a-0", 1, RequestKind.SAFE);
     events.add(new Event.Asked(10 * MILLI, "a-0", "w", 0, true));
-    sent(sentMillis, "a-1", 1, Kind.SAFE);
+    sent(sentMillis, "a-1", 1, RequestKind.SAFE);
     arrived(sentMillis + 5, "a-1", "w");
   }
 
@@ -113,7 +113,7 @@
 
   @Test
   void anUnsafeRequestThatBeginsTwiceBreaksIt() {
-    sent(0, "a-0", 1, Kind.UNSAFE);
+    sent(0, "a-0", 1, RequestKind.UNSAFE);
     began(5, "a-0", "w");
     assertThat(judge("unsafe-once").breaches()).isEmpty();
     began(9, "a-0", "v");
@@ -122,7 +122,7 @@
 
   @Test
   void aRefusalOfWhatRunsLaterBreaksIt() {
-    sent(0, "a-0", 1, Kind.UNSAFE);
+    sent(0, "a-0", 1, RequestKind.UNSAFE);
     answered(5, "a-0", new Answer(503, "a-0", "", ""));
     assertThat(judge("refused-is-true").breaches()).isEmpty();
     began(900, "a-0", "w");
@@ -131,7 +131,7 @@
 
   @Test
   void anAnswerOfAnotherRequestOrOfAWorkerThatDidNotRunItBreaksIt() {
-    sent(0, "a-0", 1, Kind.SAFE);
+    sent(0, "a-0", 1, RequestKind.SAFE);
     began(5, "a-0", "w");
     answered(9, "a-0", new Answer(200, "a-0", "w", "{}"));
     assertThat(judge("own-answer").breaches()).isEmpty();
@@ -143,7 +143,7 @@
 
   @Test
   void aStreamThatLooksCompleteAndIsNotBreaksIt() {
-    sent(0, "a-0", 1, Kind.STREAM);
+    sent(0, "a-0", 1, RequestKind.STREAM);
     answered(9, "a-0", new Answer(200, "a-0", "w", WHOLE));
     assertThat(judge("whole-stream").breaches()).isEmpty();
     answered(9, "a-0", new Answer(200, "a-0", "w", WHOLE.substring(20)));
@@ -153,7 +153,7 @@
 
   @Test
   void aFourthWorkerBreaksItUnlessOneEnded() {
-    sent(0, "a-0", 1, Kind.STREAM);
+    sent(0, "a-0", 1, RequestKind.STREAM);
     for (int number = 0; number < 4; number++) {
       began(number, "a-0", "w" + number);
     }
@@ -167,7 +167,7 @@
       events.add(new Event.Ended(number * MILLI, "deadly7-" + number, "w" + number));
     }
     for (int number = 10; number < 10 + count; number++) {
-      sent(millis, "deadly7-" + number, 1, Kind.STREAM);
+      sent(millis, "deadly7-" + number, 1, RequestKind.STREAM);
       arrived(millis + 5, "deadly7-" + number, "w");
     }
   }
@@ -238,10 +238,10 @@
   @Test
   void aRequestThatReachesAWorkerListedAsLeavingIsABreach() {
     events.add(new Event.LeavesListed(0, "w"));
-    sent(3_900, "a-1", 1, Kind.SAFE);
+    sent(3_900, "a-1", 1, RequestKind.SAFE);
     arrived(3_950, "a-1", "w");
     assertThat(judge("leaving-listed").breaches()).isEmpty();
-    sent(4_100, "a-2", 1, Kind.SAFE);
+    sent(4_100, "a-2", 1, RequestKind.SAFE);
     arrived(4_150, "a-2", "w");
     assertThat(judge("leaving-listed").breaches()).hasSize(1);
   }
@@ -250,7 +250,7 @@
   void aWorkerThatHasStartedAgainIsNotLeavingAnyMore() {
     events.add(new Event.LeavesListed(0, "w"));
     events.add(new Event.Started(2_000 * MILLI, "w"));
-    sent(4_100, "a-2", 1, Kind.SAFE);
+    sent(4_100, "a-2", 1, RequestKind.SAFE);
     arrived(4_150, "a-2", "w");
     assertThat(judge("leaving-listed").breaches()).isEmpty();
   }
@@ -261,13 +261,13 @@
 
   /** A worker names a limit to two daemons, which send it some requests from four seconds on. */
   private void arriveAtALimit(String limit, int count) {
-    sent(0, "l-0", 1, Kind.SAFE);
-    sent(0, "l-1", 2, Kind.SAFE);
+    sent(0, "l-0", 1, RequestKind.SAFE);
+    sent(0, "l-1", 2, RequestKind.SAFE);
     named(10, "l-0", limit);
     named(20, "l-1", limit);
     for (int number = 0; number < count; number++) {
       String attempt = "m-" + number;
-      sent(4_000, attempt, 1 + number % 2, Kind.SAFE);
+      sent(4_000, attempt, 1 + number % 2, RequestKind.SAFE);
       arrived(4_000 + number, attempt, "w");
     }
     named(9_000, "l-0", limit);
@@ -298,7 +298,7 @@
     arriveAtALimit("10", 30);
     assertThat(judge("limit").breaches()).isEmpty();
     events.clear();
-    sent(0, "l-0", 1, Kind.SAFE);
+    sent(0, "l-0", 1, RequestKind.SAFE);
     named(1, "l-0", "10");
     arriveAtALimit("1", 30);
     assertThat(judge("limit").breaches()).hasSize(1);
--- a/fawnvale-soak/src/test/java/org/fawnvale/soak/PromisesTableTest.java
+++ b/fawnvale-soak/src/test/java/org/fawnvale/soak/PromisesTableTest.java
@@ -62,7 +62,7 @@
   }
 
   private static Set<String> troubles() throws IOException {
-    Set<String> troubles = new HashSet<>(Troubles.all().keySet());
+    Set<String> troubles = new HashSet<>(Faults.all().keySet());
     try (Stream<Path> days = Files.list(ROOT.resolve("deploy/days"))) {
       days.forEach(day -> troubles.add(day.getFileName().toString().replace(".toml", "")));
     }
