--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/Checks.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/Checks.java
@@ -55,7 +55,7 @@
     for (Event.Asked asked : history.all(Event.Asked.class)) {
       Integer daemon = RunHistory.daemonOf(sent, asked.attempt());
       long pauseEnd = asked.atNanos() + asked.restMillis() * NANOS_PER_MILLI;
-      long until = Math.min(pauseEnd, history.endOfLife(asked.worker(), asked.atNanos()));
+      long until = Math.min(pauseEnd, history.nextRestartNanos(asked.worker(), asked.atNanos()));
       if (asked.restMillis() == 0 || daemon == null) {
         continue;
       }
@@ -150,9 +150,9 @@
       }
       verdict.countCase();
       List<String> workers = began.getOrDefault(answered.attempt(), List.of());
-      boolean own =
+      boolean matches =
           answer.attempt().equals(answered.attempt()) && workers.contains(answer.signature());
-      if (!own) {
+      if (!matches) {
         verdict.addBreach(answered.attempt() + " got the answer " + answer);
       }
     }
@@ -183,8 +183,8 @@
   /** A request runs on at most as many workers as allowed, not counting workers that crashed. */
   private static Verdict attempts(RunHistory history) {
     Verdict.Builder verdict = new Verdict.Builder();
-    Set<String> ends = new HashSet<>();
-    history.all(Event.Ended.class).forEach(end -> ends.add(end.attempt() + " " + end.worker()));
+    Set<String> crashes = new HashSet<>();
+    history.all(Event.Ended.class).forEach(end -> crashes.add(end.attempt() + " " + end.worker()));
     history
         .beganAt()
         .forEach(
@@ -192,7 +192,7 @@
               long count =
                   workers.stream()
                       .distinct()
-                      .filter(worker -> !ends.contains(attempt + " " + worker))
+                      .filter(worker -> !crashes.contains(attempt + " " + worker))
                       .count();
               if (workers.size() > 1) {
                 verdict.countCase();
@@ -235,11 +235,11 @@
 
   /** Returns when all daemons must know each request that crashed three workers, by body. */
   private static Map<String, Long> knownAfterThreeCrashes(RunHistory history) {
-    Map<String, Integer> ends = new HashMap<>();
+    Map<String, Integer> crashes = new HashMap<>();
     Map<String, Long> known = new HashMap<>();
     for (Event.Ended end : history.all(Event.Ended.class)) {
       String body = Callers.bodyOf(end.attempt());
-      if (ends.merge(body, 1, Integer::sum) == MAX_CRASHES) {
+      if (crashes.merge(body, 1, Integer::sum) == MAX_CRASHES) {
         known.put(body, end.atNanos() + PROPAGATION_NANOS);
       }
     }
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/FaultContext.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/FaultContext.java
@@ -50,8 +50,8 @@
     recorder.storeTrouble(false);
   }
 
-  static <T> T any(List<T> some, Random random) {
-    return some.get(random.nextInt(some.size()));
+  static <T> T randomElement(List<T> list, Random random) {
+    return list.get(random.nextInt(list.size()));
   }
 
   void schedule(long millis, Step step) {
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/Faults.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/Faults.java
@@ -60,7 +60,7 @@
         random.nextBoolean()
             ? context.platform().groupWorkers()
             : context.platform().plainWorkers();
-    return FaultContext.any(kind, random);
+    return FaultContext.randomElement(kind, random);
   }
 
   private static long randomPauseMillis(Random random) {
@@ -105,7 +105,7 @@
     boolean plain = random.nextBoolean();
     List<String> ids =
         plain ? context.platform().plainWorkers() : context.platform().groupWorkers();
-    String id = FaultContext.any(ids, random);
+    String id = FaultContext.randomElement(ids, random);
     String replacement = id + "n";
     String zone = zoneOf(id);
     context.run(
@@ -125,7 +125,7 @@
   }
 
   private static String crash(FaultContext context, Random random) {
-    String id = FaultContext.any(context.platform().groupWorkers(), random);
+    String id = FaultContext.randomElement(context.platform().groupWorkers(), random);
     context.platform().crash(id);
     return id;
   }
@@ -145,7 +145,7 @@
   /** Overwrites the store entry of a worker with an invalid one and restores it later. */
   private static String writeInvalidEntry(FaultContext context, Random random) {
     String id = randomWorker(context, random);
-    Object entry = FaultContext.any(INVALID_ENTRIES, random);
+    Object entry = FaultContext.randomElement(INVALID_ENTRIES, random);
     long duration = 300 + random.nextInt(1_500);
     context.platform().spoilEntry(id, entry);
     context.schedule(duration, () -> context.platform().writeEntry(id));
@@ -174,7 +174,7 @@
   }
 
   private static String freeze(FaultContext context, Random random) {
-    EdgeDaemon daemon = FaultContext.any(context.daemons(), random);
+    EdgeDaemon daemon = FaultContext.randomElement(context.daemons(), random);
     long duration = 300 + random.nextInt(4_000);
     context.recorder().signalled(daemon.number(), "freeze");
     context.run(daemon::freeze);
@@ -188,7 +188,7 @@
   }
 
   private static String kill(FaultContext context, Random random) {
-    EdgeDaemon daemon = FaultContext.any(context.daemons(), random);
+    EdgeDaemon daemon = FaultContext.randomElement(context.daemons(), random);
     long down = 50 + random.nextInt(1_500);
     context.recorder().signalled(daemon.number(), "kill");
     context.run(daemon::thaw);
@@ -198,7 +198,7 @@
   }
 
   private static String stop(FaultContext context, Random random) {
-    EdgeDaemon daemon = FaultContext.any(context.daemons(), random);
+    EdgeDaemon daemon = FaultContext.randomElement(context.daemons(), random);
     context.recorder().signalled(daemon.number(), "stop");
     daemon.terminate();
     context.schedule(
@@ -240,7 +240,7 @@
 
   /** Marks a plain worker as leaving in its store entry only; it still serves for a while. */
   private static String leaveInEntryOnly(FaultContext context, Random random) {
-    String id = FaultContext.any(context.platform().plainWorkers(), random);
+    String id = FaultContext.randomElement(context.platform().plainWorkers(), random);
     String zone = zoneOf(id);
     context.run(() -> context.platform().addPlainWorker(id + "q", zone));
     context.platform().drain(id);
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/LimitFaults.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/LimitFaults.java
@@ -73,7 +73,7 @@
 
   static String malformed(FaultContext context, Random random) {
     String id = Faults.randomWorker(context, random);
-    String limit = FaultContext.any(MALFORMED, random);
+    String limit = FaultContext.randomElement(MALFORMED, random);
     long duration = randomDuration(random);
     setLimit(context, id, limit);
     context.schedule(duration, () -> setLimit(context, id, null));
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/RunHistory.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/RunHistory.java
@@ -50,10 +50,10 @@
                     && event.atNanos() <= untilNanos);
   }
 
-  /** Returns when the worker next restarted, which voids its earlier reports. */
-  long endOfLife(String worker, long seenNanos) {
+  /** Returns when the worker next restarted; {@link Long#MAX_VALUE} when it did not. */
+  long nextRestartNanos(String worker, long sinceNanos) {
     return all(Event.Started.class).stream()
-        .filter(event -> event.worker().equals(worker) && event.atNanos() > seenNanos)
+        .filter(event -> event.worker().equals(worker) && event.atNanos() > sinceNanos)
         .mapToLong(Event.Started::atNanos)
         .min()
         .orElse(Long.MAX_VALUE);
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/Soak.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/Soak.java
@@ -35,8 +35,8 @@
    * @throws InterruptedException when it is interrupted
    */
   public static void main(String[] arguments) throws IOException, InterruptedException {
-    PrintStream out = System.out; // NOPMD SystemPrintln: the report is this program's answer
-    System.exit(run(out, arguments)); // NOPMD DoNotTerminateVM: the exit code is its verdict
+    PrintStream out = System.out; // NOPMD SystemPrintln: the results go to standard output
+    System.exit(run(out, arguments)); // NOPMD DoNotTerminateVM: the exit code is the result
   }
 
   /**
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/SoakOptions.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/SoakOptions.java
@@ -96,13 +96,13 @@
   private void check(ArgumentParser parser) throws ArgumentParserException {
     require(seeds > 0, parser, "--seeds " + seeds + ": give 1 or more");
     require(seconds > 0, parser, "--seconds " + seconds + ": give 1 or more");
-    boolean some = daemons >= 2 && daemons <= MAX_DAEMONS;
-    require(some, parser, "--daemons " + daemons + ": give 2 to " + MAX_DAEMONS);
-    boolean apart = network >= 2 && network <= MAX_NETWORKS;
-    require(apart, parser, "--network " + network + ": give 2 to " + MAX_NETWORKS);
+    boolean daemonsInRange = daemons >= 2 && daemons <= MAX_DAEMONS;
+    require(daemonsInRange, parser, "--daemons " + daemons + ": give 2 to " + MAX_DAEMONS);
+    boolean networkInRange = network >= 2 && network <= MAX_NETWORKS;
+    require(networkInRange, parser, "--network " + network + ": give 2 to " + MAX_NETWORKS);
     for (String name : often) {
-      boolean isTrouble = Faults.all().containsKey(name);
-      require(isTrouble, parser, "--often " + name + ": give names of troubles, see --help");
+      boolean isFault = Faults.all().containsKey(name);
+      require(isFault, parser, "--often " + name + ": give names of troubles, see --help");
     }
     require(slackMillis >= 0, parser, "--slack-ms " + slackMillis + ": give 0 or more");
     boolean built = Files.exists(target.resolve("fawnvale.jar"));
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/SoakRun.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/SoakRun.java
@@ -22,7 +22,7 @@
   /** The check for violations that workers report about their groups. */
   static final String GROUPS_WHOLE = "groups-whole";
 
-  /** The check that each daemon serves requests again after the last fault. */
+  /** The check that each daemon serves requests at the start and after the last fault. */
   static final String RECOVERY = "recovery";
 
   private static final int CALLERS = 16;
@@ -135,7 +135,7 @@
     long until = recorder.now() + TimeUnit.SECONDS.toNanos(options.seconds());
     while (recorder.now() < until) {
       boolean preferOften = !options.often().isEmpty() && random.nextBoolean();
-      String name = FaultContext.any(preferOften ? options.often() : names, random);
+      String name = FaultContext.randomElement(preferOften ? options.often() : names, random);
       String parameters = faults.get(name).inject(context, random);
       recorder.faultInjected(name + ": " + parameters);
       injected.merge(name, 1, Integer::sum);
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/StoreChecks.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/StoreChecks.java
@@ -103,7 +103,7 @@
   /** Returns false once the worker has restarted: a new incarnation is not leaving. */
   private static boolean isSameIncarnation(
       RunHistory history, Event.Arrived arrived, long sinceNanos) {
-    return arrived.atNanos() < history.endOfLife(arrived.worker(), sinceNanos);
+    return arrived.atNanos() < history.nextRestartNanos(arrived.worker(), sinceNanos);
   }
 
   /** Returns whether a store fault was active within the interval or shortly before it. */
--- a/fawnvale-soak/src/test/java/org/fawnvale/soak/ChecksTest.java
+++ b/fawnvale-soak/src/test/java/org/fawnvale/soak/ChecksTest.java
@@ -6,22 +6,22 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each check bites: a story that breaks its promise, beside one that nearly does. */
+/** Each check reports a history that violates its guarantee and accepts one just within it. */
 class ChecksTest {
 
   private static final long MILLI = 1_000_000L;
   private static final long SLACK_MILLIS = 500;
   private static final long LEAVING_MILLIS = 4_000;
-  private static final String WHOLE = wholeStream();
+  private static final String COMPLETE_STREAM = completeStream();
 
   private final List<Event> events = new ArrayList<>();
 
-  private static String wholeStream() {
-    StringBuilder whole = new StringBuilder();
+  private static String completeStream() {
+    StringBuilder stream = new StringBuilder();
     for (int event = 1; event <= 12; event++) {
-      whole.append("id: ").append(event).append("\ndata: ").append(event).append("\n\n");
+      stream.append("id: ").append(event).append("\ndata: ").append(event).append("\n\n");
     }
-    return whole.toString();
+    return stream.toString();
   }
 
   private Verdict judge(String check) {
@@ -44,13 +44,13 @@
     events.add(new Event.Answered(millis * MILLI, attempt, answer));
   }
 
-  private void askedForRest(long millis, String attempt, String worker, long restMillis) {
+  private void requestedPause(long millis, String attempt, String worker, long restMillis) {
     events.add(new Event.Asked(millis * MILLI, attempt, worker, restMillis, false));
   }
 
-  private void arriveInARest(int count, int daemon, long fromMillis) {
+  private void arriveDuringPause(int count, int daemon, long fromMillis) {
     sent(0, "a-0", 1, RequestKind.SAFE);
-    askedForRest(10, "a-0", "w", 3_000);
+    requestedPause(10, "a-0", "w", 3_000);
     for (int number = 1; number <= count; number++) {
       sent(fromMillis, "a-" + number, daemon, RequestKind.SAFE);
       arrived(fromMillis + number, "a-" + number, "w");
@@ -58,44 +58,44 @@
   }
 
   @Test
-  void aThirdRequestInARestBreaksIt() {
-    arriveInARest(3, 1, 600);
+  void thirdRequestDuringPauseIsBreach() {
+    arriveDuringPause(3, 1, 600);
     assertThat(judge("rest").breaches()).hasSize(1);
     assertThat(judge("rest").tempted()).isEqualTo(1);
   }
 
   @Test
-  void twoDoNotNorThoseOfAnotherDaemonOrOutsideTheRest() {
-    arriveInARest(2, 1, 600);
+  void twoRequestsOrOtherDaemonOrOutsidePauseIsAllowed() {
+    arriveDuringPause(2, 1, 600);
     assertThat(judge("rest").breaches()).isEmpty();
     events.clear();
-    arriveInARest(5, 2, 600);
+    arriveDuringPause(5, 2, 600);
     assertThat(judge("rest").breaches()).isEmpty();
     events.clear();
-    arriveInARest(5, 1, 3_100);
+    arriveDuringPause(5, 1, 3_100);
     assertThat(judge("rest").breaches()).isEmpty();
     events.clear();
-    arriveInARest(5, 1, 100);
+    arriveDuringPause(5, 1, 100);
     assertThat(judge("rest").breaches()).isEmpty();
   }
 
   @Test
-  void aDaemonThatStartedMeanwhileIsExcused() {
-    arriveInARest(5, 1, 600);
+  void killedDaemonIsExempt() {
+    arriveDuringPause(5, 1, 600);
     events.add(new Event.Signalled(400 * MILLI, 1, "kill"));
     assertThat(judge("rest").breaches()).isEmpty();
   }
 
   @Test
-  void aNewLifeOfTheWorkerHasAskedForNothing() {
-    arriveInARest(5, 1, 600);
+  void workerRestartEndsPause() {
+    arriveDuringPause(5, 1, 600);
     events.add(new Event.Started(700 * MILLI, "w"));
     assertThat(judge("rest").breaches()).hasSize(1);
     events.add(new Event.Started(400 * MILLI, "w"));
     assertThat(judge("rest").breaches()).isEmpty();
   }
 
-  private void reachAWorkerThatLeaves(long sentMillis) {
+  private void reachLeavingWorker(long sentMillis) {
     sent(0, "a-0", 1, RequestKind.SAFE);
     events.add(new Event.Asked(10 * MILLI, "a-0", "w", 0, true));
     sent(sentMillis, "a-1", 1, RequestKind.SAFE);
@@ -103,16 +103,16 @@
   }
 
   @Test
-  void aRequestToAWorkerThatLeavesBreaksItOnceTheBoundIsOver() {
-    reachAWorkerThatLeaves(3_000);
+  void requestToLeavingWorkerAfterBoundIsBreach() {
+    reachLeavingWorker(3_000);
     assertThat(judge("leaving").breaches()).isEmpty();
     events.clear();
-    reachAWorkerThatLeaves(4_100);
+    reachLeavingWorker(4_100);
     assertThat(judge("leaving").breaches()).hasSize(1);
   }
 
   @Test
-  void anUnsafeRequestThatBeginsTwiceBreaksIt() {
+  void unsafeRequestThatRunsTwiceIsBreach() {
     sent(0, "a-0", 1, RequestKind.UNSAFE);
     began(5, "a-0", "w");
     assertThat(judge("unsafe-once").breaches()).isEmpty();
@@ -121,7 +121,7 @@
   }
 
   @Test
-  void aRefusalOfWhatRunsLaterBreaksIt() {
+  void refusedRequestThatRunsLaterIsBreach() {
     sent(0, "a-0", 1, RequestKind.UNSAFE);
     answered(5, "a-0", new Answer(503, "a-0", "", ""));
     assertThat(judge("refused-is-true").breaches()).isEmpty();
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void anAnswerOfAnotherRequestOrOfAWorkerThatDidNotRunItBreaksIt() {
+  void responseOfOtherRequestOrOtherWorkerIsBreach() {
     sent(0, "a-0", 1, RequestKind.SAFE);
     began(5, "a-0", "w");
     answered(9, "a-0", new Answer(200, "a-0", "w", "{}"));
@@ -142,17 +142,17 @@
   }
 
   @Test
-  void aStreamThatLooksCompleteAndIsNotBreaksIt() {
+  void incompleteOrRepeatedStreamIsBreach() {
     sent(0, "a-0", 1, RequestKind.STREAM);
-    answered(9, "a-0", new Answer(200, "a-0", "w", WHOLE));
+    answered(9, "a-0", new Answer(200, "a-0", "w", COMPLETE_STREAM));
     assertThat(judge("whole-stream").breaches()).isEmpty();
-    answered(9, "a-0", new Answer(200, "a-0", "w", WHOLE.substring(20)));
-    answered(9, "a-0", new Answer(200, "a-0", "w", WHOLE + WHOLE));
+    answered(9, "a-0", new Answer(200, "a-0", "w", COMPLETE_STREAM.substring(20)));
+    answered(9, "a-0", new Answer(200, "a-0", "w", COMPLETE_STREAM + COMPLETE_STREAM));
     assertThat(judge("whole-stream").breaches()).hasSize(2);
   }
 
   @Test
-  void aFourthWorkerBreaksItUnlessOneEnded() {
+  void fourthWorkerIsBreachUnlessOneCrashed() {
     sent(0, "a-0", 1, RequestKind.STREAM);
     for (int number = 0; number < 4; number++) {
       began(number, "a-0", "w" + number);
@@ -162,7 +162,7 @@
     assertThat(judge("attempts").breaches()).isEmpty();
   }
 
-  private void sendAfterThreeEnds(int count, long millis) {
+  private void sendAfterThreeCrashes(int count, long millis) {
     for (int number = 0; number < 3; number++) {
       events.add(new Event.Ended(number * MILLI, "deadly7-" + number, "w" + number));
     }
@@ -173,15 +173,15 @@
   }
 
   @Test
-  void aFourthSendingAfterThreeEndsBreaksItOnceAllHaveHadTimeToHear() {
-    sendAfterThreeEnds(4, 3_100);
+  void fourthRequestAfterThreeCrashesAndPropagationIsBreach() {
+    sendAfterThreeCrashes(4, 3_100);
     assertThat(judge("ends").breaches()).hasSize(1);
     assertThat(judge("ends").tempted()).isEqualTo(4);
     events.clear();
-    sendAfterThreeEnds(3, 3_100);
+    sendAfterThreeCrashes(3, 3_100);
     assertThat(judge("ends").breaches()).isEmpty();
     events.clear();
-    sendAfterThreeEnds(9, 2_900);
+    sendAfterThreeCrashes(9, 2_900);
     assertThat(judge("ends").breaches()).isEmpty();
   }
 
@@ -198,7 +198,7 @@
   }
 
   @Test
-  void aVersionThatIsNotInForceInTimeIsABreach() {
+  void versionNotAppliedWithinBoundIsBreach() {
     configured(0, 7);
     probed(3_900, 1, 7, 404);
     assertThat(judge("in-force").breaches()).isEmpty();
@@ -207,7 +207,7 @@
   }
 
   @Test
-  void theStoresTroubleExcusesAVersionOnlyForAWhile() {
+  void storeFaultExemptsVersionForLimitedTime() {
     configured(0, 7);
     storeTrouble(500, true);
     storeTrouble(1_500, false);
@@ -218,7 +218,7 @@
   }
 
   @Test
-  void aVersionThatWasLostAndIsWrittenAgainHasItsTimeAnew() {
+  void rewrittenVersionRestartsBound() {
     configured(0, 7);
     configured(9_000, 7);
     probed(9_500, 1, 7, 404);
@@ -226,7 +226,7 @@
   }
 
   @Test
-  void aDaemonThatGoesBackIsABreachWhateverTheStoreDoes() {
+  void rolledBackDaemonIsBreachEvenDuringStoreFault() {
     storeTrouble(0, true);
     probed(10, 1, 7, 200);
     probed(50, 2, 7, 404);
@@ -236,7 +236,7 @@
   }
 
   @Test
-  void aRequestThatReachesAWorkerListedAsLeavingIsABreach() {
+  void requestToWorkerListedAsLeavingIsBreach() {
     events.add(new Event.LeavesListed(0, "w"));
     sent(3_900, "a-1", 1, RequestKind.SAFE);
     arrived(3_950, "a-1", "w");
@@ -247,7 +247,7 @@
   }
 
   @Test
-  void aWorkerThatHasStartedAgainIsNotLeavingAnyMore() {
+  void restartedWorkerIsNotLeaving() {
     events.add(new Event.LeavesListed(0, "w"));
     events.add(new Event.Started(2_000 * MILLI, "w"));
     sent(4_100, "a-2", 1, RequestKind.SAFE);
@@ -255,52 +255,52 @@
     assertThat(judge("leaving-listed").breaches()).isEmpty();
   }
 
-  private void named(long millis, String attempt, String limit) {
+  private void limitAdvertised(long millis, String attempt, String limit) {
     events.add(new Event.NamedLimit(millis * MILLI, attempt, "w", limit));
   }
 
-  /** A worker names a limit to two daemons, which send it some requests from four seconds on. */
-  private void arriveAtALimit(String limit, int count) {
+  /** A worker advertises a limit to two daemons, which send it requests four seconds later. */
+  private void arriveAtLimitedWorker(String limit, int count) {
     sent(0, "l-0", 1, RequestKind.SAFE);
     sent(0, "l-1", 2, RequestKind.SAFE);
-    named(10, "l-0", limit);
-    named(20, "l-1", limit);
+    limitAdvertised(10, "l-0", limit);
+    limitAdvertised(20, "l-1", limit);
     for (int number = 0; number < count; number++) {
       String attempt = "m-" + number;
       sent(4_000, attempt, 1 + number % 2, RequestKind.SAFE);
       arrived(4_000 + number, attempt, "w");
     }
-    named(9_000, "l-0", limit);
+    limitAdvertised(9_000, "l-0", limit);
   }
 
   @Test
-  void moreThanALimitAllowsInFourSecondsBreaksItWhoeverSendsThem() {
-    arriveAtALimit("1.6", 15);
+  void exceedingLimitAcrossDaemonsIsBreach() {
+    arriveAtLimitedWorker("1.6", 15);
     assertThat(judge("limit").breaches()).hasSize(1);
     events.clear();
-    arriveAtALimit("garbled", 12);
+    arriveAtLimitedWorker("garbled", 12);
     assertThat(judge("limit").breaches()).hasSize(1);
   }
 
   @Test
-  void whatALimitAllowsDoesNotNorWhatItsDaemonsCouldNotKnow() {
-    arriveAtALimit("1.6", 14);
+  void requestsWithinLimitOrAroundFreezeAreAllowed() {
+    arriveAtLimitedWorker("1.6", 14);
     assertThat(judge("limit").breaches()).isEmpty();
     assertThat(judge("limit").tempted()).isPositive();
     events.clear();
-    arriveAtALimit("1.6", 15);
+    arriveAtLimitedWorker("1.6", 15);
     events.add(new Event.Signalled(3_900 * MILLI, 2, "freeze"));
     assertThat(judge("limit").breaches()).isEmpty();
   }
 
   @Test
-  void aLimitThatFallsIsANewOne() {
-    arriveAtALimit("10", 30);
+  void loweredLimitStartsNewPeriod() {
+    arriveAtLimitedWorker("10", 30);
     assertThat(judge("limit").breaches()).isEmpty();
     events.clear();
     sent(0, "l-0", 1, RequestKind.SAFE);
-    named(1, "l-0", "10");
-    arriveAtALimit("1", 30);
+    limitAdvertised(1, "l-0", "10");
+    arriveAtLimitedWorker("1", 30);
     assertThat(judge("limit").breaches()).hasSize(1);
   }
 }
--- a/fawnvale-soak/src/test/java/org/fawnvale/soak/PromisesTableTest.java
+++ b/fawnvale-soak/src/test/java/org/fawnvale/soak/PromisesTableTest.java
@@ -16,7 +16,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Every class, trouble, check and test that the table of promises names is there. */
+/** Fails when docs/PROMISES.md names a class, fault, check or test that does not exist. */
 class PromisesTableTest {
 
   private static final Path ROOT = Path.of(System.getProperty("fawnvale.root", ".."));
@@ -61,12 +61,12 @@
     return sources;
   }
 
-  private static Set<String> troubles() throws IOException {
-    Set<String> troubles = new HashSet<>(Faults.all().keySet());
+  private static Set<String> faults() throws IOException {
+    Set<String> faults = new HashSet<>(Faults.all().keySet());
     try (Stream<Path> days = Files.list(ROOT.resolve("deploy/days"))) {
-      days.forEach(day -> troubles.add(day.getFileName().toString().replace(".toml", "")));
+      days.forEach(day -> faults.add(day.getFileName().toString().replace(".toml", "")));
     }
-    return troubles;
+    return faults;
   }
 
   @Test
@@ -93,9 +93,9 @@
   void everyTroubleAndCheckIsThere() throws IOException {
     Set<String> checks = new HashSet<>(Checks.all(0, 0).keySet());
     checks.addAll(Set.of(SoakRun.GROUPS_WHOLE, SoakRun.RECOVERY));
-    Set<String> troubles = troubles();
+    Set<String> faults = faults();
     for (String[] row : rows()) {
-      assertThat(troubles).as(row[0]).containsAll(names(row[TROUBLE]));
+      assertThat(faults).as(row[0]).containsAll(names(row[TROUBLE]));
       assertThat(checks).as(row[0]).containsAll(names(row[CHECK]));
     }
   }
--- a/fawnvale-soak/src/test/java/org/fawnvale/soak/WordsTableTest.java
+++ b/fawnvale-soak/src/test/java/org/fawnvale/soak/WordsTableTest.java
@@ -17,7 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each word on the wire that the adapter reads has a row, with what tempts us and what checks it.
+ * Fails when a header or field that the adapter reads has no row in docs/WORDS.md, or when a row
+ * names a fault, check, test or class that does not exist.
  */
 class WordsTableTest {
 
@@ -75,20 +76,20 @@
 
   @Test
   void everyRowHasATroubleAndACheckThatAreThere() throws IOException {
-    Set<String> troubles = new HashSet<>(Faults.all().keySet());
+    Set<String> faults = new HashSet<>(Faults.all().keySet());
     try (Stream<Path> days = Files.list(ROOT.resolve("deploy/days"))) {
-      days.forEach(day -> troubles.add(day.getFileName().toString().replace(".toml", "")));
+      days.forEach(day -> faults.add(day.getFileName().toString().replace(".toml", "")));
     }
     Set<String> checks = new HashSet<>(Checks.all(0, 0).keySet());
     checks.add(SoakRun.GROUPS_WHOLE);
-    troubles.addAll(tests());
+    faults.addAll(tests());
     checks.addAll(tests());
     assertThat(rows()).hasSizeGreaterThan(25);
     for (String[] row : rows()) {
       assertThat(row).as(row[0]).hasSize(CELLS);
       assertThat(found(NAME, row[TROUBLE])).as(row[0]).isNotEmpty();
       assertThat(found(NAME, row[CHECK])).as(row[0]).isNotEmpty();
-      assertThat(troubles).as(row[0]).containsAll(found(NAME, row[TROUBLE]));
+      assertThat(faults).as(row[0]).containsAll(found(NAME, row[TROUBLE]));
       assertThat(checks).as(row[0]).containsAll(found(NAME, row[CHECK]));
     }
   }
--- a/fawnvale-soak/src/test/java/org/fawnvale/soak/package-info.java
+++ b/fawnvale-soak/src/test/java/org/fawnvale/soak/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of the soak's judge and of the table of promises. */
+/** Tests of the soak's checks and of the documentation tables that name them. */
 @NullMarked
 package org.fawnvale.soak;
 
