--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/SoakOptions.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/SoakOptions.java
@@ -40,7 +40,8 @@
     ArgumentParser parser =
         ArgumentParsers.newFor("soak")
             .build()
-            .description("Plays faults on real daemons; exit 0 clean, 1 a breach, 2 bad usage.");
+            .description(
+                "Injects faults into real daemons; exit 0 clean, 1 a breach, 2 bad usage.");
     parser.addArgument("--target").setDefault("target").help("folder of the built jar");
     parser.addArgument("--seed").type(Long.class).setDefault(1L).help("first seed");
     parser.addArgument("--seeds").type(Integer.class).setDefault(1).help("number of runs");
@@ -48,26 +49,28 @@
         .addArgument("--seconds")
         .type(Integer.class)
         .setDefault(20)
-        .help("troubles last so long");
+        .help("seconds of fault injection in each run");
     parser.addArgument("--daemons").type(Integer.class).setDefault(4).help("2 to " + MAX_DAEMONS);
     parser
         .addArgument("--network")
         .type(Integer.class)
         .setDefault(2)
-        .help("2 to 255, for soaks beside each other: daemons listen at 127.0.NETWORK.1 and on");
+        .help("2 to 255, one per concurrent soak: daemons listen at 127.0.NETWORK.1 and up");
     parser
         .addArgument("--same-bodies")
         .action(Arguments.storeTrue())
-        .help("all callers ask for the same, so that all their requests are repeats of one");
+        .help("all callers send the same request body");
     parser
         .addArgument("--often")
         .setDefault("")
-        .help("troubles, by comma, of which every other one is drawn: " + Faults.all().keySet());
+        .help(
+            "comma-separated troubles, chosen for about half of all faults: "
+                + Faults.all().keySet());
     parser
         .addArgument("--slack-ms")
         .type(Long.class)
         .setDefault(500L)
-        .help("after this an answer that asks for rest counts as read");
+        .help("milliseconds that a daemon may take to process a Retry-After response");
     return parser;
   }
 
