--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/Soak.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/Soak.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import net.sourceforge.argparse4j.inf.ArgumentParserException;
 
-/** The command line of the soak: one line of JSON a run, then a report. */
+/** Command line of the soak test: prints one line of JSON per run, then a summary. */
 public final class Soak {
 
   private static final int CLEAN = 0;
@@ -28,56 +28,56 @@
   }
 
   /**
-   * Plays a soak and ends the process with its exit code.
+   * Runs a soak test and ends the process with its exit code.
    *
    * @param arguments see {@code --help}
    * @throws IOException when the fleet can't be started
    * @throws InterruptedException when it is interrupted
    */
   public static void main(String[] arguments) throws IOException, InterruptedException {
-    PrintStream out = System.out; // NOPMD SystemPrintln: the report is this program's answer
-    System.exit(run(out, arguments)); // NOPMD DoNotTerminateVM: the exit code is its verdict
+    PrintStream out = System.out; // NOPMD SystemPrintln: the results go to standard output
+    System.exit(run(out, arguments)); // NOPMD DoNotTerminateVM: the exit code is the result
   }
 
   /**
-   * Plays a soak.
+   * Runs a soak test.
    *
-   * @param out where the report goes
+   * @param out receives the results
    * @param arguments see {@code --help}
-   * @return 0 when no promise was broken, 1 when one was, 2 for bad usage
+   * @return 0 when no check failed, 1 when one failed, 2 for bad usage
    * @throws IOException when the fleet can't be started
    * @throws InterruptedException when it is interrupted
    */
   public static int run(PrintStream out, String... arguments)
       throws IOException, InterruptedException {
     try {
-      return new Soak(SoakOptions.parse(arguments), out).play() ? CLEAN : BREACH;
+      return new Soak(SoakOptions.parse(arguments), out).runAll() ? CLEAN : BREACH;
     } catch (ArgumentParserException e) {
       e.getParser().handleError(e);
       return BAD_USAGE;
     }
   }
 
-  private boolean play() throws IOException, InterruptedException {
+  private boolean runAll() throws IOException, InterruptedException {
     boolean clean = true;
     Map<String, Verdict> all = new LinkedHashMap<>();
     for (int run = 0; run < options.seeds(); run++) {
       long seed = options.firstSeed() + run;
       Path folder = Files.createTempDirectory("fawnvale-soak-" + seed + "-");
-      SoakRun.Result result = new SoakRun(options, seed, folder).play();
+      SoakRun.Result result = new SoakRun(options, seed, folder).run();
       result.verdicts().forEach((name, verdict) -> all.merge(name, verdict, Verdict::plus));
-      out.println(line(result));
+      out.println(toJson(result));
       out.println(run + 1 + " of " + options.seeds() + " runs played");
       if (!result.isClean()) {
         clean = false;
-        tell(result, folder);
+        reportBreach(result, folder);
       }
     }
-    report(all);
+    printSummary(all);
     return clean;
   }
 
-  private String line(SoakRun.Result result) throws IOException {
+  private String toJson(SoakRun.Result result) throws IOException {
     ObjectNode line = MAPPER.createObjectNode();
     line.put("seed", result.seed());
     line.put("clean", result.isClean());
@@ -87,10 +87,10 @@
     return MAPPER.writeValueAsString(line);
   }
 
-  /** Leaves all that was seen beside the logs, and says how the run is played again. */
-  private void tell(SoakRun.Result result, Path folder) throws IOException {
-    List<String> story = result.story().events().stream().map(Object::toString).toList();
-    Files.write(folder.resolve("story.txt"), story);
+  /** Writes the recorded events next to the logs and prints the command that repeats the run. */
+  private void reportBreach(SoakRun.Result result, Path folder) throws IOException {
+    List<String> history = result.history().events().stream().map(Object::toString).toList();
+    Files.write(folder.resolve("story.txt"), history);
     out.println("BREACH with seed " + result.seed() + "; logs and story in " + folder);
     out.printf(
         "again: ./soak --seed %d --seconds %d --daemons %d --often %s --slack-ms %d%n",
@@ -101,7 +101,7 @@
         options.slackMillis());
   }
 
-  private void report(Map<String, Verdict> all) {
+  private void printSummary(Map<String, Verdict> all) {
     out.println("CHECK             TEMPTED  BREACHES");
     all.forEach(
         (name, verdict) ->
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/SoakOptions.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/SoakOptions.java
@@ -10,17 +10,17 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 
 /**
- * What is to be played.
+ * The options of a soak.
  *
  * @param target the folder that holds the built jar
  * @param firstSeed the seed of the first run
- * @param seeds how many runs, each with the next seed
- * @param seconds how long troubles strike in each, in seconds
- * @param daemons how many daemons
- * @param network the network on loopback that its daemons use
- * @param sameBodies whether all callers ask for the same
- * @param often names of troubles of which every other one is drawn; empty for none
- * @param slackMillis how long after an answer that asks for rest a daemon may not have read it
+ * @param seeds the number of runs, with consecutive seeds
+ * @param seconds how long each run injects faults, in seconds
+ * @param daemons the number of daemons
+ * @param network the third byte of the loopback addresses on which the daemons listen
+ * @param sameBodies whether all callers send the same request body
+ * @param often names of faults from which about half of all faults are chosen; empty for none
+ * @param slackMillis how long a daemon may take to process a response with Retry-After
  */
 record SoakOptions(
     Path target,
@@ -33,14 +33,15 @@
     List<String> often,
     long slackMillis) {
 
-  private static final int MOST_DAEMONS = 40;
-  private static final int MOST_NETWORKS = 255;
+  private static final int MAX_DAEMONS = 40;
+  private static final int MAX_NETWORKS = 255;
 
   static ArgumentParser parser() {
     ArgumentParser parser =
         ArgumentParsers.newFor("soak")
             .build()
-            .description("Plays faults on real daemons; exit 0 clean, 1 a breach, 2 bad usage.");
+            .description(
+                "Injects faults into real daemons; exit 0 clean, 1 a breach, 2 bad usage.");
     parser.addArgument("--target").setDefault("target").help("folder of the built jar");
     parser.addArgument("--seed").type(Long.class).setDefault(1L).help("first seed");
     parser.addArgument("--seeds").type(Integer.class).setDefault(1).help("number of runs");
@@ -48,26 +49,28 @@
         .addArgument("--seconds")
         .type(Integer.class)
         .setDefault(20)
-        .help("troubles last so long");
-    parser.addArgument("--daemons").type(Integer.class).setDefault(4).help("2 to " + MOST_DAEMONS);
+        .help("seconds of fault injection in each run");
+    parser.addArgument("--daemons").type(Integer.class).setDefault(4).help("2 to " + MAX_DAEMONS);
     parser
         .addArgument("--network")
         .type(Integer.class)
         .setDefault(2)
-        .help("2 to 255, for soaks beside each other: daemons listen at 127.0.NETWORK.1 and on");
+        .help("2 to 255, one per concurrent soak: daemons listen at 127.0.NETWORK.1 and up");
     parser
         .addArgument("--same-bodies")
         .action(Arguments.storeTrue())
-        .help("all callers ask for the same, so that all their requests are repeats of one");
+        .help("all callers send the same request body");
     parser
         .addArgument("--often")
         .setDefault("")
-        .help("troubles, by comma, of which every other one is drawn: " + Troubles.all().keySet());
+        .help(
+            "comma-separated troubles, chosen for about half of all faults: "
+                + Faults.all().keySet());
     parser
         .addArgument("--slack-ms")
         .type(Long.class)
         .setDefault(500L)
-        .help("after this an answer that asks for rest counts as read");
+        .help("milliseconds that a daemon may take to process a Retry-After response");
     return parser;
   }
 
@@ -94,22 +97,22 @@
   }
 
   private void check(ArgumentParser parser) throws ArgumentParserException {
-    refuseUnless(seeds > 0, parser, "--seeds " + seeds + ": give 1 or more");
-    refuseUnless(seconds > 0, parser, "--seconds " + seconds + ": give 1 or more");
-    boolean some = daemons >= 2 && daemons <= MOST_DAEMONS;
-    refuseUnless(some, parser, "--daemons " + daemons + ": give 2 to " + MOST_DAEMONS);
-    boolean apart = network >= 2 && network <= MOST_NETWORKS;
-    refuseUnless(apart, parser, "--network " + network + ": give 2 to " + MOST_NETWORKS);
+    require(seeds > 0, parser, "--seeds " + seeds + ": give 1 or more");
+    require(seconds > 0, parser, "--seconds " + seconds + ": give 1 or more");
+    boolean daemonsInRange = daemons >= 2 && daemons <= MAX_DAEMONS;
+    require(daemonsInRange, parser, "--daemons " + daemons + ": give 2 to " + MAX_DAEMONS);
+    boolean networkInRange = network >= 2 && network <= MAX_NETWORKS;
+    require(networkInRange, parser, "--network " + network + ": give 2 to " + MAX_NETWORKS);
     for (String name : often) {
-      boolean isTrouble = Troubles.all().containsKey(name);
-      refuseUnless(isTrouble, parser, "--often " + name + ": give names of troubles, see --help");
+      boolean isFault = Faults.all().containsKey(name);
+      require(isFault, parser, "--often " + name + ": give names of troubles, see --help");
     }
-    refuseUnless(slackMillis >= 0, parser, "--slack-ms " + slackMillis + ": give 0 or more");
+    require(slackMillis >= 0, parser, "--slack-ms " + slackMillis + ": give 0 or more");
     boolean built = Files.exists(target.resolve("fawnvale.jar"));
-    refuseUnless(built, parser, "--target " + target + ": build the jar there first, mvn package");
+    require(built, parser, "--target " + target + ": build the jar there first, mvn package");
   }
 
-  private static void refuseUnless(boolean holds, ArgumentParser parser, String text)
+  private static void require(boolean holds, ArgumentParser parser, String text)
       throws ArgumentParserException {
     if (!holds) {
       throw new ArgumentParserException(text, parser);
