--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/UsersConfiguration.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/UsersConfiguration.java
@@ -5,71 +5,71 @@
 import java.util.List;
 import java.util.Map;
 
-/** The configuration of the stand-in for the users' platform, and requests that fit it. */
+/** The configuration of the stand-in for the users' platform, and headers of matching requests. */
 public final class UsersConfiguration {
 
-  /** The service of the model workers. */
+  /** The name of the model workers' service. */
   public static final String SERVICE = "drafter";
 
   /** The model that the workers serve. */
   public static final String MODEL = "large";
 
-  /** The service of the plain workers. */
+  /** The name of the plain workers' service. */
   public static final String PLAIN_SERVICE = "stock";
 
-  /** The path of requests for streams. */
+  /** The path prefix of streaming requests. */
   public static final String STREAM_PATH = "/chat/";
 
-  /** The path of the plain service's requests that may run more than once. */
+  /** The path prefix of the plain service's idempotent requests. */
   public static final String SAFE_PATH = "/safe/";
 
-  /** The path of the plain service's requests that may run once at most. */
+  /** The path prefix of the plain service's non-idempotent requests, which run at most once. */
   public static final String UNSAFE_PATH = "/unsafe/";
 
-  /** Events of a whole stream. */
+  /** The number of events in a complete stream. */
   public static final int EVENTS = 12;
 
-  /** The header that carries the id of an attempt, in requests and answers. */
+  /** The header that carries the id of an attempt, in requests and responses. */
   public static final String ATTEMPT_HEADER = "X-Attempt-Id";
 
-  /** The header in which a worker signs an answer. */
+  /** The response header that carries the worker's id. */
   public static final String SIGNATURE_HEADER = "X-Instance-Signature";
 
-  /** The header in which requests for a model name it. */
+  /** The request header that names the model. */
   public static final String MODEL_HEADER = "X-Model";
 
-  /** The host that requests name. */
+  /** The value of the Host header in requests. */
   public static final String HOST = "models.example";
 
-  /** The key of the only workspace. */
+  /** The API key of the only workspace. */
   public static final String KEY = "garden-key";
 
-  /** Paths of routes that come with a version begin so; its number follows. */
+  /** The start of the path prefix of a route added by a version; the version number follows. */
   private static final String VERSION_PATH = "/since-";
 
-  /** To how many workers a request may be sent, by its route. */
+  /** The maximum number of attempts for a request on each route. */
   public static final int MOST_ATTEMPTS = 3;
 
-  private static final int CALLER_PATIENCE_MILLIS = 5_000;
+  private static final int CALLER_DEADLINE_MILLIS = 5_000;
 
   private UsersConfiguration() {}
 
   /**
-   * The path of the route that comes with a version and stays in all later ones.
+   * Returns the path prefix of the route that a version adds and all later versions keep.
    *
-   * @param version the version
-   * @return the path
+   * @param version the version that adds the route
+   * @return the path prefix
    */
   public static String pathSince(long version) {
     return VERSION_PATH + version + "/";
   }
 
-  /** A configuration with a route for streams and two for the plain service. */
+  /** Returns a configuration with one route for streams and two for the plain service. */
   static Map<String, Object> of(long version, String pathPrefix, List<Map<String, Object>> models) {
     return of(version, pathPrefix, models, List.of());
   }
 
-  /** The same with a route of the plain service for each of some versions. */
+  /** Returns a configuration with an additional plain route for each version in {@code since}. */
   static Map<String, Object> of(
       long version, String pathPrefix, List<Map<String, Object>> models, List<Long> since) {
     Map<String, Object> streams = route("r" + version, pathPrefix, "streaming", SERVICE);
@@ -110,9 +110,9 @@
   }
 
   /**
-   * The headers of a request for the workers' model by the only workspace, as its caller sends it.
+   * Returns the headers that a caller of the only workspace sends with a request for the model.
    *
-   * @param attempt the id of the request
+   * @param attempt the attempt id of the request
    * @return the headers by name
    */
   public static Map<String, String> headersOfACaller(String attempt) {
@@ -120,15 +120,15 @@
     headers.put("Host", HOST);
     headers.put(ATTEMPT_HEADER, attempt);
     headers.put(MODEL_HEADER, MODEL);
-    headers.put("X-Deadline-Ms", String.valueOf(CALLER_PATIENCE_MILLIS));
+    headers.put("X-Deadline-Ms", String.valueOf(CALLER_DEADLINE_MILLIS));
     headers.put("Authorization", "Bearer " + KEY);
     return headers;
   }
 
   /**
-   * The headers of a request for the plain service, which names no model.
+   * Returns the headers of a request for the plain service, which has no model header.
    *
-   * @param attempt the id of the request
+   * @param attempt the attempt id of the request
    * @return the headers by name
    */
   public static Map<String, String> headersOfAPlainCaller(String attempt) {
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/UsersPlatformStandIn.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/UsersPlatformStandIn.java
@@ -16,8 +16,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A small stand-in for the users' platform on loopback: its store with the operator's
- * configuration, and model workers that form groups of two.
+ * A stand-in for the users' platform on loopback: the store with the operator's configuration,
+ * model workers that form groups of two, and workers of a plain service.
  */
 public final class UsersPlatformStandIn implements AutoCloseable {
 
@@ -25,13 +25,13 @@
   private static final String LOOPBACK = "127.0.0.1";
   private static final String WORKERS = "servers";
   private static final String CONFIGURATION = "config";
-  private static final int EVENTS_BEFORE_A_LOSS = 3;
-  private static final int DOWN_MILLIS = 600;
-  private static final long FIRST_VERSION = 1;
-  private static final int WRITES_AGAIN_MILLIS = 1_800;
+  private static final int EVENTS_BEFORE_MEMBER_CRASH = 3;
+  private static final int RESTART_DELAY_MILLIS = 600;
+  private static final long INITIAL_VERSION = 1;
+  private static final int MAX_REWRITE_DELAY_MILLIS = 1_800;
 
-  /** Three heartbeats. */
-  private static final int LAPSE_MILLIS = 3_600;
+  /** The time after which the store removes entries of removed workers, in milliseconds. */
+  private static final int ENTRY_EXPIRY_MILLIS = 3_600;
 
   private final UsersStore store = new UsersStore();
   private final StandInServer storeServer;
@@ -42,10 +42,10 @@
   private volatile WorkerObserver observer = WorkerObserver.NONE;
   private final Map<String, StandInServer> servers = new ConcurrentHashMap<>();
   private final List<String> violations = new CopyOnWriteArrayList<>();
-  private final Set<String> deadly = ConcurrentHashMap.newKeySet();
+  private final Set<String> crashingBodies = ConcurrentHashMap.newKeySet();
   private final List<String> ended = new CopyOnWriteArrayList<>();
-  private final Set<String> doomed = ConcurrentHashMap.newKeySet();
-  private final Map<String, List<String>> begun = new ConcurrentHashMap<>();
+  private final Set<String> attemptsLosingMember = ConcurrentHashMap.newKeySet();
+  private final Map<String, List<String>> startsByAttempt = new ConcurrentHashMap<>();
   private final ScheduledExecutorService timer =
       Executors.newSingleThreadScheduledExecutor(
           task -> {
@@ -60,36 +60,36 @@
   }
 
   /**
-   * Starts the store with a first configuration.
+   * Starts the store with an initial configuration.
    *
    * @return the running stand-in
    * @throws IOException when no port is free
    */
   public static UsersPlatformStandIn start() throws IOException {
     UsersPlatformStandIn standIn = new UsersPlatformStandIn();
-    standIn.configure(FIRST_VERSION, UsersConfiguration.STREAM_PATH);
+    standIn.configure(INITIAL_VERSION, UsersConfiguration.STREAM_PATH);
     return standIn;
   }
 
   /**
-   * Puts a configuration in force.
+   * Writes a configuration to the store.
    *
-   * @param version its version
-   * @param pathPrefix the path of its only route
+   * @param version the configuration's version
+   * @param pathPrefix the path prefix of the route for streams
    */
   public void configure(long version, String pathPrefix) {
     store.put(CONFIGURATION, "main", UsersConfiguration.of(version, pathPrefix, models));
   }
 
   /**
-   * Starts a worker.
+   * Starts a model worker.
    *
-   * @param id its id
-   * @param zone its data centre, which is its fabric domain as well
+   * @param id the worker's id
+   * @param zone the worker's data centre, which is also its fabric domain
    * @throws IOException when no port is free
    */
   public void addWorker(String id, String zone) throws IOException {
-    refuseIfThere(id);
+    requireUnusedId(id);
     GroupWorker worker = new GroupWorker(id, zone, this);
     workers.put(id, worker);
     listen(worker, id);
@@ -98,12 +98,12 @@
   /**
    * Starts a worker of the plain service.
    *
-   * @param id its id
-   * @param zone its data centre
+   * @param id the worker's id
+   * @param zone the worker's data centre
    * @throws IOException when no port is free
    */
   public void addPlainWorker(String id, String zone) throws IOException {
-    refuseIfThere(id);
+    requireUnusedId(id);
     PlainWorker worker = new PlainWorker(id, zone, this);
     plainWorkers.put(id, worker);
     StandInServer server = StandInServer.start(LOOPBACK, 0, worker);
@@ -112,62 +112,62 @@
   }
 
   /**
-   * Names who is told of what reaches the workers.
+   * Sets the observer of the requests that reach the workers.
    *
-   * @param listener told on the workers' threads
+   * @param listener the observer, called on the workers' threads
    */
   public void observe(WorkerObserver listener) {
     observer = listener;
   }
 
   /**
-   * Lets a worker turn all requests away for a while.
+   * Makes a worker reject all requests for some time.
    *
-   * @param id its id
-   * @param forMillis how long, in milliseconds
-   * @param restMillis the rest that it asks each sender for, in milliseconds; 0 for none
+   * @param id the worker's id
+   * @param forMillis the duration in milliseconds
+   * @param restMillis the Retry-After pause in the rejections, in milliseconds; 0 for none
    */
   public void turnAway(String id, long forMillis, long restMillis) {
     mood(id).turnAway(forMillis, restMillis);
   }
 
   /**
-   * Lets a worker lose a share of its answers for a while, after it has run the requests.
+   * Makes a worker drop a share of its responses for some time, after it has run the requests.
    *
-   * @param id its id
-   * @param forMillis how long, in milliseconds
-   * @param share the share, from 0 to 1
+   * @param id the worker's id
+   * @param forMillis the duration in milliseconds
+   * @param share the share of dropped responses, from 0 to 1
    */
   public void loseAnswers(String id, long forMillis, double share) {
     mood(id).loseAnswers(forMillis, share);
   }
 
   /**
-   * Lets a worker name a limit in all its answers from now on.
+   * Makes a worker advertise a limit in all its responses from now on.
    *
-   * @param id its id
-   * @param limit the requests a second that it takes from all daemons together, as it writes it;
-   *     null for no limit any more
+   * @param id the worker's id
+   * @param limit the header value: requests a second that the worker accepts from all daemons
+   *     together; null to advertise no limit
    */
   public void nameLimit(String id, @Nullable String limit) {
     mood(id).nameLimit(limit);
   }
 
   /**
-   * Lets another writer replace a worker's entry by one that names no worker, until the worker
-   * writes its own again.
+   * Overwrites a worker's entry in the store, as a faulty writer would, until the worker publishes
+   * its entry again.
    *
-   * @param id its id
-   * @param entry what is written instead
+   * @param id the worker's id
+   * @param entry the invalid entry
    */
   public void spoilEntry(String id, Object entry) {
     store.put(WORKERS, id, entry);
   }
 
   /**
-   * Lets a worker write its entry again.
+   * Makes a worker publish its entry again.
    *
-   * @param id its id
+   * @param id the worker's id
    */
   public void writeEntry(String id) {
     PlainWorker plain = plainWorkers.get(id);
@@ -180,18 +180,18 @@
   }
 
   /**
-   * Lets a worker say in all its answers that it leaves, whatever its entry says.
+   * Makes a worker announce in all its responses that it is leaving; its entry does not change.
    *
-   * @param id its id
+   * @param id the worker's id
    */
   public void leaveInAnswers(String id) {
     mood(id).leave();
   }
 
   /**
-   * Ends a worker that has left: nothing listens at its address, and its entry goes.
+   * Removes a worker: stops its server and deletes its entry.
    *
-   * @param id its id
+   * @param id the worker's id
    */
   public void remove(String id) {
     GroupWorker worker = workers.remove(id);
@@ -206,9 +206,9 @@
     store.remove(WORKERS, id);
   }
 
-  private void refuseIfThere(String id) {
+  private void requireUnusedId(String id) {
     if (workers.containsKey(id) || plainWorkers.containsKey(id)) {
-      throw new IllegalArgumentException("There is a worker " + id + "; choose another id.");
+      throw new IllegalArgumentException("A worker " + id + " exists already; choose another id.");
     }
   }
 
@@ -218,18 +218,18 @@
   }
 
   /**
-   * Workers that do not leave.
+   * Returns the model workers that have not announced in a response that they are leaving.
    *
-   * @return the ids of those of the groups' service
+   * @return the workers' ids, sorted
    */
   public List<String> groupWorkers() {
     return workers.keySet().stream().filter(id -> !mood(id).isLeaving()).sorted().toList();
   }
 
   /**
-   * Workers of the plain service that do not leave.
+   * Returns the workers of the plain service that have not announced that they are leaving.
    *
-   * @return their ids
+   * @return the workers' ids, sorted
    */
   public List<String> plainWorkers() {
     return plainWorkers.entrySet().stream()
@@ -246,7 +246,7 @@
   }
 
   /**
-   * Adds the model of the groups that are listed only; it comes with the next configuration.
+   * Adds the model of the listed groups to the next configuration that is written.
    *
    * @see #listGroup
    */
@@ -255,12 +255,12 @@
   }
 
   /**
-   * Lists a pair of nodes that form an open group, without running them: they fill the list of a
-   * large fleet. Listing them again changes their entries.
+   * Writes the entries of two nodes that form an open group, without running the nodes. Tests use
+   * such groups to simulate a large fleet. A second call replaces the entries.
    *
-   * @param name names the group and its members
-   * @param zone its data centre, which is its fabric domain as well
-   * @param version what the entries tell of their software; another one is a change
+   * @param name the prefix of the group's name and of its members' ids
+   * @param zone the group's data centre, which is also its fabric domain
+   * @param version the software version in the entries
    */
   public void listGroup(String name, String zone, int version) {
     List<String> members = List.of(name + "-0", name + "-1");
@@ -287,30 +287,30 @@
   }
 
   /**
-   * Lets the last member of a group die without a word, in the middle of a request; its entry
-   * stays.
+   * Makes the last member of the serving group crash in the middle of a request; the member's entry
+   * stays in the store.
    *
-   * @param attempt the id of the request
+   * @param attempt the attempt id of the request
    */
   public void loseAMemberDuring(String attempt) {
-    doomed.add(attempt);
+    attemptsLosingMember.add(attempt);
   }
 
   /**
-   * Lets each worker that begins to run a request of a body end, with all its connections, and
-   * start again under its id.
+   * Makes each worker that starts a request with a given body crash, close all its connections and
+   * restart under the same id.
    *
-   * @param body the body
+   * @param body the request body
    */
   public void endWith(String body) {
-    deadly.add(body);
+    crashingBodies.add(body);
   }
 
   boolean isDeadly(String body) {
-    return deadly.contains(body);
+    return crashingBodies.contains(body);
   }
 
-  /** Ends a worker under a request: nothing listens at its address until it starts again. */
+  /** Stops the server of a worker that crashed while it ran a request, and schedules a restart. */
   void ended(String attempt, String id) {
     ended.add(id);
     observer.ended(attempt, id);
@@ -318,9 +318,9 @@
   }
 
   /**
-   * Lets a worker crash; it starts again under its id after a while.
+   * Makes a worker crash and restart under the same id 600 ms later.
    *
-   * @param id its id
+   * @param id the worker's id
    */
   public void crash(String id) {
     worker(id).die();
@@ -332,10 +332,10 @@
     if (server != null) {
       server.close();
     }
-    later(DOWN_MILLIS, () -> startAgain(id));
+    later(RESTART_DELAY_MILLIS, () -> restart(id));
   }
 
-  private void startAgain(String id) {
+  private void restart(String id) {
     GroupWorker worker = workers.get(id);
     if (worker == null) {
       return;
@@ -350,33 +350,33 @@
   }
 
   /**
-   * Workers that ended under requests, each as often as it ended.
+   * Returns the workers that crashed while they ran a request, one entry for each crash.
    *
-   * @return their ids, in order
+   * @return the workers' ids in the order of the crashes
    */
   public List<String> endedWorkers() {
     return List.copyOf(ended);
   }
 
   /**
-   * Requests that the system keeps as ending nodes.
+   * Returns the quarantine records in the store.
    *
-   * @return the names of its objects
+   * @return the names of the records
    */
   public List<String> keptRequests() {
     return store.names("quarantine");
   }
 
   void passed(String attempt, int event, List<String> members) {
-    if (event == EVENTS_BEFORE_A_LOSS && doomed.remove(attempt)) {
+    if (event == EVENTS_BEFORE_MEMBER_CRASH && attemptsLosingMember.remove(attempt)) {
       worker(members.get(members.size() - 1)).die();
     }
   }
 
   /**
-   * Lets a worker say in its entry that it leaves.
+   * Makes a worker announce in its entry that it is draining.
    *
-   * @param id its id
+   * @param id the worker's id
    */
   public void drain(String id) {
     observer.leavesListed(id);
@@ -389,16 +389,16 @@
   }
 
   /**
-   * Lets the store answer or refuse all calls.
+   * Starts or ends an outage of the store.
    *
-   * @param down whether it refuses
+   * @param down whether the store is down
    */
   public void storeDown(boolean down) {
     store.down(down);
   }
 
   /**
-   * Marks the state that the store has now, so that it can go back to it.
+   * Returns a reference to the present state of the store, for {@link #storeGoesBackTo}.
    *
    * @return the revision of the last change
    */
@@ -407,28 +407,28 @@
   }
 
   /**
-   * Lets the store go back to an earlier state, in a new era; nobody writes again by itself.
+   * Restores an earlier state of the store in a new era. No client writes its data again.
    *
-   * @param copy what {@link #copyOfStore} gave
+   * @param copy the result of {@link #copyOfStore}
    */
   public void storeGoesBackTo(long copy) {
     store.goBackTo(copy);
   }
 
   /**
-   * Lets the store come back from a copy. The operator writes its newest configuration again, each
-   * worker its entry, all after delays that are drawn; entries of workers that are gone lapse.
+   * Restores the store from a backup. After random delays, the operator writes the newest
+   * configuration again and each worker publishes its entry. Entries of removed workers expire.
    *
-   * @param ageMillis how old the copy is, in milliseconds
-   * @param delays draws the delays
+   * @param ageMillis the age of the backup in milliseconds
+   * @param delays the source of the random delays
    */
   public void storeComesBackFromACopy(long ageMillis, Random delays) {
     store.goBackTo(store.revisionBefore(ageMillis));
-    later(delays.nextInt(WRITES_AGAIN_MILLIS), this::writeConfigurationAgain);
+    later(delays.nextInt(MAX_REWRITE_DELAY_MILLIS), this::rewriteConfiguration);
     for (String id : ids()) {
-      later(delays.nextInt(WRITES_AGAIN_MILLIS), () -> writeEntry(id));
+      later(delays.nextInt(MAX_REWRITE_DELAY_MILLIS), () -> writeEntry(id));
     }
-    later(LAPSE_MILLIS, this::lapse);
+    later(ENTRY_EXPIRY_MILLIS, this::expireEntries);
   }
 
   private Set<String> ids() {
@@ -437,7 +437,7 @@
     return ids;
   }
 
-  private void lapse() {
+  private void expireEntries() {
     Set<String> alive = ids();
     for (String id : store.names(WORKERS)) {
       if (!alive.contains(id)) {
@@ -446,23 +446,23 @@
     }
   }
 
-  private void writeConfigurationAgain() {
-    long newest = versions.isEmpty() ? FIRST_VERSION : versions.get(versions.size() - 1);
-    configureNext(newest);
+  private void rewriteConfiguration() {
+    long newest = versions.isEmpty() ? INITIAL_VERSION : versions.get(versions.size() - 1);
+    writeConfiguration(newest);
   }
 
   /**
-   * Puts a configuration in force that adds a route to all former ones.
+   * Writes a configuration that has all former routes and one more.
    *
-   * @param version its version
+   * @param version the configuration's version
    * @see UsersConfiguration#pathSince
    */
   public synchronized void addRouteWith(long version) {
     versions.add(version);
-    configureNext(version);
+    writeConfiguration(version);
   }
 
-  private synchronized void configureNext(long version) {
+  private synchronized void writeConfiguration(long version) {
     Object configuration =
         UsersConfiguration.of(
             version, UsersConfiguration.STREAM_PATH, models, List.copyOf(versions));
@@ -470,54 +470,54 @@
     observer.configured(version);
   }
 
-  /** Begins to count the calls to the store anew. */
+  /** Resets the counts of calls to the store. */
   public void countStoreCallsAnew() {
     store.calls().reset();
   }
 
   /**
-   * Calls to the store since the count began.
+   * Returns the number of calls to the store since the last reset.
    *
-   * @return their number
+   * @return the number of calls
    */
   public long storeCalls() {
     return store.calls().total();
   }
 
   /**
-   * The most calls to the store within a second since the count began.
+   * Returns the highest number of calls to the store in one second since the last reset.
    *
-   * @return their number
+   * @return the number of calls
    */
   public long mostStoreCallsASecond() {
     return store.calls().mostASecond();
   }
 
   /**
-   * Lists of the configuration that daemons have asked for.
+   * Returns how many list pages of the configuration the daemons have requested.
    *
-   * @return the number so far
+   * @return the number of pages
    */
   public int listsOfConfiguration() {
     return store.pages(CONFIGURATION);
   }
 
   /**
-   * Sets how much a list of the store gives at once; five objects when it is not set.
+   * Sets the page size of the store's lists; the default is five objects.
    *
-   * @param objects the most objects of a page
+   * @param objects the maximum number of objects in a page
    */
   public void pagesOf(int objects) {
     store.pagesOf(objects);
   }
 
-  /** Lets all connections to the store on which a call waits go silent, without a reset. */
+  /** Makes all connections with a waiting call to the store silent, without closing them. */
   public void silenceWaitingCalls() {
     store.silenceWaiting();
   }
 
   /**
-   * The shortest time that a call has asked to wait for a newer configuration.
+   * Returns the shortest wait for a newer configuration that a call has requested.
    *
    * @return the time, in milliseconds
    */
@@ -526,7 +526,7 @@
   }
 
   /**
-   * Groups that are open now.
+   * Returns the groups that are open now.
    *
    * @return the members of each, the head first
    */
@@ -542,44 +542,44 @@
   }
 
   /**
-   * Daemons that wait for changes of the workers' entries.
+   * Returns the number of calls that wait for changes of the workers' entries.
    *
-   * @return their number
+   * @return the number of calls
    */
   public int watchersOfWorkers() {
     return store.watching(WORKERS);
   }
 
   /**
-   * Promises that were seen broken.
+   * Returns the observed violations of the platform's invariants.
    *
-   * @return one line for each
+   * @return one line for each violation
    */
   public List<String> violations() {
     return List.copyOf(violations);
   }
 
   /**
-   * Workers at which a request began to run.
+   * Returns the workers that started to run a request.
    *
-   * @param attempt the id of the request
-   * @return their ids, in order
+   * @param attempt the attempt id of the request
+   * @return the workers' ids in the order of the starts
    */
   public List<String> beganAt(String attempt) {
-    return List.copyOf(begun.getOrDefault(attempt, List.of()));
+    return List.copyOf(startsByAttempt.getOrDefault(attempt, List.of()));
   }
 
   /**
-   * Lists of workers that daemons have asked for, page by page.
+   * Returns how many list pages of workers the daemons have requested.
    *
-   * @return the number of pages so far
+   * @return the number of pages
    */
   public int pagesOfWorkers() {
     return store.pages(WORKERS);
   }
 
   /**
-   * Where the store listens.
+   * Returns the port of the store.
    *
    * @return the port on the loopback address
    */
@@ -610,7 +610,10 @@
     return true;
   }
 
-  /** A member that was ready and is lost since excuses a request that begins. */
+  /**
+   * Returns whether all members were ready in the group at some time. Removed members count as
+   * ready.
+   */
   boolean wasWhole(List<String> members, String group, long epoch) {
     for (String member : members) {
       GroupWorker worker = workers.get(member);
@@ -641,7 +644,7 @@
 
   void began(String attempt, String worker) {
     observer.began(attempt, worker);
-    begun.computeIfAbsent(attempt, id -> new CopyOnWriteArrayList<>()).add(worker);
+    startsByAttempt.computeIfAbsent(attempt, id -> new CopyOnWriteArrayList<>()).add(worker);
   }
 
   void publish(String worker, Object entry) {
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/fleet/Child.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/fleet/Child.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A process that this one has started; it ends when its standard input does. */
+/** A child process that exits when its standard input is closed. */
 public final class Child implements AutoCloseable {
 
   private static final long STOP_SECONDS = 20;
@@ -27,11 +27,11 @@
   /**
    * Starts a Java process and waits for its first line of output.
    *
-   * @param name names its log file
-   * @param logs folder of the log files
-   * @param arguments arguments of {@code java}
+   * @param name the name of the process and of its log file
+   * @param logs the folder for the log files
+   * @param arguments the arguments of the {@code java} command
    * @return the process
-   * @throws IOException when it ends without a line
+   * @throws IOException when the process ends without printing a line
    */
   public static Child start(String name, Path logs, List<String> arguments) throws IOException {
     List<String> command = new ArrayList<>();
@@ -50,7 +50,7 @@
   }
 
   /**
-   * Its name.
+   * Returns the name of the process.
    *
    * @return the name
    */
@@ -59,7 +59,7 @@
   }
 
   /**
-   * The first line that it printed.
+   * Returns the first line of the process's standard output.
    *
    * @return the line
    */
@@ -68,7 +68,7 @@
   }
 
   /**
-   * Its process identifier.
+   * Returns the process identifier.
    *
    * @return the identifier
    */
@@ -77,29 +77,29 @@
   }
 
   /**
-   * Tells whether it runs.
+   * Returns whether the process is running.
    *
-   * @return true while it does
+   * @return true while the process runs
    */
   public boolean isAlive() {
     return process.isAlive();
   }
 
-  /** Ends it without notice, as SIGKILL does. */
+  /** Kills the process with SIGKILL and waits for its exit. */
   public void kill() {
     process.destroyForcibly();
     await();
   }
 
-  /** Asks it to stop, as SIGTERM does. */
+  /** Sends SIGTERM to the process. */
   public void terminate() {
     process.destroy();
   }
 
   /**
-   * Waits for its end.
+   * Waits up to 20 seconds for the process to exit.
    *
-   * @return its exit code, or -1 when it does not end in time
+   * @return the exit code, or -1 on a timeout or an interrupt
    */
   public int await() {
     try {
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/fleet/EdgeDaemon.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/fleet/EdgeDaemon.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An entry daemon for the users' platform as a process of its own, started from the built jar as
- * machines do. Its settings are those of one machine; each machine has a loopback address.
+ * An entry daemon for the users' platform in a separate process, started from the built jar as in
+ * production. Each daemon has its own loopback address and its own settings file.
  */
 public final class EdgeDaemon implements AutoCloseable {
 
@@ -30,15 +30,16 @@
   private final Path folder;
   private final List<String> options;
   private Process process;
-  private boolean over;
+  private boolean closed;
 
   /**
-   * Where a daemon stands.
+   * Identity and location of a daemon.
    *
-   * @param network the fleet's network on loopback, 1 to 255: fleets of two networks don't meet
-   * @param number its number in the fleet, from 0 on
-   * @param dataCentre its data centre
-   * @param storePort where the store listens on the loopback address
+   * @param network third octet of the fleet's loopback addresses, 1 to 255; fleets with different
+   *     networks use different addresses
+   * @param number the daemon's number in the fleet, starting at 0
+   * @param dataCentre the daemon's data centre
+   * @param storePort the port of the store on 127.0.0.1
    */
   public record Place(int network, int number, String dataCentre, int storePort) {
 
@@ -46,8 +47,8 @@
       return address(number);
     }
 
-    private String address(int ofNumber) {
-      return "127.0." + network + "." + (ofNumber + 1);
+    private String address(int daemonNumber) {
+      return "127.0." + network + "." + (daemonNumber + 1);
     }
 
     String name() {
@@ -67,12 +68,12 @@
   /**
    * Starts a daemon.
    *
-   * @param place where it stands
-   * @param target the folder that holds the jar and the class archive
-   * @param folder where its settings and its log go
-   * @param options further options of its JVM
-   * @return the daemon, which may not listen yet
-   * @throws IOException when no process can be started
+   * @param place identity and location of the daemon
+   * @param target the folder that contains the jar and the class data archive
+   * @param folder the folder for the settings file and the log
+   * @param options additional JVM options
+   * @return the daemon; it may not accept connections yet
+   * @throws IOException when the process cannot be started
    */
   public static EdgeDaemon start(Place place, Path target, Path folder, List<String> options)
       throws IOException {
@@ -135,47 +136,47 @@
   }
 
   /**
-   * Its number.
+   * Returns the daemon's number in the fleet.
    *
-   * @return the number, from 0 on
+   * @return the number, starting at 0
    */
   public int number() {
     return place.number();
   }
 
   /**
-   * Where callers reach it.
+   * Returns the address for callers.
    *
-   * @return address and port
+   * @return the address as {@code host:port}
    */
   public String frontend() {
     return place.address() + ":" + FRONTEND_PORT;
   }
 
   /**
-   * Its process.
+   * Returns the process id.
    *
-   * @return the id of the process
+   * @return the id of the current process
    */
   public long pid() {
     return process.pid();
   }
 
-  /** Ends it without notice. */
+  /** Kills the process with SIGKILL and waits for its exit. */
   public void kill() {
     process.destroyForcibly();
     await(STOP_SECONDS);
   }
 
-  /** Asks it to stop. */
+  /** Sends SIGTERM to the process. */
   public void terminate() {
     process.destroy();
   }
 
   /**
-   * Waits for its end; one that outlasts its grace is ended.
+   * Waits until the process exits, and kills it when the grace period elapses first.
    *
-   * @return true when it ended by itself in time
+   * @return true when the process exited within the grace period
    */
   public boolean awaitStop() {
     boolean stopped = await(GRACE_SECONDS);
@@ -195,40 +196,41 @@
   }
 
   /**
-   * Starts it anew if it has ended: it knows nothing of before.
+   * Starts the daemon again if its process has exited. The new process has no state of the former
+   * one.
    *
-   * @return false when it runs still, or has been closed
-   * @throws IOException when no process can be started
+   * @return false when the process is still running or the daemon has been closed
+   * @throws IOException when the process cannot be started
    */
   public synchronized boolean startAgain() throws IOException {
-    boolean starts = !over && !process.isAlive();
+    boolean starts = !closed && !process.isAlive();
     if (starts) {
       process = launch(false);
     }
     return starts;
   }
 
-  /** Ends it for good: nobody can start it again. */
+  /** Kills the process; {@link #startAgain} has no effect afterwards. */
   @Override
   public synchronized void close() {
-    over = true;
+    closed = true;
     process.destroyForcibly();
     await(STOP_SECONDS);
   }
 
   /**
-   * Stops its process where it is.
+   * Suspends the process with SIGSTOP.
    *
-   * @throws IOException when it can't be signalled
+   * @throws IOException when the signal cannot be sent
    */
   public void freeze() throws IOException {
     signal("STOP");
   }
 
   /**
-   * Lets it go on.
+   * Resumes the process with SIGCONT.
    *
-   * @throws IOException when it can't be signalled
+   * @throws IOException when the signal cannot be sent
    */
   public void thaw() throws IOException {
     signal("CONT");
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/fleet/FleetPlan.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/fleet/FleetPlan.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * What a local fleet consists of.
+ * The size and the settings of a local fleet.
  *
  * @param dataCentres the data centres
- * @param daemonsPerDataCentre entry daemons in each
- * @param domainsPerDataCentre fabric domains in each
- * @param nodesPerDomain nodes with engines in each domain
- * @param service name of the plain service, one upstream of which stands in each data centre
- * @param engineArguments further arguments of the engines
+ * @param daemonsPerDataCentre number of entry daemons in each data centre
+ * @param domainsPerDataCentre number of fabric domains in each data centre
+ * @param nodesPerDomain number of nodes with engines in each fabric domain
+ * @param service name of the plain service, which has one upstream in each data centre
+ * @param engineArguments additional command-line arguments of the engine stand-ins
  * @param timing the daemons' timing settings
  * @param limits the daemons' limits
  */
@@ -25,7 +25,7 @@
     Map<String, Object> timing,
     Map<String, Object> limits) {
 
-  /** Copies the collections. */
+  /** Makes unmodifiable copies of the collections. */
   public FleetPlan {
     dataCentres = List.copyOf(dataCentres);
     engineArguments = List.copyOf(engineArguments);
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/fleet/LocalFleet.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/fleet/LocalFleet.java
@@ -26,13 +26,13 @@
 import java.util.regex.Pattern;
 import org.fawnvale.core.model.Node;
 
-/** A fleet of processes on loopback: a platform, engines, plain services and entry daemons. */
+/** Runs a platform, engines, plain services and entry daemons as processes on loopback. */
 public final class LocalFleet implements AutoCloseable {
 
-  /** Key of the operator {@code ana}. */
+  /** API key of the operator {@code ana}. */
   public static final String OPERATOR_KEY = "operator-key-of-ana";
 
-  /** Key of the operator {@code ben}. */
+  /** API key of the operator {@code ben}. */
   public static final String SECOND_OPERATOR_KEY = "operator-key-of-ben";
 
   private static final String LOOPBACK = "127.0.0.1";
@@ -40,7 +40,7 @@
   private static final String PEERS = "/peers";
   private static final String STANDINS = "org.fawnvale.standins.Main";
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private static final List<String> SMALL =
+  private static final List<String> JVM_OPTIONS =
       List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xshare:auto");
 
   private final Path folder;
@@ -64,14 +64,14 @@
   }
 
   /**
-   * Starts a fleet.
+   * Starts all processes of a fleet.
    *
-   * @param folder where settings and logs are kept
+   * @param folder the folder for settings and logs
    * @param jar the daemon's jar
-   * @param plan what the fleet consists of
-   * @param callerKeys callers' keys with their workspaces
-   * @return the fleet, with all its processes up
-   * @throws IOException when a process does not start; those that did are stopped
+   * @param plan the size and the settings of the fleet
+   * @param callerKeys workspaces by caller key
+   * @return the fleet, with all processes started
+   * @throws IOException when a process does not start; the processes already started are stopped
    */
   public static LocalFleet start(
       Path folder, Path jar, FleetPlan plan, Map<String, String> callerKeys) throws IOException {
@@ -126,10 +126,10 @@
   }
 
   /**
-   * Name of a daemon.
+   * Returns the name of a daemon.
    *
-   * @param dataCentre its data centre
-   * @param number its number, from 1
+   * @param dataCentre the daemon's data centre
+   * @param number the daemon's number in its data centre, starting at 1
    * @return the name
    */
   public static String daemonName(String dataCentre, int number) {
@@ -185,7 +185,7 @@
   }
 
   /**
-   * Cuts a data centre off from the platform.
+   * Blocks the connections from a data centre to the platform.
    *
    * @param dataCentre the data centre
    */
@@ -194,7 +194,7 @@
   }
 
   /**
-   * Ends the cut of a data centre.
+   * Restores the connections from a data centre to the platform.
    *
    * @param dataCentre the data centre
    */
@@ -202,7 +202,7 @@
     relays.get(dataCentre).heal();
   }
 
-  /** Pairs of fabric domain and node. */
+  /** Returns pairs of a fabric domain's name and a node's name. */
   private List<String[]> nodeNames(String dataCentre) {
     List<String[]> names = new ArrayList<>();
     for (int domain = 1; domain <= plan.domainsPerDataCentre(); domain++) {
@@ -215,7 +215,7 @@
   }
 
   private void startStandIn(String name, List<String> arguments) throws IOException {
-    List<String> command = new ArrayList<>(SMALL);
+    List<String> command = new ArrayList<>(JVM_OPTIONS);
     command.add("-Xmx128m");
     command.add("-cp");
     command.add(System.getProperty("java.class.path"));
@@ -237,15 +237,15 @@
   }
 
   /**
-   * Starts a daemon, under the same ports when it ran before.
+   * Starts a daemon. A daemon that ran before gets the same ports.
    *
-   * @param name its name
-   * @throws IOException when it does not start
+   * @param name the daemon's name
+   * @throws IOException when the daemon does not start
    */
   public void startDaemon(String name) throws IOException {
     Path settings = folder.resolve(name + ".json");
     MAPPER.writeValue(settings.toFile(), settings(name));
-    List<String> command = new ArrayList<>(SMALL);
+    List<String> command = new ArrayList<>(JVM_OPTIONS);
     command.addAll(
         List.of(
             "-Xmx256m",
@@ -290,15 +290,15 @@
     return settings;
   }
 
-  /** The port that a daemon had before, or a free one at its first start. */
+  /** Returns a listener on the port that the daemon used before, or on any free port. */
   private synchronized Map<String, Object> listener(String name) {
     return Map.of("address", LOOPBACK, "port", ports.getOrDefault(name, 0));
   }
 
   /**
-   * A process of the fleet.
+   * Returns a process of the fleet.
    *
-   * @param name its name
+   * @param name the name of the process
    * @return the process
    */
   public synchronized Child child(String name) {
@@ -306,9 +306,9 @@
   }
 
   /**
-   * The port of a process; of a daemon, its callers' port.
+   * Returns the port of a process; for a daemon, the port for callers.
    *
-   * @param name its name
+   * @param name the name of the process
    * @return the port
    */
   public synchronized int port(String name) {
@@ -316,19 +316,19 @@
   }
 
   /**
-   * A daemon's operator port.
+   * Returns a daemon's address for operators.
    *
-   * @param daemon its name
-   * @return address and port
+   * @param daemon the daemon's name
+   * @return the address as {@code host:port}
    */
   public synchronized String operators(String daemon) {
     return LOOPBACK + ":" + ports.get(daemon + OPERATORS);
   }
 
   /**
-   * A daemon's port for peers.
+   * Returns a daemon's port for peers.
    *
-   * @param daemon its name
+   * @param daemon the daemon's name
    * @return the port
    */
   public synchronized String peerPort(String daemon) {
@@ -336,9 +336,9 @@
   }
 
   /**
-   * The URL of a path at a process.
+   * Returns the URL of a path on a process.
    *
-   * @param name the process
+   * @param name the name of the process
    * @param path the path
    * @return the URL
    */
@@ -347,11 +347,11 @@
   }
 
   /**
-   * Tells a stand-in to have a fault.
+   * Injects a fault into a stand-in.
    *
-   * @param standIn its name
+   * @param standIn the stand-in's name
    * @param order the fault, as JSON
-   * @throws IOException when the stand-in does not take it
+   * @throws IOException when the stand-in does not answer with status 200
    */
   public void control(String standIn, String order) throws IOException {
     HttpResponse<String> response =
@@ -364,9 +364,9 @@
   }
 
   /**
-   * A stand-in's counts.
+   * Reads a stand-in's counts.
    *
-   * @param standIn its name
+   * @param standIn the stand-in's name
    * @return the counts
    * @throws IOException when the stand-in does not answer
    */
@@ -375,11 +375,11 @@
   }
 
   /**
-   * Sends a request and waits for the whole answer.
+   * Sends a request and waits up to 60 seconds for the complete response.
    *
    * @param request the request
-   * @return the answer
-   * @throws IOException when no whole answer comes
+   * @return the response
+   * @throws IOException when no complete response arrives
    */
   public HttpResponse<String> send(HttpRequest.Builder request) throws IOException {
     try {
@@ -392,9 +392,9 @@
   }
 
   /**
-   * A daemon's status.
+   * Reads a daemon's operator status.
    *
-   * @param daemon its name
+   * @param daemon the daemon's name
    * @return the status
    * @throws IOException when the daemon does not answer
    */
@@ -406,7 +406,7 @@
   }
 
   /**
-   * Names of all daemons that were started.
+   * Returns the names of all daemons that were started.
    *
    * @return the names
    */
@@ -414,7 +414,7 @@
     return children.keySet().stream().filter(name -> name.contains("-entry-")).toList();
   }
 
-  /** Stops every process that was started. */
+  /** Stops all processes and relays. */
   @Override
   public void close() {
     List<Child> all;
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/fleet/Quickstart.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/fleet/Quickstart.java
@@ -12,7 +12,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** Shows the whole path on loopback: start, submit, approve, roll out, two requests, status. */
+/**
+ * Demonstrates a fleet on loopback: starts it, submits, approves and rolls out a bundle, sends two
+ * requests and prints the status.
+ */
 public final class Quickstart {
 
   private static final String CALLER_KEY = "caller-key-of-counter";
@@ -31,7 +34,8 @@
   /**
    * Runs the quickstart.
    *
-   * @param arguments the daemon's jar, the bundle, and optionally {@code --once}
+   * @param arguments the daemon's jar, the bundle, and optionally {@code --once}, which stops the
+   *     fleet after the demonstration
    */
   public static void main(String[] arguments) {
     boolean once = List.of(arguments).contains("--once");
@@ -170,11 +174,11 @@
   private static boolean isReady(LocalFleet fleet) throws IOException {
     for (String daemon : fleet.daemons()) {
       JsonNode status = fleet.status(daemon);
-      boolean stands = status.path("replicas").size() == 2;
+      boolean serving = status.path("replicas").size() == 2;
       for (JsonNode replica : status.path("replicas")) {
-        stands &= "serving".equals(replica.path("state").asText());
+        serving &= "serving".equals(replica.path("state").asText());
       }
-      if (!stands || status.path("rollout").path("accepted").asLong() != 1) {
+      if (!serving || status.path("rollout").path("accepted").asLong() != 1) {
         return false;
       }
     }
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/fleet/Relay.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/fleet/Relay.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Carries TCP connections to a port on loopback, and can be cut and healed. */
+/** Forwards TCP connections to a loopback port and can simulate a network partition. */
 final class Relay implements AutoCloseable {
 
   private static final int BUFFER_BYTES = 8192;
@@ -34,7 +34,10 @@
     return server.getLocalPort();
   }
 
-  /** Breaks all connections; new ones are taken and stay silent, as behind a cut network. */
+  /**
+   * Closes all connections. Until {@link #heal}, new connections are accepted but no bytes are
+   * forwarded.
+   */
   void cut() {
     cut = true;
     closeAll();
@@ -53,22 +56,22 @@
   private void acceptLoop() {
     while (!server.isClosed()) {
       try {
-        carry(server.accept());
+        forward(server.accept());
       } catch (IOException e) {
         closeAll();
       }
     }
   }
 
-  private void carry(Socket near) throws IOException {
-    open.add(near);
+  private void forward(Socket client) throws IOException {
+    open.add(client);
     if (cut) {
       return;
     }
-    Socket far = new Socket(InetAddress.getLoopbackAddress(), target);
-    open.add(far);
-    run(() -> copy(near, far));
-    run(() -> copy(far, near));
+    Socket upstream = new Socket(InetAddress.getLoopbackAddress(), target);
+    open.add(upstream);
+    run(() -> copy(client, upstream));
+    run(() -> copy(upstream, client));
   }
 
   private void copy(Socket from, Socket to) {
@@ -81,7 +84,7 @@
         out.write(buffer, 0, length);
       }
     } catch (IOException e) {
-      // The other direction closes both ends.
+      // Both sockets are closed by now; the other direction ends too.
     }
     open.remove(from);
     open.remove(to);
@@ -97,7 +100,7 @@
     try {
       socket.close();
     } catch (IOException e) {
-      // Closed is all that is wanted.
+      // Nothing to do: the socket is no longer used.
     }
   }
 
@@ -111,7 +114,7 @@
     try {
       socket.close();
     } catch (IOException e) {
-      // Closed is all that is wanted.
+      // Nothing to do: the socket is no longer used.
     }
   }
 }
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/fleet/package-info.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/fleet/package-info.java
@@ -1,4 +1,4 @@
-/** A whole fleet of stand-ins and daemons on loopback, each a process of its own. */
+/** Starts fleets of stand-ins and daemons on loopback addresses, each in a separate process. */
 @NullMarked
 package org.fawnvale.standins.fleet;
 
