--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/GroupWorker.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/GroupWorker.java
@@ -13,8 +13,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Stand-in for a model worker of the users' platform: takes orders on groups, shows its state in
- * the store, and streams events while all members of its group live. It notes each broken promise.
+ * Stand-in for a model worker of the users' platform. It executes group orders, publishes its state
+ * in the store, and streams events while all members of its group are alive. It reports each
+ * violation of an invariant to {@link UsersPlatformStandIn#violation}.
  */
 final class GroupWorker implements StandInServer.Handler {
 
@@ -26,9 +27,9 @@
   private static final int UNAVAILABLE = 503;
   private static final int JOIN_MILLIS = 60;
   private static final int EVENT_MILLIS = 25;
-  private static final int EVENTS_TO_LOSE = 5;
+  private static final int EVENTS_BEFORE_DROP = 5;
   private static final int STALL_MILLIS = 4_000;
-  private static final Map<String, String> NOT_RUN = Map.of("X-Not-Executed", "1");
+  private static final Map<String, String> NOT_EXECUTED_HEADER = Map.of("X-Not-Executed", "1");
 
   private final String id;
   private final String zone;
@@ -36,12 +37,12 @@
   private @Nullable String model;
   private List<String> staged = List.of();
   private @Nullable Place place;
-  private final Set<String> readyUnder = new HashSet<>();
+  private final Set<String> readyGroups = new HashSet<>();
   private long orders;
   private long highestFence;
   private long highestEpoch;
   private boolean alive = true;
-  private final WorkerMood mood = new WorkerMood();
+  private final WorkerBehaviour behaviour = new WorkerBehaviour();
   private boolean draining;
   private long born = System.currentTimeMillis();
   private String address = "";
@@ -62,7 +63,7 @@
     this.platform = platform;
   }
 
-  synchronized void listensAt(String listens) {
+  synchronized void setAddress(String listens) {
     address = listens;
     publish();
   }
@@ -72,11 +73,11 @@
     notifyAll();
   }
 
-  /** Begins a new life under the same id: it holds and knows nothing of before, but its weights. */
-  synchronized void beginAnew() {
+  /** Starts a new incarnation under the same id. Only the staged weights are kept. */
+  synchronized void restart() {
     alive = true;
     draining = false;
-    mood.beginAnew();
+    behaviour.restart();
     born = Math.max(born + 1, System.currentTimeMillis());
     place = null;
     model = null;
@@ -85,8 +86,8 @@
     highestEpoch = 0;
   }
 
-  WorkerMood mood() {
-    return mood;
+  WorkerBehaviour behaviour() {
+    return behaviour;
   }
 
   synchronized boolean isAlive() {
@@ -98,14 +99,14 @@
     publish();
   }
 
-  /** The members of the group that it heads and that is open; empty otherwise. */
+  /** Returns the members of the open group that this worker heads; empty if there is none. */
   synchronized List<String> serves() {
     Place now = place;
     boolean heads = now != null && now.members().get(0).equals(id) && "open".equals(now.state());
     return heads && alive ? now.members() : List.of();
   }
 
-  /** Tells whether it heads a group that is open; a dead head serves nobody. */
+  /** Returns whether this worker is alive and its place in the group is open. */
   synchronized boolean heads(String group) {
     Place now = place;
     boolean open = now != null && now.group().equals(group) && "open".equals(now.state());
@@ -117,21 +118,21 @@
     return now != null && now.is(group, epoch) && !"joining".equals(now.state());
   }
 
-  /** Tells whether it has ever been ready in a group, in this life or a former one. */
+  /** Returns whether this worker was ready in a group, in this incarnation or an earlier one. */
   synchronized boolean wasReadyIn(String group, long epoch) {
-    return readyUnder.contains(group + "@" + epoch);
+    return readyGroups.contains(group + "@" + epoch);
   }
 
   @Override
   public Reply handle(Call call) throws IOException {
     if (!isAlive()) {
-      throw new IOException("the worker is dead");
+      throw new IOException("the worker has crashed");
     }
     String expected = call.header("X-Target-Instance");
     if (expected != null && !expected.equals(id)) {
       return Reply.empty(MISDIRECTED).with(Map.of("X-Instance-Id", id));
     }
-    return mood.said(answer(call));
+    return behaviour.withAnnouncements(answer(call));
   }
 
   private Reply answer(Call call) throws IOException {
@@ -139,11 +140,11 @@
       case "/v1/report" -> report();
       case "/v1/order" -> {
         JsonNode order = Json.tree(call.body());
-        boolean leavesAServingGroup = movesFromAServingGroup(order);
+        boolean leavesOpenGroup = leavesOpenGroupToJoin(order);
         Reply reply = order(order);
-        if (leavesAServingGroup && reply.status() == ACCEPTED) {
+        if (leavesOpenGroup && reply.status() == ACCEPTED) {
           platform.violation(
-              id + " joins another group while the head of its own serves: " + order);
+              id + " joins another group while the head of its present group serves: " + order);
         }
         yield reply;
       }
@@ -179,8 +180,8 @@
     };
   }
 
-  /** Tells whether a join would take this worker out of a group that serves, if it were taken. */
-  private boolean movesFromAServingGroup(JsonNode order) {
+  /** Returns whether an order to join, if accepted, would remove this worker from an open group. */
+  private boolean leavesOpenGroupToJoin(JsonNode order) {
     Place before;
     synchronized (this) {
       before = place;
@@ -229,7 +230,7 @@
     Place now = place;
     if (now != null && now.is(group, epoch) && now.state().equals(from)) {
       place = now.in(to);
-      readyUnder.add(group + "@" + epoch);
+      readyGroups.add(group + "@" + epoch);
       publish();
     }
   }
@@ -262,9 +263,9 @@
   private Reply request(Call call) throws IOException {
     String attempt = String.valueOf(call.header("X-Attempt-Id"));
     platform.arrived(attempt, id);
-    Reply refusal = mood.turnedAway();
+    Reply refusal = behaviour.rejection();
     Reply reply = refusal == null ? run(call, attempt) : refusal;
-    platform.answers(attempt, id, mood.said(reply));
+    platform.answers(attempt, id, behaviour.withAnnouncements(reply));
     return reply;
   }
 
@@ -274,16 +275,17 @@
       now = place;
     }
     if (now == null || !now.members().get(0).equals(id) || !"open".equals(now.state())) {
-      return Reply.empty(UNAVAILABLE).with(NOT_RUN);
+      return Reply.empty(UNAVAILABLE).with(NOT_EXECUTED_HEADER);
     }
     if (!platform.wasWhole(now.members(), now.group(), now.epoch())) {
-      platform.violation(attempt + " begins in " + now.group() + ", which was never whole");
+      platform.violation(
+          attempt + " begins in " + now.group() + ", which never had all members ready");
     }
     platform.began(attempt, id);
-    if (platform.isDeadly(new String(call.body(), StandardCharsets.UTF_8))) {
+    if (platform.crashesWorker(new String(call.body(), StandardCharsets.UTF_8))) {
       die();
       platform.ended(attempt, id);
-      throw new IOException("the worker has ended");
+      throw new IOException("the worker has crashed");
     }
     String last = call.header("Last-Event-Id");
     int from = last == null ? 0 : Integer.parseInt(last);
@@ -293,18 +295,21 @@
   }
 
   private void stream(OutputStream out, String attempt, int from, Place group) throws IOException {
-    int lostAt = mood.losesNext() ? (from + EVENTS_TO_LOSE) % UsersConfiguration.EVENTS : -1;
+    int dropAt =
+        behaviour.dropsNextResponse()
+            ? (from + EVENTS_BEFORE_DROP) % UsersConfiguration.EVENTS
+            : -1;
     for (int event = from + 1; event <= UsersConfiguration.EVENTS; event++) {
       pause(EVENT_MILLIS);
       if (!isAlive()) {
-        throw new IOException("the worker has ended");
+        throw new IOException("the worker has crashed");
       }
-      if (event == lostAt) {
-        throw new IOException("the answer is lost");
+      if (event == dropAt) {
+        throw new IOException("the response is dropped");
       }
       if (!platform.isWhole(group.members(), group.group(), group.epoch())) {
         pause(STALL_MILLIS);
-        throw new IOException("the group is broken");
+        throw new IOException("a member of the group is missing");
       }
       out.write(("id: " + event + "\ndata: " + event + "\n\n").getBytes(StandardCharsets.UTF_8));
       out.flush();
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/PlainWorker.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/PlainWorker.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Stand-in for a worker of a plain service of the users' platform: one answer for a request. */
+/** Stand-in for a worker of the users' plain service. It answers each request with its id. */
 final class PlainWorker implements StandInServer.Handler {
 
   private static final int MISDIRECTED = 421;
@@ -13,7 +13,7 @@
   private final String id;
   private final String zone;
   private final UsersPlatformStandIn platform;
-  private final WorkerMood mood = new WorkerMood();
+  private final WorkerBehaviour behaviour = new WorkerBehaviour();
   private String address = "";
   private boolean drains;
 
@@ -23,21 +23,21 @@
     this.platform = platform;
   }
 
-  WorkerMood mood() {
-    return mood;
+  WorkerBehaviour behaviour() {
+    return behaviour;
   }
 
-  synchronized void listensAt(String listens) {
+  synchronized void setAddress(String listens) {
     address = listens;
     publish();
   }
 
-  /** Tells whether it has said that it leaves, in its entry or in its answers. */
+  /** Returns whether the worker announces in its entry or its responses that it is leaving. */
   synchronized boolean leaves() {
-    return drains || mood.isLeaving();
+    return drains || behaviour.isLeaving();
   }
 
-  /** Says in its entry that it leaves, and serves on. */
+  /** Announces in its entry that it is draining, and keeps serving requests. */
   synchronized void drain() {
     drains = true;
     publish();
@@ -61,8 +61,8 @@
     }
     String attempt = String.valueOf(call.header("X-Attempt-Id"));
     platform.arrived(attempt, id);
-    Reply refusal = mood.turnedAway();
-    Reply reply = mood.said(refusal == null ? run(attempt) : refusal);
+    Reply refusal = behaviour.rejection();
+    Reply reply = behaviour.withAnnouncements(refusal == null ? run(attempt) : refusal);
     platform.answers(attempt, id, reply);
     return reply;
   }
@@ -70,8 +70,8 @@
   private Reply run(String attempt) throws IOException {
     platform.began(attempt, id);
     GroupWorker.pause(WORK_MILLIS);
-    if (mood.losesNext()) {
-      throw new IOException("the answer is lost");
+    if (behaviour.dropsNextResponse()) {
+      throw new IOException("the response is dropped");
     }
     return Reply.json(200, Map.of("attempt", attempt))
         .with(
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/UsersPlatformStandIn.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/UsersPlatformStandIn.java
@@ -108,7 +108,7 @@
     plainWorkers.put(id, worker);
     StandInServer server = StandInServer.start(LOOPBACK, 0, worker);
     servers.put(id, server);
-    worker.listensAt(LOOPBACK + ":" + server.port());
+    worker.setAddress(LOOPBACK + ":" + server.port());
   }
 
   /**
@@ -128,7 +128,7 @@
    * @param restMillis the Retry-After pause in the rejections, in milliseconds; 0 for none
    */
   public void turnAway(String id, long forMillis, long restMillis) {
-    mood(id).turnAway(forMillis, restMillis);
+    behaviour(id).turnAway(forMillis, restMillis);
   }
 
   /**
@@ -139,7 +139,7 @@
    * @param share the share of dropped responses, from 0 to 1
    */
   public void loseAnswers(String id, long forMillis, double share) {
-    mood(id).loseAnswers(forMillis, share);
+    behaviour(id).loseAnswers(forMillis, share);
   }
 
   /**
@@ -150,7 +150,7 @@
    *     together; null to advertise no limit
    */
   public void nameLimit(String id, @Nullable String limit) {
-    mood(id).nameLimit(limit);
+    behaviour(id).nameLimit(limit);
   }
 
   /**
@@ -185,7 +185,7 @@
    * @param id the worker's id
    */
   public void leaveInAnswers(String id) {
-    mood(id).leave();
+    behaviour(id).leave();
   }
 
   /**
@@ -212,9 +212,9 @@
     }
   }
 
-  private WorkerMood mood(String id) {
+  private WorkerBehaviour behaviour(String id) {
     PlainWorker plain = plainWorkers.get(id);
-    return plain == null ? worker(id).mood() : plain.mood();
+    return plain == null ? worker(id).behaviour() : plain.behaviour();
   }
 
   /**
@@ -223,7 +223,7 @@
    * @return the workers' ids, sorted
    */
   public List<String> groupWorkers() {
-    return workers.keySet().stream().filter(id -> !mood(id).isLeaving()).sorted().toList();
+    return workers.keySet().stream().filter(id -> !behaviour(id).isLeaving()).sorted().toList();
   }
 
   /**
@@ -242,7 +242,7 @@
   private void listen(GroupWorker worker, String id) throws IOException {
     StandInServer server = StandInServer.start(LOOPBACK, 0, worker);
     servers.put(id, server);
-    worker.listensAt(LOOPBACK + ":" + server.port());
+    worker.setAddress(LOOPBACK + ":" + server.port());
   }
 
   /**
@@ -306,7 +306,7 @@
     crashingBodies.add(body);
   }
 
-  boolean isDeadly(String body) {
+  boolean crashesWorker(String body) {
     return crashingBodies.contains(body);
   }
 
@@ -340,7 +340,7 @@
     if (worker == null) {
       return;
     }
-    worker.beginAnew();
+    worker.restart();
     observer.started(id);
     try {
       listen(worker, id);
@@ -407,7 +407,8 @@
   }
 
   /**
-   * Restores an earlier state of the store in a new era. No client writes its data again.
+   * Restores an earlier state of the store in a new era. The stand-in does not write newer data
+   * again afterwards.
    *
    * @param copy the result of {@link #copyOfStore}
    */
@@ -635,8 +636,8 @@
 
   void answers(String attempt, String worker, Reply reply) {
     boolean leaving = reply.headers().containsKey("Server-Leaving");
-    observer.answers(attempt, worker, WorkerMood.restOf(reply), leaving);
-    String limit = WorkerMood.limitOf(reply);
+    observer.answers(attempt, worker, WorkerBehaviour.retryAfterMillisOf(reply), leaving);
+    String limit = WorkerBehaviour.limitOf(reply);
     if (limit != null) {
       observer.namesLimit(attempt, worker, limit);
     }
--- /dev/null
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/WorkerBehaviour.java
@@ -0,0 +1,93 @@
+package org.fawnvale.standins;
+
+import java.util.LinkedHashMap;
+import java.util.Locale;
+import java.util.Map;
+import java.util.concurrent.ThreadLocalRandom;
+import org.jspecify.annotations.Nullable;
+
+/**
+ * Configurable behaviour of a worker of the users' platform: rejections, drops, limits, leaving.
+ */
+final class WorkerBehaviour {
+
+  private static final String LIMIT_HEADER = "Server-Limit";
+  private static final int UNAVAILABLE = 503;
+  private static final double MILLIS_PER_SECOND = 1_000;
+
+  private long rejectsUntilNanos;
+  private long retryAfterMillis;
+  private boolean leaving;
+  private long dropsUntilNanos;
+  private double dropShare;
+  private @Nullable String limit;
+
+  /** Rejects all requests for some time, with a Retry-After pause unless it is 0. */
+  synchronized void turnAway(long forMillis, long pauseMillis) {
+    rejectsUntilNanos = System.nanoTime() + forMillis * 1_000_000L;
+    retryAfterMillis = pauseMillis;
+  }
+
+  /** Drops a share of the responses for some time, after the requests have run. */
+  synchronized void loseAnswers(long forMillis, double share) {
+    dropsUntilNanos = System.nanoTime() + forMillis * 1_000_000L;
+    dropShare = share;
+  }
+
+  /** Decides at random whether the next response is dropped. */
+  synchronized boolean dropsNextResponse() {
+    boolean loses = dropsUntilNanos != 0 && dropsUntilNanos - System.nanoTime() > 0;
+    return loses && ThreadLocalRandom.current().nextDouble() < dropShare;
+  }
+
+  /** Sets the limit that all responses advertise, as a header value; null for none. */
+  synchronized void nameLimit(@Nullable String written) {
+    limit = written;
+  }
+
+  synchronized void leave() {
+    leaving = true;
+  }
+
+  synchronized boolean isLeaving() {
+    return leaving;
+  }
+
+  synchronized void restart() {
+    rejectsUntilNanos = 0;
+    dropsUntilNanos = 0;
+    leaving = false;
+    limit = null;
+  }
+
+  /** Returns the response to a rejected request; null when requests are accepted. */
+  synchronized @Nullable Reply rejection() {
+    if (rejectsUntilNanos == 0 || rejectsUntilNanos - System.nanoTime() <= 0) {
+      return null;
+    }
+    Map<String, String> headers = new LinkedHashMap<>();
+    headers.put("X-Not-Executed", "shed");
+    if (retryAfterMillis > 0) {
+      double seconds = retryAfterMillis / MILLIS_PER_SECOND;
+      headers.put("Retry-After", String.format(Locale.ROOT, "%.3f", seconds));
+    }
+    return Reply.empty(UNAVAILABLE).with(headers);
+  }
+
+  /** Adds the header that announces leaving and the header with the limit, when they are set. */
+  synchronized Reply withAnnouncements(Reply reply) {
+    Reply announced = leaving ? reply.and("Server-Leaving", "1") : reply;
+    return limit == null ? announced : announced.and(LIMIT_HEADER, limit);
+  }
+
+  /** Returns the limit that a response advertises, as a header value; null for none. */
+  static @Nullable String limitOf(Reply reply) {
+    return reply.headers().get(LIMIT_HEADER);
+  }
+
+  /** Returns the Retry-After pause of a response, in milliseconds; 0 for none. */
+  static long retryAfterMillisOf(Reply reply) {
+    String seconds = reply.headers().get("Retry-After");
+    return seconds == null ? 0 : (long) (Double.parseDouble(seconds) * MILLIS_PER_SECOND);
+  }
+}
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/WorkerObserver.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/WorkerObserver.java
@@ -1,88 +1,91 @@
 package org.fawnvale.standins;
 
-/** Told of what reaches the workers of the users' platform and what they answer. */
+/**
+ * Receives the requests and the responses of the users' platform's workers. All methods are
+ * optional.
+ */
 public interface WorkerObserver {
 
-  /** Hears nothing. */
+  /** An observer that ignores all calls. */
   WorkerObserver NONE = new WorkerObserver() {};
 
   /**
-   * A request has reached a worker.
+   * Called when a request has reached a worker.
    *
-   * @param attempt its id
+   * @param attempt the request's attempt id
    * @param worker the worker's id
    */
   default void arrived(String attempt, String worker) {
-    // Not every observer needs it.
+    // Ignored by default.
   }
 
   /**
-   * A worker has begun to run a request.
+   * Called when a worker has started to run a request.
    *
-   * @param attempt its id
+   * @param attempt the request's attempt id
    * @param worker the worker's id
    */
   default void began(String attempt, String worker) {
-    // Not every observer needs it.
+    // Ignored by default.
   }
 
   /**
-   * A worker is about to answer a request.
+   * Called before a worker answers a request.
    *
-   * @param attempt the request's id
+   * @param attempt the request's attempt id
    * @param worker the worker's id
-   * @param restMillis the rest that the answer asks for, in milliseconds; 0 for none
-   * @param leaving whether the answer says that the worker leaves
+   * @param restMillis the Retry-After pause of the response, in milliseconds; 0 for none
+   * @param leaving whether the response announces that the worker is leaving
    */
   default void answers(String attempt, String worker, long restMillis, boolean leaving) {
-    // Not every observer needs it.
+    // Ignored by default.
   }
 
   /**
-   * A worker is about to name a limit in its answer to a request.
+   * Called before a worker advertises a limit in its response to a request.
    *
-   * @param attempt the request's id
+   * @param attempt the request's attempt id
    * @param worker the worker's id
-   * @param limit the limit as it is written
+   * @param limit the limit as a header value
    */
   default void namesLimit(String attempt, String worker, String limit) {
-    // Not every observer needs it.
+    // Ignored by default.
   }
 
   /**
-   * A worker has begun a life: it holds and knows nothing of one before.
+   * Called when a worker has started a new incarnation, without the state of the former one.
    *
    * @param worker the worker's id
    */
   default void started(String worker) {
-    // Not every observer needs it.
+    // Ignored by default.
   }
 
   /**
-   * A worker has ended under a request.
+   * Called when a worker has crashed while it ran a request.
    *
-   * @param attempt the request's id
+   * @param attempt the request's attempt id
    * @param worker the worker's id
    */
   default void ended(String attempt, String worker) {
-    // Not every observer needs it.
+    // Ignored by default.
   }
 
   /**
-   * The store has taken a configuration.
+   * Called when the store has accepted a configuration.
    *
-   * @param version its version
+   * @param version the configuration's version
    */
   default void configured(long version) {
-    // Not every observer needs it.
+    // Ignored by default.
   }
 
   /**
-   * A worker is about to say in its entry that it leaves.
+   * Called before a worker announces in its entry that it is draining.
    *
    * @param worker the worker's id
    */
   default void leavesListed(String worker) {
-    // Not every observer needs it.
+    // Ignored by default.
   }
 }
