--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/Call.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/Call.java
@@ -4,12 +4,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One call to a stand-in.
+ * An HTTP request to a stand-in.
  *
  * @param method the HTTP method
- * @param path the path without its query
- * @param query the query's parameters
- * @param headers the headers, names in lower case
+ * @param path the path without the query
+ * @param query the query parameters by name
+ * @param headers the headers by name in lower case
  * @param body the body
  */
 record Call(
@@ -19,9 +19,9 @@
     Map<String, String> headers,
     byte[] body) {
 
-  long number(String parameter, long otherwise) {
+  long number(String parameter, long defaultValue) {
     String text = query.get(parameter);
-    return text == null ? otherwise : Long.parseLong(text);
+    return text == null ? defaultValue : Long.parseLong(text);
   }
 
   @Nullable String header(String name) {
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/CallCounts.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/CallCounts.java
@@ -1,26 +1,26 @@
 package org.fawnvale.standins;
 
-/** Counts calls since a moment, and the most within any second of them. */
+/** Counts calls since the last reset, and the highest number of calls in one clock second. */
 final class CallCounts {
 
   private static final long SECOND_NANOS = 1_000_000_000L;
 
   private long second;
   private long inSecond;
-  private long most;
+  private long maxInSecond;
   private long total;
 
   synchronized void count() {
     long now = System.nanoTime() / SECOND_NANOS;
     inSecond = now == second ? inSecond + 1 : 1;
     second = now;
-    most = Math.max(most, inSecond);
+    maxInSecond = Math.max(maxInSecond, inSecond);
     total++;
   }
 
   synchronized void reset() {
     total = 0;
-    most = 0;
+    maxInSecond = 0;
     inSecond = 0;
   }
 
@@ -28,7 +28,7 @@
     return total;
   }
 
-  synchronized long mostASecond() {
-    return most;
+  synchronized long maxPerSecond() {
+    return maxInSecond;
   }
 }
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/Engine.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/Engine.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.Semaphore;
 import org.fawnvale.core.model.Order;
 
-/** Stand-in for model engines; one process stands for many nodes, each under a path. */
+/** Stand-in for model engines; one process simulates many nodes, each under its own path. */
 final class Engine implements StandInServer.Handler {
 
   static final String HOP = "Fawnvale-Hop";
@@ -30,11 +30,11 @@
   private final Timing timing;
 
   /**
-   * How fast the engine is.
+   * The speed of the engine.
    *
-   * @param tokenMillis time of each token, milliseconds
-   * @param prefillMicrosPerCharacter time of each prompt character that is not cached, microseconds
-   * @param maximumConcurrent requests that run at once
+   * @param tokenMillis time for each token in milliseconds
+   * @param prefillMicrosPerCharacter time for each uncached prompt character in microseconds
+   * @param maximumConcurrent the maximum number of requests that run at once
    */
   record Timing(long tokenMillis, long prefillMicrosPerCharacter, int maximumConcurrent) {}
 
@@ -80,18 +80,18 @@
 
   private Reply order(EngineNode node, Call call) throws IOException {
     Order order = Json.MAPPER.readValue(call.body(), Order.class);
-    return Reply.empty(node.take(order) ? OK : CONFLICT);
+    return Reply.empty(node.accept(order) ? OK : CONFLICT);
   }
 
   private Reply chat(EngineNode node, Call call) throws IOException {
     JsonNode request = Json.tree(call.body());
-    List<String> members = node.leads(request.path("model").asText());
+    List<String> members = node.membersIfHead(request.path("model").asText());
     if (members.isEmpty() || node.faults().takeRefusal()) {
       return Reply.empty(UNAVAILABLE).with(Map.of(NOT_RUN, "1", "Retry-After", "1"));
     }
-    if (!stands(node, members)) {
-      node.counts().servedIncomplete();
-      throw new IOException("a member is missing");
+    if (!allMembersReady(node, members)) {
+      node.counts().recordIncomplete();
+      throw new IOException("a member of the replica is missing");
     }
     String identifier = String.valueOf(call.header(REQUEST));
     Generation generation = new Generation(node, members, request, identifier);
@@ -100,7 +100,7 @@
     }
     Reply reply = generation.whole();
     if (node.faults().takeDrop()) {
-      throw new IOException("the answer is dropped");
+      throw new IOException("the response is dropped");
     }
     if (node.faults().takeSwap()) {
       return reply.with(Map.of(HOP, "somebody:else"));
@@ -108,9 +108,9 @@
     return reply;
   }
 
-  private boolean stands(EngineNode leader, List<String> members) {
+  private boolean allMembersReady(EngineNode head, List<String> members) {
     return members.stream()
-        .allMatch(member -> nodes.containsKey(member) && nodes.get(member).stands(leader));
+        .allMatch(member -> nodes.containsKey(member) && nodes.get(member).isReadyWith(head));
   }
 
   private Reply control(Call call) throws IOException {
@@ -132,7 +132,7 @@
     return Reply.empty(OK);
   }
 
-  /** One chat completion that runs. */
+  /** A chat completion in progress. */
   private final class Generation {
 
     private final EngineNode node;
@@ -173,7 +173,7 @@
     void stream(OutputStream out) throws IOException {
       run(
           (index, token) -> {
-            if (node.faults().tears(index)) {
+            if (node.faults().truncatesAt(index)) {
               throw new IOException("torn");
             }
             Map<String, Object> delta = Map.of("content", token);
@@ -194,7 +194,7 @@
       slot.acquireUninterruptibly();
       node.addWaiting(-1);
       node.addRunning(1);
-      node.counts().started(identifier);
+      node.counts().recordStart(identifier);
       try {
         int cached = node.cache().use(prompt);
         long micros = (prompt.length() - cached) * timing.prefillMicrosPerCharacter();
@@ -212,8 +212,8 @@
       for (int i = 0; i < tokens; i++) {
         Platform.pause(timing.tokenMillis());
         node.faults().enter();
-        if (!stands(node, members)) {
-          throw new IOException("a member is missing");
+        if (!allMembersReady(node, members)) {
+          throw new IOException("a member of the replica is missing");
         }
         sink.accept(i, i < words.length ? words[i] + " " : "t" + i + " ");
       }
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/EngineNode.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/EngineNode.java
@@ -6,7 +6,7 @@
 import org.fawnvale.core.model.Order;
 import org.jspecify.annotations.Nullable;
 
-/** One node with a model engine. */
+/** A simulated node with a model engine. */
 final class EngineNode {
 
   private static final AtomicInteger STARTS = new AtomicInteger();
@@ -48,7 +48,7 @@
     return cache;
   }
 
-  /** Forgets everything, as after a restart. */
+  /** Starts a new incarnation without an order, weights or cache; the fence is kept. */
   synchronized void restart() {
     incarnation = nextIncarnation();
     order = null;
@@ -58,8 +58,8 @@
     cache = new PrefixCache(4096);
   }
 
-  /** Takes an order; false when the fence refuses it. */
-  synchronized boolean take(Order next) {
+  /** Accepts an order; returns false if the node checks fences and the order is out of date. */
+  synchronized boolean accept(Order next) {
     boolean older =
         next.epoch() < highestEpoch
             || next.generation() < highestGeneration
@@ -70,7 +70,7 @@
     highestEpoch = Math.max(highestEpoch, next.epoch());
     highestGeneration = Math.max(highestGeneration, next.generation());
     if (next.version() != null && !weightsOf(next).equals(loadedVersion)) {
-      readyAtNanos = weights.book(next.weightGigabytes());
+      readyAtNanos = weights.scheduleLoad(next.weightGigabytes());
       loadedVersion = weightsOf(next);
       cache = new PrefixCache(4096);
     }
@@ -115,8 +115,8 @@
     return current.draining() ? NodeReport.State.DRAINING : NodeReport.State.READY;
   }
 
-  /** The members of the replica that this node leads; empty when it must not take requests. */
-  synchronized List<String> leads(String model) {
+  /** Returns the members of the replica if this node is its ready head; empty otherwise. */
+  synchronized List<String> membersIfHead(String model) {
     Order current = order;
     boolean ready =
         current != null
@@ -127,10 +127,10 @@
     return ready ? current.members() : List.of();
   }
 
-  /** Tells whether this node is a ready member of the same replica as its leader. */
-  synchronized boolean stands(EngineNode leader) {
+  /** Returns whether this node is up and loaded, in the same generation as the replica's head. */
+  synchronized boolean isReadyWith(EngineNode head) {
     Order own = order;
-    Order other = leader.order;
+    Order other = head.order;
     return faults.isUp()
         && own != null
         && other != null
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/Faults.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/Faults.java
@@ -3,27 +3,27 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 
-/** Faults that one node or service can be told to have. */
+/** The injected faults of one node or service. */
 final class Faults {
 
   private boolean dead;
   private boolean frozen;
-  private long lateMillis;
+  private long delayMillis;
   private int refusals;
   private int drops;
-  private int tearAfter = -1;
+  private int truncateAfter = -1;
   private int swaps;
 
-  /** Sets a fault; an unknown one is an error. */
+  /** Injects a fault; throws an exception if the fault is unknown. */
   synchronized void set(JsonNode order) throws IOException {
     int count = order.path("count").asInt(1);
     switch (order.path("fault").asText()) {
       case "die" -> dead = true;
       case "freeze" -> frozen = true;
-      case "late" -> lateMillis = order.path("millis").asLong();
+      case "late" -> delayMillis = order.path("millis").asLong();
       case "refuse" -> refusals = count;
       case "drop-answers" -> drops = count;
-      case "tear" -> tearAfter = order.path("after").asInt();
+      case "tear" -> truncateAfter = order.path("after").asInt();
       case "swap" -> swaps = count;
       case "none" -> clear();
       default -> throw new IOException("unknown fault " + order);
@@ -34,14 +34,16 @@
   private void clear() {
     dead = false;
     frozen = false;
-    lateMillis = 0;
+    delayMillis = 0;
     refusals = 0;
     drops = 0;
-    tearAfter = -1;
+    truncateAfter = -1;
     swaps = 0;
   }
 
-  /** Stops here while frozen, fails when dead, and waits when late. */
+  /**
+   * Blocks while frozen, then throws an exception if dead, and otherwise waits for the set delay.
+   */
   void enter() throws IOException {
     long wait;
     synchronized (this) {
@@ -49,7 +51,7 @@
       if (dead) {
         throw new IOException("dead");
       }
-      wait = lateMillis;
+      wait = delayMillis;
     }
     Platform.pause(wait);
   }
@@ -81,7 +83,7 @@
     return swaps > 0 && swaps-- > 0;
   }
 
-  synchronized boolean tears(int tokens) {
-    return tearAfter >= 0 && tokens >= tearAfter;
+  synchronized boolean truncatesAt(int tokens) {
+    return truncateAfter >= 0 && tokens >= truncateAfter;
   }
 }
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/GroupWorker.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/GroupWorker.java
@@ -106,7 +106,7 @@
     return heads && alive ? now.members() : List.of();
   }
 
-  /** Returns whether this worker is alive and its place in the group is open. */
+  /** Returns whether this worker is alive and is in the state "open" in the group. */
   synchronized boolean heads(String group) {
     Place now = place;
     boolean open = now != null && now.group().equals(group) && "open".equals(now.state());
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/Json.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/Json.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 
-/** JSON for the stand-ins. */
+/** Reads and writes JSON. */
 final class Json {
 
   static final ObjectMapper MAPPER = new ObjectMapper();
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/Main.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/Main.java
@@ -14,7 +14,7 @@
 import net.sourceforge.argparse4j.inf.Subparsers;
 import org.fawnvale.core.model.Node;
 
-/** Starts one stand-in as a process; it ends when its standard input does. */
+/** Runs one stand-in until its standard input is closed. */
 public final class Main {
 
   private static final TypeReference<List<Node>> NODES = new TypeReference<>() {};
@@ -25,8 +25,8 @@
   /**
    * Starts a stand-in.
    *
-   * @param arguments which one, and its options
-   * @throws Exception when it cannot start
+   * @param arguments the kind of the stand-in and its options
+   * @throws Exception when the stand-in cannot start
    */
   public static void main(String[] arguments) throws Exception {
     ArgumentParser parser = ArgumentParsers.newFor("fawnvale-standins").build();
@@ -38,7 +38,7 @@
     platform.addArgument("--reads").type(Long.class).setDefault(2000L);
     Subparser engine = kinds.addParser("engine");
     port(engine);
-    engine.addArgument("--nodes").required(true).help("names of its nodes, with commas");
+    engine.addArgument("--nodes").required(true).help("names of its nodes, separated by commas");
     engine.addArgument("--token-millis").type(Long.class).setDefault(5L);
     engine.addArgument("--prefill-micros").type(Long.class).setDefault(20L);
     engine.addArgument("--concurrent").type(Integer.class).setDefault(8);
@@ -54,7 +54,7 @@
       Namespace options = parser.parseArgs(arguments);
       StandInServer server =
           StandInServer.start(LOOPBACK, options.getInt("port"), handler(options));
-      PrintStream out = System.out; // NOPMD SystemPrintln: the port is this program's answer
+      PrintStream out = System.out; // NOPMD SystemPrintln: the parent process reads the port
       out.println("listening " + server.port());
       out.flush();
       awaitEndOfInput();
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/PlainServer.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/PlainServer.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Stand-in for a plain service: it books whatever it is asked to, and numbers the bookings. */
+/** Stand-in for a plain service: it creates a numbered booking for each request. */
 final class PlainServer implements StandInServer.Handler {
 
   private static final int OK = 200;
@@ -41,10 +41,10 @@
       headers.put("Retry-After", "1");
       return Reply.empty(UNAVAILABLE).with(headers);
     }
-    counts.started(String.valueOf(call.header(Engine.REQUEST)));
+    counts.recordStart(String.valueOf(call.header(Engine.REQUEST)));
     Platform.pause(workMillis);
     if (faults.takeDrop()) {
-      throw new IOException("the answer is dropped after the call took effect");
+      throw new IOException("the response is dropped after the call took effect");
     }
     Map<String, Object> answer =
         Map.of(
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/PlainWorker.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/PlainWorker.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Stand-in for a worker of the users' plain service. It answers each request with its id. */
+/** Stand-in for a worker of the users' plain service. It echoes the attempt id of each request. */
 final class PlainWorker implements StandInServer.Handler {
 
   private static final int MISDIRECTED = 421;
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/Platform.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/Platform.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.locks.ReentrantLock;
 import org.fawnvale.core.model.Node;
 
-/** Stand-in for the platform's object API and its list of nodes. */
+/** Stand-in for the platform: versioned objects with watches, and the list of nodes. */
 final class Platform implements StandInServer.Handler {
 
   private static final int OK = 200;
@@ -28,9 +28,9 @@
   private final RateWindow writes;
   private final RateWindow reads;
   private long revision;
-  private volatile boolean out;
+  private volatile boolean inOutage;
   private volatile long delayMillis;
-  private int answersToDrop;
+  private int responsesToDrop;
 
   private record Stored(String name, long version, byte[] value) {}
 
@@ -45,12 +45,12 @@
     if (call.path().startsWith("/control")) {
       return control(call);
     }
-    if (out) {
+    if (inOutage) {
       throw new IOException("outage");
     }
     pause(delayMillis);
     boolean isWrite = "PUT".equals(call.method());
-    if (!(isWrite ? writes : reads).tryUse()) {
+    if (!(isWrite ? writes : reads).tryAcquire()) {
       return Reply.empty(TOO_MANY);
     }
     if (call.path().startsWith(OBJECTS)) {
@@ -87,9 +87,9 @@
       revision++;
       objects.put(name, new Stored(name, revision, call.body()));
       changed.signalAll();
-      if (answersToDrop > 0) {
-        answersToDrop--;
-        throw new IOException("the answer is dropped after the write took effect");
+      if (responsesToDrop > 0) {
+        responsesToDrop--;
+        throw new IOException("the response is dropped after the write took effect");
       }
       return Reply.json(OK, Map.of("version", revision));
     } finally {
@@ -100,13 +100,13 @@
   private Reply watch(Call call) throws IOException {
     String prefix = call.query().getOrDefault("prefix", "");
     long since = call.number("since", 0);
-    long left = TimeUnit.MILLISECONDS.toNanos(call.number("wait", 0));
+    long remainingNanos = TimeUnit.MILLISECONDS.toNanos(call.number("wait", 0));
     lock.lock();
     try {
       List<Stored> found = newer(prefix, since);
-      while (found.isEmpty() && left > 0) {
-        left = changed.awaitNanos(left);
-        if (out) {
+      while (found.isEmpty() && remainingNanos > 0) {
+        remainingNanos = changed.awaitNanos(remainingNanos);
+        if (inOutage) {
           throw new IOException("outage");
         }
         found = newer(prefix, since);
@@ -156,13 +156,13 @@
     lock.lock();
     try {
       switch (order.path("fault").asText()) {
-        case "outage" -> out = true;
+        case "outage" -> inOutage = true;
         case "slow" -> delayMillis = order.path("millis").asLong();
-        case "drop-answers" -> answersToDrop = order.path("count").asInt();
+        case "drop-answers" -> responsesToDrop = order.path("count").asInt();
         case "none" -> {
-          out = false;
+          inOutage = false;
           delayMillis = 0;
-          answersToDrop = 0;
+          responsesToDrop = 0;
         }
         case "leaving" -> leaving(order.path("node").asText());
         case "remove" -> nodes.remove(order.path("node").asText());
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/PrefixCache.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/PrefixCache.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A replica's cache of prompt prefixes, with the events that it publishes. */
+/** A replica's cache of prompt prefixes, and its log of stored and evicted blocks. */
 final class PrefixCache {
 
-  /** Characters of a block; a prefix is cached block by block. */
+  /** The size of a cache block in characters. */
   static final int BLOCK_CHARACTERS = 64;
 
   private static final int MAXIMUM_EVENTS = 1000;
@@ -19,9 +19,9 @@
   private long sequence;
 
   /**
-   * One published change.
+   * A block that was stored or evicted.
    *
-   * @param sequence rises by one with each event; a missing number is a gap
+   * @param sequence rises by one with each event; a gap shows that events were dropped
    * @param block the block's prefix hash
    * @param stored true when stored, false when evicted
    */
@@ -31,7 +31,7 @@
     this.capacity = capacity;
   }
 
-  /** Looks a prompt up and stores it; returns how many of its characters were cached. */
+  /** Stores a prompt and returns how many of its leading characters were cached before. */
   synchronized int use(String prompt) {
     int cached = 0;
     boolean hit = true;
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/RateWindow.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/RateWindow.java
@@ -1,6 +1,6 @@
 package org.fawnvale.standins;
 
-/** Counts calls in each second and refuses those over a limit. */
+/** Limits the number of calls in each clock second. */
 final class RateWindow {
 
   private static final long SECOND_MILLIS = 1000;
@@ -15,7 +15,7 @@
     this.limit = limit;
   }
 
-  synchronized boolean tryUse() {
+  synchronized boolean tryAcquire() {
     long now = System.currentTimeMillis() / SECOND_MILLIS;
     if (now != second) {
       second = now;
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/Reply.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/Reply.java
@@ -7,13 +7,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A stand-in's answer.
+ * A stand-in's HTTP response.
  *
  * @param status the HTTP status
- * @param headers further headers
+ * @param headers the headers besides Content-Type
  * @param contentType the content type
- * @param body the body; null when it is streamed
- * @param stream writes the body; null when it is given whole
+ * @param body the body; null when {@code stream} is set
+ * @param stream writes the body; null when {@code body} is set
  */
 record Reply(
     int status,
@@ -22,7 +22,7 @@
     byte @Nullable [] body,
     @Nullable Stream stream) {
 
-  /** Writes a body piece by piece. */
+  /** Writes a streamed body. */
   @FunctionalInterface
   interface Stream {
     void writeTo(OutputStream out) throws IOException;
@@ -46,7 +46,7 @@
     return with(all);
   }
 
-  Reply with(Map<String, String> further) {
-    return new Reply(status, further, contentType, body, stream);
+  Reply with(Map<String, String> newHeaders) {
+    return new Reply(status, newHeaders, contentType, body, stream);
   }
 }
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/RunCounts.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/RunCounts.java
@@ -3,19 +3,19 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** How often each request ran, by its identifier: the oracle for "not run" and "at most once". */
+/** Counts the runs of each request by its id, so that tests can verify at-most-once execution. */
 final class RunCounts {
 
   private final Map<String, Integer> runs = new TreeMap<>();
   private long lastStartMillis;
   private int incomplete;
 
-  synchronized void started(String request) {
+  synchronized void recordStart(String request) {
     runs.merge(request, 1, Integer::sum);
     lastStartMillis = System.currentTimeMillis();
   }
 
-  synchronized void servedIncomplete() {
+  synchronized void recordIncomplete() {
     incomplete++;
   }
 
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/StandInServer.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/StandInServer.java
@@ -32,22 +32,22 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * HTTP server of a stand-in, for requests of any host; a handler that throws closes its connection
- * without an answer.
+ * HTTP server of a stand-in. It accepts requests with any Host header. When a handler throws an
+ * exception, the server closes the connection without a response.
  */
 final class StandInServer implements AutoCloseable {
 
   private static final System.Logger LOG = System.getLogger("stand-in");
-  private static final int MOST_LOOKS = 1_000;
+  private static final int MAX_CLOSE_CHECKS = 1_000;
   private static final int MAXIMUM_BODY_BYTES = 16 * 1024 * 1024;
 
-  /** Answers calls. */
+  /** Handles calls. */
   @FunctionalInterface
   interface Handler {
     Reply handle(Call call) throws IOException;
   }
 
-  /** The connections by the caller's end, so that an answer can be broken off. */
+  /** The open connections by the caller's address, so that a handler can reset its connection. */
   private static final class Connections extends DefaultBHttpServerConnectionFactory {
     private final Map<SocketAddress, Socket> open = new ConcurrentHashMap<>();
 
@@ -62,7 +62,10 @@
       return super.createConnection(socket);
     }
 
-    /** Resets a connection: the server would end an answer that has failed as if it were whole. */
+    /**
+     * Resets a connection whose response has failed. Without the reset, the server would end the
+     * response as if it were complete.
+     */
     void reset(SocketAddress caller) throws IOException {
       Socket socket = open.remove(caller);
       if (socket != null) {
@@ -73,23 +76,25 @@
   }
 
   /**
-   * Tells of a listener that ends though nobody closed it: from then on connections are accepted
-   * and never answered.
+   * Logs an error when the listener ends before the server is closed. From then on the operating
+   * system still accepts connections, but the stand-in does not answer them.
    */
   private static final class Listener implements ExceptionListener {
-    private volatile boolean closes;
+    private volatile boolean closing;
 
     @Override
     public void onError(Exception ex) {
-      if (!closes) {
+      if (!closing) {
         LOG.log(
-            System.Logger.Level.ERROR, "A listener has ended, its stand-in answers no more", ex);
+            System.Logger.Level.ERROR,
+            "The listener has ended unexpectedly; the stand-in no longer answers",
+            ex);
       }
     }
 
     @Override
     public void onError(HttpConnection connection, Exception ex) {
-      LOG.log(System.Logger.Level.DEBUG, "A connection has broken", ex);
+      LOG.log(System.Logger.Level.DEBUG, "A connection has failed", ex);
     }
   }
 
@@ -134,22 +139,22 @@
   }
 
   /**
-   * Closes the listener before the connections, as the end of a process does. A listener that is
-   * closed while a thread waits for connections listens until the thread has left it, so it is
-   * looked at until nothing answers there.
+   * Closes the listener before the connections, as the operating system does when a process exits.
+   * The listener accepts connections until its thread has returned from {@code accept}, so this
+   * method tries to connect until a connection is refused, up to {@link #MAX_CLOSE_CHECKS} times.
    */
   @Override
   public void close() {
     int port = port();
-    listener.closes = true;
+    listener.closing = true;
     server.stop();
-    for (int look = 0; look < MOST_LOOKS && listens(port); look++) {
+    for (int check = 0; check < MAX_CLOSE_CHECKS && acceptsConnections(port); check++) {
       Thread.onSpinWait();
     }
     server.close(CloseMode.IMMEDIATE);
   }
 
-  private boolean listens(int port) {
+  private boolean acceptsConnections(int port) {
     try (Socket socket = new Socket(server.getInetAddress(), port)) {
       return socket.isConnected();
     } catch (IOException e) {
@@ -157,24 +162,24 @@
     }
   }
 
-  /** Breaks a connection. */
+  /** Resets a connection. */
   @FunctionalInterface
-  private interface Breaker {
+  private interface Resetter {
     void run() throws IOException;
   }
 
-  private static void stream(Reply.Stream stream, OutputStream out, Breaker breaker)
+  private static void stream(Reply.Stream stream, OutputStream out, Resetter resetter)
       throws IOException {
     try {
       stream.writeTo(out);
     } catch (IOException e) {
-      breaker.run();
+      resetter.run();
       throw e;
     }
   }
 
   private static void answer(
-      Handler handler, ClassicHttpRequest request, ClassicHttpResponse response, Breaker breaker)
+      Handler handler, ClassicHttpRequest request, ClassicHttpResponse response, Resetter resetter)
       throws IOException {
     Reply reply = handler.handle(call(request));
     response.setCode(reply.status());
@@ -184,7 +189,7 @@
     HttpEntity entity =
         stream == null
             ? new ByteArrayEntity(reply.body(), type)
-            : new EntityTemplate(-1, type, null, out -> stream(stream, out, breaker));
+            : new EntityTemplate(-1, type, null, out -> stream(stream, out, resetter));
     response.setEntity(entity);
   }
 
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/UsersPlatformStandIn.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/UsersPlatformStandIn.java
@@ -30,7 +30,7 @@
   private static final long INITIAL_VERSION = 1;
   private static final int MAX_REWRITE_DELAY_MILLIS = 1_800;
 
-  /** The time after which the store removes entries of removed workers, in milliseconds. */
+  /** The delay from a restore to the removal of entries of removed workers, in milliseconds. */
   private static final int ENTRY_EXPIRY_MILLIS = 3_600;
 
   private final UsersStore store = new UsersStore();
@@ -318,7 +318,7 @@
   }
 
   /**
-   * Makes a worker crash and restart under the same id 600 ms later.
+   * Makes a worker crash and restart under the same id after a short delay.
    *
    * @param id the worker's id
    */
@@ -413,7 +413,7 @@
    * @param copy the result of {@link #copyOfStore}
    */
   public void storeGoesBackTo(long copy) {
-    store.goBackTo(copy);
+    store.restore(copy);
   }
 
   /**
@@ -424,7 +424,7 @@
    * @param delays the source of the random delays
    */
   public void storeComesBackFromACopy(long ageMillis, Random delays) {
-    store.goBackTo(store.revisionBefore(ageMillis));
+    store.restore(store.revisionBefore(ageMillis));
     later(delays.nextInt(MAX_REWRITE_DELAY_MILLIS), this::rewriteConfiguration);
     for (String id : ids()) {
       later(delays.nextInt(MAX_REWRITE_DELAY_MILLIS), () -> writeEntry(id));
@@ -491,7 +491,7 @@
    * @return the number of calls
    */
   public long mostStoreCallsASecond() {
-    return store.calls().mostASecond();
+    return store.calls().maxPerSecond();
   }
 
   /**
@@ -509,7 +509,7 @@
    * @param objects the maximum number of objects in a page
    */
   public void pagesOf(int objects) {
-    store.pagesOf(objects);
+    store.setPageSize(objects);
   }
 
   /** Makes all connections with a waiting call to the store silent, without closing them. */
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/UsersStore.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/UsersStore.java
@@ -11,14 +11,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Stand-in for the store of the users' platform: lists in pages, watches that wait, an outage, and
- * a return to an earlier state, after which revisions are given out again in a new era.
+ * Stand-in for the store of the users' platform, with paged lists, long-polling watches, simulated
+ * outages, and a restore of an earlier state. A restore starts a new era, in which the store
+ * assigns the same revisions again.
  */
 final class UsersStore implements StandInServer.Handler {
 
   private static final String ERA = "Store-Era";
   private static final String PREFIX = "/v1/objects/";
-  private static final int SMALL_PAGE = 5;
+  private static final int DEFAULT_PAGE_SIZE = 5;
   private static final int OK = 200;
   private static final int CONFLICT = 409;
   private static final int GONE = 410;
@@ -32,9 +33,9 @@
   private final Map<String, Integer> pages = new LinkedHashMap<>();
   private long revision;
   private long era = 1;
-  private long silences;
+  private long silenceCount;
   private boolean down;
-  private int page = SMALL_PAGE;
+  private int pageSize = DEFAULT_PAGE_SIZE;
 
   private record StoredObject(String name, long revision, Object spec) {
     Map<String, Object> asJson() {
@@ -43,9 +44,9 @@
   }
 
   /**
-   * A change.
+   * A change of an object.
    *
-   * @param atNanos when it was made
+   * @param atNanos the {@link System#nanoTime} of the change
    */
   private record Change(long atNanos, String kind, boolean deleted, StoredObject object) {
     String key() {
@@ -72,27 +73,27 @@
     }
   }
 
-  /** The revision of the last change. */
+  /** Returns the revision of the last change. */
   synchronized long revision() {
     return revision;
   }
 
-  /** The revision that the store had so long ago. */
+  /** Returns the revision that the store had the given number of milliseconds ago. */
   synchronized long revisionBefore(long millis) {
     long then = System.nanoTime() - millis * 1_000_000;
-    long copied = 0;
+    long restoredRevision = 0;
     for (Change change : changes) {
-      copied = change.atNanos() <= then ? change.object().revision() : copied;
+      restoredRevision = change.atNanos() <= then ? change.object().revision() : restoredRevision;
     }
-    return copied;
+    return restoredRevision;
   }
 
   /**
-   * Goes back to the state that an earlier revision had; what came since is gone, as when the store
-   * comes back from a copy.
+   * Restores the state of an earlier revision, as a restore from a backup does. Later changes are
+   * lost.
    */
-  synchronized void goBackTo(long copied) {
-    changes.removeIf(change -> change.object().revision() > copied);
+  synchronized void restore(long restoredRevision) {
+    changes.removeIf(change -> change.object().revision() > restoredRevision);
     objects.clear();
     for (Change change : changes) {
       if (change.deleted()) {
@@ -101,12 +102,12 @@
         objects.put(change.key(), change.object());
       }
     }
-    revision = copied;
+    revision = restoredRevision;
     era++;
     notifyAll();
   }
 
-  /** Calls since the last count began. */
+  /** Returns the counts of the calls since the last reset. */
   CallCounts calls() {
     return calls;
   }
@@ -116,27 +117,27 @@
     notifyAll();
   }
 
-  /** Sets the most objects that a list gives at once. */
-  synchronized void pagesOf(int objectsAtOnce) {
-    page = objectsAtOnce;
+  /** Sets the maximum number of objects in a page of a list. */
+  synchronized void setPageSize(int maximumObjects) {
+    pageSize = maximumObjects;
   }
 
-  /** Lets the connections of all calls that wait now go silent: they are never answered. */
+  /** Withholds the responses to all watches that wait now until the store goes down. */
   synchronized void silenceWaiting() {
-    silences++;
+    silenceCount++;
   }
 
-  /** The shortest wait that a watch of a kind has asked for, in milliseconds. */
+  /** Returns the shortest wait that a watch of a kind has requested, in milliseconds. */
   synchronized long shortestWaitMillis(String kind) {
     return shortestWaits.getOrDefault(kind, Long.MAX_VALUE);
   }
 
-  /** Pages of lists of a kind that were given. */
+  /** Returns how many list pages of a kind were requested. */
   synchronized int pages(String kind) {
     return pages.getOrDefault(kind, 0);
   }
 
-  /** Watches of a kind that wait now. */
+  /** Returns how many watches of a kind wait now. */
   synchronized int watching(String kind) {
     AtomicInteger count = watching.get(kind);
     return count == null ? 0 : count.get();
@@ -175,7 +176,7 @@
     return Reply.empty(OK);
   }
 
-  /** Names of the objects of a kind. */
+  /** Returns the names of the objects of a kind. */
   synchronized List<String> names(String kind) {
     return objects.subMap(kind + "/", kind + "0").values().stream()
         .map(StoredObject::name)
@@ -189,7 +190,7 @@
     boolean more = false;
     for (StoredObject object : objects.subMap(kind + "/", kind + "0").values()) {
       if (object.name().compareTo(after) > 0) {
-        more = items.size() == page;
+        more = items.size() == pageSize;
         if (more) {
           break;
         }
@@ -207,13 +208,13 @@
     AtomicInteger count = watching.computeIfAbsent(kind, name -> new AtomicInteger());
     count.incrementAndGet();
     shortestWaits.merge(kind, waitMillis, Math::min);
-    long silencesBefore = silences;
+    long silenceCountBefore = silenceCount;
     long until = System.nanoTime() + waitMillis * 1_000_000;
     try {
-      while (events(kind, since).isEmpty() && isAsBefore(eraBefore) && System.nanoTime() < until) {
+      while (events(kind, since).isEmpty() && isUpInEra(eraBefore) && System.nanoTime() < until) {
         wait(Math.max(1, (until - System.nanoTime()) / 1_000_000));
       }
-      while (silences > silencesBefore && !down) {
+      while (silenceCount > silenceCountBefore && !down) {
         wait();
       }
     } catch (InterruptedException e) {
@@ -221,12 +222,12 @@
     } finally {
       count.decrementAndGet();
     }
-    return !isAsBefore(eraBefore)
+    return !isUpInEra(eraBefore)
         ? Reply.empty(UNAVAILABLE)
         : Reply.json(OK, Map.of("events", events(kind, since), "timestamp", revision));
   }
 
-  private boolean isAsBefore(long eraBefore) {
+  private boolean isUpInEra(long eraBefore) {
     return !down && era == eraBefore;
   }
 
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/WeightStore.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/WeightStore.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** The weight store's rate limit: loads wait for each other, first come, first served. */
+/** Simulates the bandwidth of the weight store: loads run one at a time, in order of arrival. */
 final class WeightStore {
 
   private final double gigabytesPerSecond;
@@ -12,8 +12,8 @@
     this.gigabytesPerSecond = gigabytesPerSecond;
   }
 
-  /** Books a load and returns the moment, on the monotonic clock, at which it ends. */
-  synchronized long book(double gigabytes) {
+  /** Queues a load and returns the {@link System#nanoTime} at which it ends. */
+  synchronized long scheduleLoad(double gigabytes) {
     long now = System.nanoTime();
     long start = Math.max(now, freeAtNanos);
     freeAtNanos = start + (long) (gigabytes / gigabytesPerSecond * TimeUnit.SECONDS.toNanos(1));
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/WorkerBehaviour.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/WorkerBehaviour.java
@@ -22,7 +22,7 @@
   private double dropShare;
   private @Nullable String limit;
 
-  /** Rejects all requests for some time, with a Retry-After pause unless it is 0. */
+  /** Rejects all requests for some time, with a Retry-After pause; 0 for no pause. */
   synchronized void turnAway(long forMillis, long pauseMillis) {
     rejectsUntilNanos = System.nanoTime() + forMillis * 1_000_000L;
     retryAfterMillis = pauseMillis;
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/package-info.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/package-info.java
@@ -1,4 +1,6 @@
-/** Stand-ins for the platform, model engines and plain services; never a part of the product. */
+/**
+ * Stand-ins for the platform, model engines and plain services. They are not part of the product.
+ */
 @NullMarked
 package org.fawnvale.standins;
 
