--- a/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/ControlCost.java
+++ b/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/ControlCost.java
@@ -32,13 +32,13 @@
 import org.fawnvale.wire.Link;
 import org.fawnvale.wire.Message;
 
-/** What control costs one idle daemon, against the number of peers and of nodes. */
+/** Measures the control overhead of one idle daemon by number of peers and nodes. */
 public final class ControlCost {
 
   private static final String LOOPBACK = "127.0.0.1";
-  private static final int WARM_SECONDS = 12;
+  private static final int WARMUP_SECONDS = 12;
   private static final int SECONDS = 15;
-  private static final int VOUCHES = 14;
+  private static final int VOUCHES_PER_PEER = 14;
   private static final FrameCodec CODEC = FrameCodec.withLimit(20 * 1024 * 1024);
 
   private ControlCost() {}
@@ -47,10 +47,10 @@
    * Prints a line for each size.
    *
    * @param arguments the daemon's jar, then pairs of peers and nodes, such as 46x333
-   * @throws Exception when a fleet does not come up
+   * @throws Exception when a fleet does not start
    */
   public static void main(String[] arguments) throws Exception {
-    PrintStream out = System.out; // NOPMD SystemPrintln: the table is this program's answer
+    PrintStream out = System.out; // NOPMD SystemPrintln: the table is this program's output
     out.println(
         "PEERS NODES  CPU % of a core  SENT B/s  RECEIVED B/s  RESIDENT MB  CALLS/s R W WATCH");
     for (int i = 1; i < arguments.length; i++) {
@@ -68,19 +68,19 @@
       String daemon = fleet.daemons().get(0);
       byte[] key = Files.readString(folder.resolve("peers.key")).getBytes(StandardCharsets.UTF_8);
       AtomicLong received = new AtomicLong();
-      List<Registration> crowd = new ArrayList<>();
+      List<Registration> peerRegistrations = new ArrayList<>();
       for (int i = 0; i < peers; i++) {
-        crowd.add(listen("peer-" + i, key, executor, received));
+        peerRegistrations.add(listen("peer-" + i, key, executor, received));
       }
-      register(fleet, crowd);
+      register(fleet, peerRegistrations);
       int port = Integer.parseInt(fleet.peerPort(daemon));
       for (int i = 0; i < peers; i++) {
-        beat(new Identity("peer-" + i, "dc", "x"), port, key, executor);
+        startPeer(new Identity("peer-" + i, "dc", "x"), port, key, executor);
       }
-      TimeUnit.SECONDS.sleep(WARM_SECONDS);
+      TimeUnit.SECONDS.sleep(WARMUP_SECONDS);
       long pid = fleet.child(daemon).pid();
       double[] first =
-          counters(fleet, daemon); // Before the clock starts: the first scrape is dear.
+          counters(fleet, daemon); // Outside the measurement: the first scrape is costly.
       ProcessUse before = ProcessUse.of(pid);
       TimeUnit.SECONDS.sleep(SECONDS);
       ProcessUse after = ProcessUse.of(pid);
@@ -124,11 +124,11 @@
     try {
       server.close();
     } catch (IOException e) {
-      // Closed is all that is wanted.
+      // Nothing left to release.
     }
   }
 
-  private static void beat(Identity identity, int port, byte[] key, ExecutorService executor) {
+  private static void startPeer(Identity identity, int port, byte[] key, ExecutorService executor) {
     executor.execute(
         () -> {
           try {
@@ -136,13 +136,13 @@
                 Link.dial(new InetSocketAddress(LOOPBACK, port), identity, key, CODEC, 5000);
             link.start(executor, (from, message) -> {}, () -> {});
             List<Message.Vouch> vouches = new ArrayList<>();
-            for (int i = 0; i < VOUCHES; i++) {
+            for (int i = 0; i < VOUCHES_PER_PEER; i++) {
               vouches.add(
                   new Message.Vouch(identity.daemon() + "-" + i, "1", "r", 1, "1", "m@1", "READY"));
             }
             link.send(new Message.Vouches(1, vouches, List.of()));
             while (!link.isClosed()) {
-              link.send(new Message.Beat(System.nanoTime(), 1, 1, 1, new int[VOUCHES]));
+              link.send(new Message.Beat(System.nanoTime(), 1, 1, 1, new int[VOUCHES_PER_PEER]));
               TimeUnit.SECONDS.sleep(1);
             }
           } catch (IOException e) {
@@ -153,13 +153,14 @@
         });
   }
 
-  private static void register(LocalFleet fleet, List<Registration> crowd) throws IOException {
+  private static void register(LocalFleet fleet, List<Registration> peerRegistrations)
+      throws IOException {
     String name = ObjectNames.daemons("dc");
     try (HttpObjectStore store =
         HttpObjectStore.create(LOOPBACK, fleet.port("platform"), 2000, 2000, kind -> {})) {
       StoredObject found = store.get(name).fold(Optional::orElseThrow, problem -> null);
       DaemonList list = Documents.read(found.value(), DaemonList.class);
-      for (Registration registration : crowd) {
+      for (Registration registration : peerRegistrations) {
         list = list.with(registration, "crowd");
       }
       store.put(name, found.version(), Documents.write(list));
--- a/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/DataPathCost.java
+++ b/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/DataPathCost.java
@@ -19,11 +19,11 @@
 import org.fawnvale.standins.fleet.FleetPlan;
 import org.fawnvale.standins.fleet.LocalFleet;
 
-/** What a daemon adds to a request, and what requests and stream events cost it. */
+/** Measures the latency that a daemon adds, and its CPU time per request and stream event. */
 public final class DataPathCost {
 
   private static final String KEY = "caller-key-of-benchmark";
-  private static final int PAIRS = 400;
+  private static final int REQUEST_PAIRS = 400;
   private static final int CLIENTS = 16;
   private static final int SECONDS = 8;
   private static final int TOKENS = 400;
@@ -49,7 +49,7 @@
    * Runs the measurements.
    *
    * @param arguments the daemon's jar
-   * @throws Exception when the fleet does not come up
+   * @throws Exception when the fleet does not start
    */
   public static void main(String[] arguments) throws Exception {
     FleetPlan plan =
@@ -85,7 +85,7 @@
       }
       TimeUnit.MILLISECONDS.sleep(100);
     }
-    throw new IOException("the replicas do not serve");
+    throw new IOException("the replicas did not start serving within 30 s");
   }
 
   private void operate(String daemon, String path, String body) throws IOException {
@@ -116,9 +116,9 @@
     HttpRequest direct =
         chat(fleet.url("engine-dc", "/nodes/" + leader + "/v1/chat/completions"), 4, false);
     HttpRequest through = chat(fleet.url(daemon, "/v1/chat/completions"), 4, false);
-    double[] directMillis = new double[PAIRS];
-    double[] throughMillis = new double[PAIRS];
-    for (int i = -PAIRS; i < PAIRS; i++) {
+    double[] directMillis = new double[REQUEST_PAIRS];
+    double[] throughMillis = new double[REQUEST_PAIRS];
+    for (int i = -REQUEST_PAIRS; i < REQUEST_PAIRS; i++) {
       double a = millis(direct);
       double b = millis(through);
       if (i >= 0) {
@@ -132,12 +132,12 @@
         Locale.ROOT,
         "latency: direct median %.3f ms p99 %.3f; through the daemon median %.3f ms p99 %.3f; "
             + "ratio of medians %.2f; added %.3f ms%n",
-        directMillis[PAIRS / 2],
-        directMillis[PAIRS * 99 / 100],
-        throughMillis[PAIRS / 2],
-        throughMillis[PAIRS * 99 / 100],
-        throughMillis[PAIRS / 2] / directMillis[PAIRS / 2],
-        throughMillis[PAIRS / 2] - directMillis[PAIRS / 2]);
+        directMillis[REQUEST_PAIRS / 2],
+        directMillis[REQUEST_PAIRS * 99 / 100],
+        throughMillis[REQUEST_PAIRS / 2],
+        throughMillis[REQUEST_PAIRS * 99 / 100],
+        throughMillis[REQUEST_PAIRS / 2] / directMillis[REQUEST_PAIRS / 2],
+        throughMillis[REQUEST_PAIRS / 2] - directMillis[REQUEST_PAIRS / 2]);
   }
 
   private double millis(HttpRequest request) throws IOException, InterruptedException {
--- a/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/EdgeCost.java
+++ b/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/EdgeCost.java
@@ -20,26 +20,26 @@
 import org.fawnvale.standins.fleet.EdgeDaemon;
 
 /**
- * What the start of an entry daemon and its control cost in a large fleet: real daemons of five
- * data centres before a stand-in of the users' platform whose list holds many nodes and changes all
- * the time. Two requests a second come to each, so that nearly all of it is start and control. Run
- * with {@code -Djdk.httpclient.allowRestrictedHeaders=host}.
+ * Measures the CPU time that entry daemons use for startup and for control traffic in a large
+ * fleet. Real daemons of five data centres use a stand-in of the users' platform that lists many
+ * nodes and changes continuously. Each daemon receives only two requests per second, which keeps
+ * the cost of requests low. Run with {@code -Djdk.httpclient.allowRestrictedHeaders=host}.
  */
 public final class EdgeCost {
 
   private static final int DATA_CENTRES = 5;
   private static final int NETWORK = 1;
-  private static final int PAGE = 50;
+  private static final int PAGE_SIZE = 50;
   private static final int START_SECONDS = 20;
   private static final int MEASURED_SECONDS = 30;
 
   private static final int WORKERS = 20;
-  private static final int REQUESTS_A_SECOND = 2;
-  private static final HttpClient CALLERS =
+  private static final int REQUESTS_PER_SECOND = 2;
+  private static final HttpClient CLIENT =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-  /** Changes of entries a second in a fleet of 1,095 nodes on a day with trouble. */
-  private static final int CHANGES_A_SECOND = 8;
+  /** Changes of list entries per second; each update of a group changes two entries. */
+  private static final int CHANGES_PER_SECOND = 8;
 
   private EdgeCost() {}
 
@@ -48,10 +48,10 @@
    *
    * @param arguments the folder that holds the jar and the class archive, then pairs of daemons and
    *     nodes, such as 40x1000; then, after {@code --}, further options of the daemons' JVM
-   * @throws Exception when a fleet does not come up
+   * @throws Exception when a fleet does not start
    */
   public static void main(String[] arguments) throws Exception {
-    PrintStream out = System.out; // NOPMD SystemPrintln: the table is this program's answer
+    PrintStream out = System.out; // NOPMD SystemPrintln: the table is this program's output
     out.println("DAEMONS NODES  START CPU s  CONTROL % of a core: MEAN MEDIAN MOST  RESIDENT MB");
     List<String> all = List.of(arguments);
     int end = all.contains("--") ? all.indexOf("--") : all.size();
@@ -73,7 +73,7 @@
     ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
     List<EdgeDaemon> processes = new ArrayList<>();
     try (UsersPlatformStandIn platform = UsersPlatformStandIn.start()) {
-      platform.pagesOf(PAGE);
+      platform.pagesOf(PAGE_SIZE);
       platform.addListedModel();
       platform.configure(2, "/chat/");
       for (int worker = 0; worker < WORKERS; worker++) {
@@ -95,12 +95,12 @@
             platform.listGroup("g" + group, dataCentre(group), next);
           },
           START_SECONDS,
-          1_000_000L * 2 / CHANGES_A_SECOND,
+          1_000_000L * 2 / CHANGES_PER_SECOND,
           TimeUnit.MICROSECONDS);
       timer.scheduleAtFixedRate(
-          () -> ask(change.incrementAndGet(), processes),
+          () -> sendRequest(change.incrementAndGet(), processes),
           START_SECONDS / 2,
-          1_000_000L / (daemons * REQUESTS_A_SECOND),
+          1_000_000L / (daemons * REQUESTS_PER_SECOND),
           TimeUnit.MICROSECONDS);
       TimeUnit.SECONDS.sleep(START_SECONDS);
       List<ProcessUse> before = use(processes);
@@ -112,13 +112,13 @@
     }
   }
 
-  private static void ask(int number, List<EdgeDaemon> daemons) {
+  private static void sendRequest(int number, List<EdgeDaemon> daemons) {
     String daemon = daemons.get(number % daemons.size()).frontend();
     HttpRequest.Builder request =
         HttpRequest.newBuilder(URI.create("http://" + daemon + "/chat/x"))
             .POST(HttpRequest.BodyPublishers.ofString("prompt"));
     UsersConfiguration.headersOfACaller("r" + number).forEach(request::header);
-    CALLERS.sendAsync(request.build(), HttpResponse.BodyHandlers.ofString());
+    CLIENT.sendAsync(request.build(), HttpResponse.BodyHandlers.ofString());
   }
 
   private static String dataCentre(int index) {
--- a/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/FormationTraceMaker.java
+++ b/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/FormationTraceMaker.java
@@ -17,8 +17,8 @@
 import org.fawnvale.core.replay.FormationTrace;
 
 /**
- * Makes the committed traces of nodes: some fail for an hour or more, some pause for seconds, some
- * are replaced, and once a rack goes.
+ * Generates the committed formation traces: nodes fail and return, nodes pause for seconds, and a
+ * quarter of one domain fails at once.
  */
 public final class FormationTraceMaker {
 
@@ -29,8 +29,8 @@
   private static final double GIGABYTES_PER_SECOND = 1;
   private static final double GIGABYTES = 60;
 
-  /** Stated outcomes: replica-hours of downtime and node-hours of stranding, a little over ours. */
-  private static final Map<String, FormationTrace.Expectation> STATED =
+  /** Upper limits by trace: replica-hours of downtime and node-hours of stranding. */
+  private static final Map<String, FormationTrace.Expectation> EXPECTATIONS =
       Map.of(
           "tavua-nodes-16-spare-poor", new FormationTrace.Expectation(4.1, 89),
           "tavua-nodes-16-spare-rich", new FormationTrace.Expectation(0.85, 70),
@@ -44,7 +44,7 @@
   /**
    * Writes the traces.
    *
-   * @param arguments the folder
+   * @param arguments the output folder
    * @throws IOException when it cannot be written
    */
   public static void main(String[] arguments) throws IOException {
@@ -93,14 +93,14 @@
             DETECTION_SECONDS,
             GIGABYTES_PER_SECOND,
             bundle,
-            STATED.get(name));
+            EXPECTATIONS.get(name));
     return new FormationTrace(fleet, events(domains * nodesPerDomain, nodesPerDomain));
   }
 
   private List<FormationTrace.Event> events(int nodes, int nodesPerDomain) {
     List<FormationTrace.Event> events = new ArrayList<>();
     for (int node = 0; node < nodes; node++) {
-      addLife(events, node);
+      addNodeEvents(events, node);
     }
     double rackAt = random.nextDouble() * HOURS * SECONDS_PER_HOUR;
     int first = random.nextInt(nodes / nodesPerDomain) * nodesPerDomain;
@@ -112,8 +112,8 @@
     return events;
   }
 
-  /** A node fails about every ninety hours, and pauses about every forty. */
-  private void addLife(List<FormationTrace.Event> events, int node) {
+  /** Adds the events of one node, which fails every 90 h and pauses every 40 h on average. */
+  private void addNodeEvents(List<FormationTrace.Event> events, int node) {
     double end = HOURS * SECONDS_PER_HOUR;
     for (double at = gap(90); at < end; at += gap(90)) {
       add(events, at, node, FormationTrace.Kind.FAIL);
--- a/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/PlanningTime.java
+++ b/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/PlanningTime.java
@@ -20,10 +20,10 @@
 import org.fawnvale.core.planning.Planner;
 import org.fawnvale.core.planning.PlannerSettings;
 
-/** Time of one plan against the number of nodes of a domain. */
+/** Measures planning time by number of nodes in a domain. */
 public final class PlanningTime {
 
-  private static final int REPLICA = 8;
+  private static final int NODES_PER_REPLICA = 8;
   private static final int ROUNDS = 31;
 
   private PlanningTime() {}
@@ -34,7 +34,7 @@
    * @param arguments none
    */
   public static void main(String[] arguments) {
-    PrintStream out = System.out; // NOPMD SystemPrintln: the table is this program's answer
+    PrintStream out = System.out; // NOPMD SystemPrintln: the table is this program's output
     out.println("NODES  FORM ALL ms  STEADY ms");
     for (int nodes : new int[] {16, 64, 256, 1024}) {
       Map<String, NodeView> idle = views(nodes, DomainState.empty("dc", "f"));
@@ -63,7 +63,15 @@
             List.of(new Model("m", "1", 1, List.of())),
             List.of(
                 new Role(
-                    "r", "m", RoleKind.COMBINED, REPLICA, nodes / REPLICA, 0, 0, 8, List.of())),
+                    "r",
+                    "m",
+                    RoleKind.COMBINED,
+                    NODES_PER_REPLICA,
+                    nodes / NODES_PER_REPLICA,
+                    0,
+                    0,
+                    8,
+                    List.of())),
             List.of(),
             List.of(),
             new Policy(1, 1, 5));
--- a/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/ProcessUse.java
+++ b/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/ProcessUse.java
@@ -5,10 +5,10 @@
 import java.nio.file.Path;
 
 /**
- * What a process has used so far, as the kernel counts it.
+ * The resources that a process has used so far, read from {@code /proc}.
  *
- * @param cpuSeconds processor time, user and system, seconds
- * @param residentMegabytes resident memory, megabytes
+ * @param cpuSeconds user and system CPU time, in seconds
+ * @param residentMegabytes resident memory, in megabytes
  */
 record ProcessUse(double cpuSeconds, double residentMegabytes) {
 
--- a/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/RequestTraceMaker.java
+++ b/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/RequestTraceMaker.java
@@ -13,10 +13,8 @@
 import org.fawnvale.core.replay.RequestTrace;
 
 /**
- * Makes the committed traces of requests, after the two fleets' descriptions in the brief.
- *
- * <p>They are synthetic: a few large workspaces, long drafts and short checks, prefixes that
- * requests share, bursts.
+ * Generates the committed, synthetic request traces of two fleets: a few large workspaces, long and
+ * short outputs, shared prompt prefixes, and bursts.
  */
 public final class RequestTraceMaker {
 
@@ -29,7 +27,7 @@
 
   private final RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(SEED);
 
-  /** A kind of request that a workspace sends. */
+  /** A request type: its share of the load, its prefix families and its sizes in tokens. */
   private record Kind(
       String workspace,
       String requestClass,
@@ -60,7 +58,7 @@
   /**
    * Writes the traces.
    *
-   * @param arguments the folder
+   * @param arguments the output folder
    * @throws IOException when it cannot be written
    */
   public static void main(String[] arguments) throws IOException {
@@ -134,7 +132,7 @@
     return requests;
   }
 
-  /** Every twenty seconds a burst of four seconds comes at twice the rate. */
+  /** Returns an interarrival time; the first 4 s of every 20 s have twice the mean rate. */
   private double gapMillis(double rate, double at) {
     boolean burst = at % 20_000 < 4000;
     double factor = burst ? 2 : 0.75;
--- a/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/ReturnCost.java
+++ b/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/ReturnCost.java
@@ -20,27 +20,24 @@
 import org.fawnvale.standins.fleet.EdgeDaemon;
 
 /**
- * How long daemons take to act by what the store shows after it has come back from a copy, and what
- * that costs the store: real daemons of five data centres before a stand-in whose list holds many
- * nodes. The store is away for a second, loses changes, and its operator writes a configuration at
- * the moment of its return. Run with {@code -Djdk.httpclient.allowRestrictedHeaders=host}.
- *
- * <p>9 daemons and 200 nodes, ten returns, the last daemon: not within 10 s, and 195,886 calls to
- * the store a return, before places in the store's history had an era; 771 ms (median) and 96 calls
- * after.
+ * Measures how long daemons take to apply the store's state after the store has been restored from
+ * an older copy, and how many calls the store receives meanwhile. Real daemons of five data centres
+ * use a stand-in of the store that lists many nodes. The store is down for a second, loses changes,
+ * and contains a new configuration when it is up again. Run with {@code
+ * -Djdk.httpclient.allowRestrictedHeaders=host}.
  */
 public final class ReturnCost {
 
   private static final int DATA_CENTRES = 5;
   private static final int NETWORK = 1;
-  private static final int PAGE = 50;
+  private static final int PAGE_SIZE = 50;
   private static final int START_SECONDS = 15;
-  private static final int RETURNS = 10;
+  private static final int RESTORES = 10;
   private static final int LOST_CHANGES = 60;
-  private static final int AWAY_MILLIS = 1_000;
-  private static final int REST_MILLIS = 3_000;
-  private static final int LOOK_MILLIS = 10;
-  private static final long BOUND_NANOS = 10_000_000_000L;
+  private static final int OUTAGE_MILLIS = 1_000;
+  private static final int SETTLE_MILLIS = 3_000;
+  private static final int POLL_MILLIS = 10;
+  private static final long TIMEOUT_NANOS = 10_000_000_000L;
   private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final int OK = 200;
 
@@ -59,17 +56,18 @@
    *
    * @param arguments the folder that holds the jar and the class archive, then pairs of daemons and
    *     nodes, such as 24x1000
-   * @throws Exception when a fleet does not come up
+   * @throws Exception when a fleet does not start
    */
   public static void main(String[] arguments) throws Exception {
-    PrintStream out = System.out; // NOPMD SystemPrintln: the table is this program's answer
+    PrintStream out = System.out; // NOPMD SystemPrintln: the table is this program's output
     out.println(
         "DAEMONS NODES  LAST DAEMON ms: MEDIAN  WORST  STORE CALLS: A RETURN  MOST A SECOND");
     for (String size : List.of(arguments).subList(1, arguments.length)) {
       String[] pair = size.split("x");
       try (UsersPlatformStandIn platform = UsersPlatformStandIn.start()) {
         ReturnCost cost = new ReturnCost(platform);
-        cost.play(Path.of(arguments[0]), Integer.parseInt(pair[0]), Integer.parseInt(pair[1]), out);
+        cost.measure(
+            Path.of(arguments[0]), Integer.parseInt(pair[0]), Integer.parseInt(pair[1]), out);
       }
     }
   }
@@ -78,15 +76,15 @@
     return "dc" + index % DATA_CENTRES;
   }
 
-  private void play(Path target, int count, int nodes, PrintStream out) throws Exception {
+  private void measure(Path target, int count, int nodes, PrintStream out) throws Exception {
     try {
       start(target, count, nodes);
       List<Long> millis = new ArrayList<>();
       long calls = 0;
       long most = 0;
-      for (int number = 0; number < RETURNS; number++) {
-        millis.add(comeBack());
-        TimeUnit.MILLISECONDS.sleep(REST_MILLIS);
+      for (int number = 0; number < RESTORES; number++) {
+        millis.add(restoreStore());
+        TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
         calls += platform.storeCalls();
         most = Math.max(most, platform.mostStoreCallsASecond());
       }
@@ -96,9 +94,9 @@
           "%7d %5d  %23d %6d  %21d %14d%n",
           count,
           nodes,
-          millis.get(RETURNS / 2),
-          millis.get(RETURNS - 1),
-          calls / RETURNS,
+          millis.get(RESTORES / 2),
+          millis.get(RESTORES - 1),
+          calls / RESTORES,
           most);
     } finally {
       daemons.forEach(EdgeDaemon::close);
@@ -107,7 +105,7 @@
 
   private void start(Path target, int count, int nodes) throws Exception {
     Path folder = Files.createTempDirectory("fawnvale-return");
-    platform.pagesOf(PAGE);
+    platform.pagesOf(PAGE_SIZE);
     platform.addListedModel();
     for (int group = 0; group < nodes / 2; group++) {
       platform.listGroup("g" + group, dataCentre(group), 0);
@@ -126,15 +124,15 @@
     awaitAll();
   }
 
-  /** One return; gives the time until the last daemon serves what came right after it. */
-  private long comeBack() throws InterruptedException {
+  /** Restores the store; returns the milliseconds until every daemon serves the new route. */
+  private long restoreStore() throws InterruptedException {
     long copy = platform.copyOfStore();
     for (int change = 0; change < LOST_CHANGES; change++) {
       platform.listGroup("g" + change, dataCentre(change), change + 1);
     }
-    TimeUnit.MILLISECONDS.sleep(REST_MILLIS);
+    TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
     platform.storeDown(true);
-    TimeUnit.MILLISECONDS.sleep(AWAY_MILLIS);
+    TimeUnit.MILLISECONDS.sleep(OUTAGE_MILLIS);
     platform.storeGoesBackTo(copy);
     version++;
     platform.addRouteWith(version);
@@ -143,13 +141,13 @@
     return awaitAll();
   }
 
-  /** Asks all daemons until each has served the newest route; gives the time in milliseconds. */
+  /** Polls until all daemons serve the newest route or the timeout ends; returns milliseconds. */
   private long awaitAll() throws InterruptedException {
     long begun = System.nanoTime();
     Set<Integer> waiting = new HashSet<>(IntStream.range(0, daemons.size()).boxed().toList());
-    while (!waiting.isEmpty() && System.nanoTime() - begun < BOUND_NANOS) {
+    while (!waiting.isEmpty() && System.nanoTime() - begun < TIMEOUT_NANOS) {
       waiting.removeIf(this::serves);
-      TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
+      TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
     }
     return (System.nanoTime() - begun) / NANOS_PER_MILLI;
   }
--- a/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/RoutingBenchmark.java
+++ b/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/RoutingBenchmark.java
@@ -22,7 +22,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Time of one routing decision against the number of replicas in sight. */
+/** Measures the time of one routing decision by number of candidate replicas. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -31,7 +31,7 @@
 @Measurement(iterations = 5, time = 1)
 public class RoutingBenchmark {
 
-  /** Replicas in sight. */
+  /** Number of candidate replicas. */
   @Param({"10", "100", "1000"})
   public int replicas;
 
@@ -40,7 +40,7 @@
   private Router router;
   private Prefix prefix;
 
-  /** Makes candidates with some load and some cached prefixes. */
+  /** Creates candidates with random load; every tenth has the prefix cached. */
   @Setup
   public void prepare() {
     PrefixIndex index = PrefixIndex.create(4096);
@@ -57,9 +57,9 @@
   }
 
   /**
-   * One decision.
+   * Measures one routing decision.
    *
-   * @return the pick
+   * @return the selected candidate
    */
   @Benchmark
   public Optional<Candidate> pick() {
@@ -67,9 +67,9 @@
   }
 
   /**
-   * The hashes of one prompt of 6,200 characters.
+   * Measures hashing a prompt of 6,200 characters.
    *
-   * @return the prefixes
+   * @return the hashed prefix
    */
   @Benchmark
   public Prefix hash() {
--- a/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/package-info.java
+++ b/fawnvale-benchmarks/src/main/java/org/fawnvale/benchmarks/package-info.java
@@ -1,4 +1,4 @@
-/** Benchmarks, slopes and makers of traces; run by hand, never a part of the tests. */
+/** Benchmarks and trace generators, run by hand and not as part of the tests. */
 @NullMarked
 package org.fawnvale.benchmarks;
 
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/BundleCommands.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/BundleCommands.java
@@ -15,12 +15,12 @@
 import org.fawnvale.core.result.ProblemKind;
 import org.fawnvale.core.result.Result;
 
-/** The operators' commands. */
+/** The {@code bundle} subcommands, most of which call a daemon's operator port. */
 final class BundleCommands {
 
   private BundleCommands() {}
 
-  /** What a command does with the daemon. */
+  /** The request that a subcommand sends to the daemon. */
   @FunctionalInterface
   private interface Action {
     OperatorClient.Reply run(OperatorClient client, Namespace options);
@@ -33,10 +33,12 @@
     addCheck(actions, commands);
     addSubmit(actions, commands);
     addChange(actions, commands, "approve", "approve a submitted revision");
-    addChange(actions, commands, "roll-out", "put an approved revision in force");
-    addChange(actions, commands, "roll-forward", "go on with a stopped rollout");
-    Subparser stop = addChange(actions, commands, "stop", "stop a rollout where it stands");
-    stop.addArgument("--reason").setDefault("stopped by an operator").help("why, for the history");
+    addChange(actions, commands, "roll-out", "roll out an approved revision");
+    addChange(actions, commands, "roll-forward", "resume a stopped rollout");
+    Subparser stop = addChange(actions, commands, "stop", "stop a rollout at its current step");
+    stop.addArgument("--reason")
+        .setDefault("stopped by an operator")
+        .help("the reason, recorded in the history");
     addStatus(actions, commands);
     addHistory(actions, commands);
   }
@@ -45,7 +47,7 @@
     Subparser check =
         actions
             .addParser("check")
-            .help("list every fault of a bundle, without a daemon")
+            .help("validate a bundle and list every error, without a daemon")
             .epilog("Example: fawnvale bundle check bundle.json");
     check.addArgument("file").help("the bundle");
     check.setDefault("command", "bundle check");
@@ -61,7 +63,7 @@
             console.print(checked.problems());
             return ExitCode.BAD_USAGE;
           }
-          console.line("The bundle " + checked.value().name() + " is in order.");
+          console.line("The bundle " + checked.value().name() + " is valid.");
           return ExitCode.DONE;
         });
   }
@@ -70,12 +72,12 @@
     Subparser submit =
         actions
             .addParser("submit")
-            .help("keep a bundle as the next revision")
+            .help("store a bundle as the next revision")
             .epilog(
                 "Example: fawnvale bundle submit bundle.json --daemon 10.0.0.1:9002 "
                     + "--key-file operator.key");
     submit.addArgument("file").help("the bundle");
-    connection(submit, "bundle submit");
+    addConnectionOptions(submit, "bundle submit");
     commands.put(
         "bundle submit",
         (options, console) ->
@@ -85,7 +87,8 @@
                         change(
                             options,
                             console,
-                            (client, each) -> client.post("/bundle/submit", operation(), text)),
+                            (client, each) ->
+                                client.post("/bundle/submit", newOperationId(), text)),
                     problem -> badUsage(problem, console)));
   }
 
@@ -100,7 +103,7 @@
                     + action
                     + " 3 --daemon 10.0.0.1:9002 --key-file operator.key");
     parser.addArgument("revision").type(Long.class).help("the revision");
-    connection(parser, "bundle " + action);
+    addConnectionOptions(parser, "bundle " + action);
     commands.put(
         "bundle " + action,
         (options, console) ->
@@ -116,7 +119,7 @@
                             + java.net.URLEncoder.encode(
                                 reason, java.nio.charset.StandardCharsets.UTF_8);
                   }
-                  return client.post("/bundle/" + action + query, operation(), "");
+                  return client.post("/bundle/" + action + query, newOperationId(), "");
                 }));
     return parser;
   }
@@ -125,15 +128,15 @@
     Subparser status =
         actions
             .addParser("status")
-            .help("show what is in force and how far the replicas are")
+            .help("show the active revision and the progress of its replicas")
             .epilog(
                 "Example: fawnvale bundle status --daemon 10.0.0.1:9002 --key-file operator.key");
-    connection(status, "bundle status");
+    addConnectionOptions(status, "bundle status");
     status.addArgument("--json").action(Arguments.storeTrue()).help("print JSON");
     commands.put(
         "bundle status",
         (options, console) ->
-            ask(
+            callDaemon(
                 options,
                 console,
                 (client, each) -> client.get("/bundle/status"),
@@ -146,12 +149,14 @@
 
   private static void addHistory(Subparsers actions, Map<String, Command> commands) {
     Subparser history =
-        actions.addParser("history").help("show the last changes, and who made them");
-    connection(history, "bundle history");
+        actions
+            .addParser("history")
+            .help("show the most recent changes and the operators who made them");
+    addConnectionOptions(history, "bundle history");
     commands.put(
         "bundle history",
         (options, console) ->
-            ask(
+            callDaemon(
                 options,
                 console,
                 (client, each) -> client.get("/bundle/history"),
@@ -168,7 +173,7 @@
                 }));
   }
 
-  private static void connection(Subparser parser, String command) {
+  private static void addConnectionOptions(Subparser parser, String command) {
     parser
         .addArgument("--daemon")
         .required(true)
@@ -182,19 +187,19 @@
     parser
         .addArgument("--trust")
         .metavar("FILE")
-        .help("PEM file with the certificate to trust; the port is then asked by TLS");
+        .help("PEM file with the certificate to trust; the connection then uses TLS");
     parser.setDefault("command", command);
   }
 
   private static ExitCode change(Namespace options, Console console, Action action) {
-    return ask(
+    return callDaemon(
         options,
         console,
         action,
         body -> console.line("Done: revision " + body.path("revision").asText() + "."));
   }
 
-  private static ExitCode ask(
+  private static ExitCode callDaemon(
       Namespace options,
       Console console,
       Action action,
@@ -231,7 +236,7 @@
     return ExitCode.BAD_USAGE;
   }
 
-  private static String operation() {
+  private static String newOperationId() {
     return UUID.randomUUID().toString();
   }
 }
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/Command.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/Command.java
@@ -2,10 +2,10 @@
 
 import net.sourceforge.argparse4j.inf.Namespace;
 
-/** What one subcommand does. */
+/** The implementation of one subcommand. */
 @FunctionalInterface
 interface Command {
 
-  /** Runs the subcommand with its options. */
+  /** Runs the subcommand with its parsed options. */
   ExitCode run(Namespace options, Console console);
 }
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/Console.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/Console.java
@@ -5,15 +5,15 @@
 import org.fawnvale.core.result.Problem;
 
 /**
- * Where commands print.
+ * The output streams of a command.
  *
- * @param out results
- * @param err problems
+ * @param out receives results
+ * @param err receives problems
  */
 public record Console(PrintStream out, PrintStream err) {
 
   /**
-   * The process's own streams.
+   * Returns a console on the standard output and error of the process.
    *
    * @return the console
    */
@@ -22,7 +22,7 @@
   }
 
   /**
-   * Prints problems, a line each.
+   * Prints each problem as one line on the error stream.
    *
    * @param problems the problems
    */
@@ -33,7 +33,7 @@
   }
 
   /**
-   * Prints a line of result.
+   * Prints a line on the result stream.
    *
    * @param line the line
    */
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/EdgeCommand.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/EdgeCommand.java
@@ -11,10 +11,10 @@
 import org.fawnvale.serving.daemon.SettingsReader;
 import org.jspecify.annotations.Nullable;
 
-/** Runs an entry daemon on the users' platform until it is told to stop. */
+/** Runs an entry daemon on the users' platform until it receives SIGTERM. */
 final class EdgeCommand {
 
-  /** The word that names the command. */
+  /** The name of the subcommand. */
   static final String NAME = "edge";
 
   private static final String SETTINGS_VARIABLE = "FAWNVALE_SETTINGS";
@@ -27,12 +27,13 @@
             .addParser(NAME)
             .help("run an entry daemon on the users' platform")
             .description(
-                "Runs an entry daemon. SIGTERM stops it: readiness turns false, requests under "
-                    + "way end, and it exits with 0. SIGHUP reads the settings again.")
+                "Runs an entry daemon. SIGTERM stops it: readiness turns false, requests in "
+                    + "progress finish, and it exits with 0. SIGHUP rereads the settings.")
             .epilog("Example: FAWNVALE_SETTINGS=edge-1.json fawnvale edge");
     edge.addArgument("--settings")
         .metavar("FILE")
-        .help("the settings file; without it the variable " + SETTINGS_VARIABLE + " names it");
+        .help(
+            "the settings file; if absent, the variable " + SETTINGS_VARIABLE + " gives its path");
     edge.setDefault("command", NAME);
     commands.put(NAME, EdgeCommand::run);
   }
@@ -42,10 +43,11 @@
   }
 
   /**
-   * Runs the daemon. It listens for callers first; log, metrics and everything else come after.
+   * Runs the daemon. The port for callers is opened before logging, metrics and all other parts are
+   * initialized.
    *
-   * @param named the settings file; null when the variable names it
-   * @param console told of bad usage
+   * @param named the settings file; null to use the environment variable
+   * @param console receives error messages
    * @return the exit code
    */
   static ExitCode run(@Nullable String named, Console console) {
@@ -59,8 +61,8 @@
       Path path = Path.of(file);
       Settings settings = SettingsReader.read(path);
       EarlyListener callers = EarlyListener.open(settings.frontend());
-      // The first logger of the process is made with the class that comes next.
-      LogLines lines = LogLines.begin();
+      // Must precede EdgeProcess, whose static initializer creates the first logger.
+      LogLines lines = LogLines.install();
       return new EdgeProcess(path, lines).serve(settings, callers);
     } catch (SettingsReader.BadSettingsException e) {
       console.err().println("fawnvale: " + e.getMessage());
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/EdgeProcess.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/EdgeProcess.java
@@ -11,7 +11,7 @@
 import org.fawnvale.serving.daemon.ServingDaemon;
 import org.fawnvale.serving.daemon.SettingsReader;
 
-/** The process of an entry daemon, from its settings to its planned stop. */
+/** Runs an entry daemon as a process until its orderly shutdown. */
 final class EdgeProcess {
 
   private static final Logger LOG = LogManager.getLogger("daemon");
@@ -20,10 +20,10 @@
   private final LogLines lines;
 
   /**
-   * Creates a process that has not begun.
+   * Creates a process without starting the daemon.
    *
-   * @param file the settings file
-   * @param lines the log, closed at the end
+   * @param file the settings file, which SIGHUP rereads
+   * @param lines the log, closed when the daemon has stopped
    */
   EdgeProcess(Path file, LogLines lines) {
     this.file = file;
@@ -31,20 +31,21 @@
   }
 
   /**
-   * Serves until SIGTERM.
+   * Serves until SIGTERM, then halts the process with status 0.
    *
-   * @param settings what the file says
-   * @param callers listens for callers already
-   * @return the exit code
-   * @throws IOException when an address can't be bound
+   * @param settings the settings read from the file
+   * @param callers the port for callers, already open
+   * @return {@link ExitCode#DONE}, although the process is halted before this method returns
+   * @throws IOException when an address cannot be bound
    */
   ExitCode serve(Settings settings, EarlyListener callers) throws IOException {
-    CountDownLatch told = new CountDownLatch(1);
-    Runtime.getRuntime().addShutdownHook(new Thread(() -> tellAndWait(told), "stop"));
+    CountDownLatch stopRequested = new CountDownLatch(1);
+    Runtime.getRuntime()
+        .addShutdownHook(new Thread(() -> requestStopAndBlock(stopRequested), "stop"));
     HangUp.handle(this::reload);
     ServingDaemon daemon = ServingDaemon.start(settings, new UsersPlatform(), callers);
     try {
-      told.await();
+      stopRequested.await();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -63,9 +64,11 @@
     }
   }
 
-  /** Waits for ever: the main thread halts the process once everything has stopped. */
-  private static void tellAndWait(CountDownLatch told) {
-    told.countDown();
+  /**
+   * Blocks the shutdown hook until the main thread has stopped the daemon and halts the process.
+   */
+  private static void requestStopAndBlock(CountDownLatch stopRequested) {
+    stopRequested.countDown();
     try {
       new CountDownLatch(1).await();
     } catch (InterruptedException e) {
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/ExitCode.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/ExitCode.java
@@ -2,13 +2,13 @@
 
 /** Exit codes of the program. */
 public enum ExitCode {
-  /** Done. */
+  /** The command succeeded. */
   DONE(0),
-  /** Refused by the system, or failed. */
+  /** The daemon refused the request, or the command failed. */
   REFUSED(1),
-  /** Bad usage, settings or bundle. */
+  /** The arguments, the settings or the bundle are invalid. */
   BAD_USAGE(2),
-  /** An answer was lost: the change may or may not have taken effect. */
+  /** The response was lost: the change may or may not have taken effect. */
   UNKNOWN(3);
 
   private final int code;
@@ -18,9 +18,9 @@
   }
 
   /**
-   * The number that the process exits with.
+   * Returns the exit status of the process.
    *
-   * @return the number
+   * @return the status, 0 to 3
    */
   public int code() {
     return code;
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/ExplainCommand.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/ExplainCommand.java
@@ -18,12 +18,12 @@
 import org.fawnvale.serving.core.explain.RequestTimeline;
 import org.jspecify.annotations.Nullable;
 
-/** Tells the story of one request from the logs of several daemons. */
+/** Reconstructs the timeline of a request, or a summary per interval, from daemon logs. */
 final class ExplainCommand {
 
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int USUAL_SPAN_SECONDS = 2;
-  private static final int LONGEST_SPAN_SECONDS = 3_600;
+  private static final int DEFAULT_SPAN_SECONDS = 2;
+  private static final int MAX_SPAN_SECONDS = 3_600;
 
   private ExplainCommand() {}
 
@@ -31,14 +31,17 @@
     Subparser explain =
         subparsers
             .addParser("explain")
-            .help("tell the story of one request from the daemons' logs")
+            .help("print the timeline of one request from the daemons' logs")
             .description(
-                "Reads the JSON lines of several daemons and prints, in order, what happened to a "
+                "Reads the JSON logs of several daemons and prints, in order, what happened to a "
                     + "request and to the nodes that it was sent to, with the likely cause of its "
                     + "end. Exits with 1 when no line names the request.")
             .epilog("Example: fawnvale explain 9c41d07be2a35f68 edge-1.log edge-2.log");
     explain.addArgument("request").help("the request's id");
-    explain.addArgument("file").nargs("+").help("logs of daemons; text before a line is kept");
+    explain
+        .addArgument("file")
+        .nargs("+")
+        .help("daemon logs; text before the JSON is taken as the daemon's name");
     explain.setDefault("command", "explain");
     commands.put("explain", ExplainCommand::run);
   }
@@ -47,18 +50,20 @@
     Subparser day =
         subparsers
             .addParser("explain-day")
-            .help("sum up what the daemons' logs tell, span by span")
+            .help("summarize the daemons' logs per interval")
             .description(
-                "Reads the JSON lines of all daemons and prints for each span of time: the groups "
-                    + "of each model, the load of those that requests were sent to (median and "
-                    + "ninth tenth), late first events, and refusals by reason.")
+                "Reads the JSON logs of all daemons and prints for each interval: the groups "
+                    + "of each model, the load of those that received requests (median and "
+                    + "90th percentile), late first events, and refusals by reason.")
             .epilog("Example: fawnvale explain-day --seconds 2 edge-1.log edge-2.log");
-    day.addArgument("file").nargs("+").help("logs of daemons; text before a line is kept");
+    day.addArgument("file")
+        .nargs("+")
+        .help("daemon logs; text before the JSON is taken as the daemon's name");
     day.addArgument("--seconds")
         .type(Integer.class)
-        .choices(Arguments.range(1, LONGEST_SPAN_SECONDS))
-        .setDefault(USUAL_SPAN_SECONDS)
-        .help("the length of a span");
+        .choices(Arguments.range(1, MAX_SPAN_SECONDS))
+        .setDefault(DEFAULT_SPAN_SECONDS)
+        .help("the length of an interval, in seconds");
     day.addArgument("--json").action(Arguments.storeTrue()).help("print JSON");
     day.setDefault("command", "explain-day");
     commands.put("explain-day", ExplainCommand::runDay);
@@ -74,7 +79,8 @@
     if (summary.spans().isEmpty()) {
       console
           .err()
-          .println("fawnvale: no line of a daemon was found. Give the logs of all daemons.");
+          .println(
+              "fawnvale: the files contain no daemon log lines. Give the logs of all daemons.");
       return ExitCode.REFUSED;
     }
     if (Boolean.TRUE.equals(options.getBoolean("json"))) {
@@ -154,7 +160,7 @@
             });
   }
 
-  /** Lines of other programs between the daemon's own are passed over. */
+  /** Parses a log line; returns null for lines that a daemon did not write. */
   private static @Nullable LogLine line(String file, String line) {
     int begin = line.indexOf('{');
     if (begin < 0) {
@@ -164,8 +170,8 @@
       JsonNode json = JSON.readTree(line.substring(begin));
       String before = line.substring(0, begin).trim();
       String daemon = before.isEmpty() ? file : before;
-      boolean whole = json.path("t").isTextual() && json.path("msg").isTextual();
-      return whole
+      boolean hasRequiredFields = json.path("t").isTextual() && json.path("msg").isTextual();
+      return hasRequiredFields
           ? new LogLine(
               json.path("t").asText(),
               daemon,
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/Files.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/Files.java
@@ -5,7 +5,7 @@
 import org.fawnvale.core.result.Problem;
 import org.fawnvale.core.result.Result;
 
-/** Reads files that the command line names. */
+/** Reads the files given on the command line. */
 final class Files {
 
   private Files() {}
@@ -16,7 +16,7 @@
     } catch (IOException e) {
       return Result.failure(
           Problem.invalid(
-              "file", file, "It cannot be read.", "Name a text file that you may read."));
+              "file", file, "The file cannot be read.", "Give the path of a readable text file."));
     }
   }
 }
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/HangUp.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/HangUp.java
@@ -6,8 +6,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Runs a task on SIGHUP, which would end the process otherwise. The JDK's class for signals is
- * reached by reflection, since the compiler warns of any direct use.
+ * Runs a task on SIGHUP instead of letting the signal terminate the process. Accesses {@code
+ * sun.misc.Signal} by reflection because the compiler warns about direct use.
  */
 final class HangUp {
 
@@ -32,7 +32,8 @@
               HangUp.class.getClassLoader(), new Class<?>[] {handlerClass}, invocation);
       signalClass.getMethod("handle", signalClass, handlerClass).invoke(null, signal, handler);
     } catch (ReflectiveOperationException | IllegalArgumentException e) {
-      LOG.warn("SIGHUP can't be handled and would end the process: {}.", e.toString());
+      LOG.warn(
+          "Cannot install a SIGHUP handler; SIGHUP will terminate the process: {}.", e.toString());
     }
   }
 }
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/LogLineFormat.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/LogLineFormat.java
@@ -6,25 +6,20 @@
 import java.util.logging.LogRecord;
 
 /**
- * How a line of the log is written: {@code {"t":"HH:mm:ss.SSS","level":..,"part":..,"msg":..}}, the
- * time in UTC. A failure adds its stack trace as {@code trace}.
+ * Formats a log record as a JSON line: {@code {"t":"HH:mm:ss.SSS","level":..,"part":..,"msg":..}},
+ * with the time in UTC. If the record has a throwable, {@code trace} holds its stack trace.
  */
 final class LogLineFormat {
 
-  private static final int MILLIS_A_SECOND = 1_000;
-  private static final int SECONDS_A_MINUTE = 60;
-  private static final int MINUTES_AN_HOUR = 60;
-  private static final int HOURS_A_DAY = 24;
+  private static final int MILLIS_PER_SECOND = 1_000;
+  private static final int SECONDS_PER_MINUTE = 60;
+  private static final int MINUTES_PER_HOUR = 60;
+  private static final int HOURS_PER_DAY = 24;
   private static final char FIRST_PRINTABLE = ' ';
 
   private LogLineFormat() {}
 
-  /**
-   * Writes a line.
-   *
-   * @param text where to
-   * @param line the line
-   */
+  /** Appends a record as one JSON line, including the line break. */
   static void append(StringBuilder text, LogRecord line) {
     text.append("{\"t\":\"");
     appendTime(text, line.getMillis());
@@ -42,7 +37,7 @@
     text.append("\"}\n");
   }
 
-  /** The JDK's levels by the names that Log4j gives them. */
+  /** Maps a JDK level to the name of the Log4j level. */
   private static String level(Level level) {
     if (level.intValue() >= Level.SEVERE.intValue()) {
       return "ERROR";
@@ -54,43 +49,43 @@
   }
 
   private static void appendTime(StringBuilder text, long epochMillis) {
-    long seconds = Math.floorDiv(epochMillis, MILLIS_A_SECOND);
-    long minutes = Math.floorDiv(seconds, SECONDS_A_MINUTE);
-    long hours = Math.floorDiv(minutes, MINUTES_AN_HOUR);
-    appendPadded(text, Math.floorMod(hours, HOURS_A_DAY), 2);
+    long seconds = Math.floorDiv(epochMillis, MILLIS_PER_SECOND);
+    long minutes = Math.floorDiv(seconds, SECONDS_PER_MINUTE);
+    long hours = Math.floorDiv(minutes, MINUTES_PER_HOUR);
+    appendPadded(text, Math.floorMod(hours, HOURS_PER_DAY), 2);
     text.append(':');
-    appendPadded(text, Math.floorMod(minutes, MINUTES_AN_HOUR), 2);
+    appendPadded(text, Math.floorMod(minutes, MINUTES_PER_HOUR), 2);
     text.append(':');
-    appendPadded(text, Math.floorMod(seconds, SECONDS_A_MINUTE), 2);
+    appendPadded(text, Math.floorMod(seconds, SECONDS_PER_MINUTE), 2);
     text.append('.');
-    appendPadded(text, Math.floorMod(epochMillis, MILLIS_A_SECOND), 3);
+    appendPadded(text, Math.floorMod(epochMillis, MILLIS_PER_SECOND), 3);
   }
 
   private static void appendPadded(StringBuilder text, int number, int digits) {
-    String written = Integer.toString(number);
-    text.append("0".repeat(digits - written.length())).append(written);
+    String decimal = Integer.toString(number);
+    text.append("0".repeat(digits - decimal.length())).append(decimal);
   }
 
   private static void appendEscaped(StringBuilder text, String value) {
     for (int index = 0; index < value.length(); index++) {
-      char sign = value.charAt(index);
-      switch (sign) {
+      char character = value.charAt(index);
+      switch (character) {
         case '"' -> text.append("\\\"");
         case '\\' -> text.append("\\\\");
         case '\n' -> text.append("\\n");
         case '\r' -> text.append("\\r");
         case '\t' -> text.append("\\t");
-        default -> appendPlain(text, sign);
+        default -> appendCharacter(text, character);
       }
     }
   }
 
-  private static void appendPlain(StringBuilder text, char sign) {
-    if (sign < FIRST_PRINTABLE) {
-      String hex = Integer.toHexString(sign);
+  private static void appendCharacter(StringBuilder text, char character) {
+    if (character < FIRST_PRINTABLE) {
+      String hex = Integer.toHexString(character);
       text.append("\\u").append("0".repeat(4 - hex.length())).append(hex);
     } else {
-      text.append(sign);
+      text.append(character);
     }
   }
 }
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/LogLines.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/LogLines.java
@@ -14,32 +14,30 @@
 import java.util.logging.Logger;
 
 /**
- * The log of an entry daemon: JSON lines on standard output, through a bounded queue. Lines that
- * find it full are dropped and counted rather than waited for.
+ * The log of an entry daemon: a background thread writes JSON lines to standard output from a
+ * bounded queue. Publishing never blocks: if the queue is full, the line is dropped and counted.
  *
- * <p>Log4j's lines are handed to the JDK's logging. With Log4j's own core a program took 0.78 s of
- * processor time to write its first line, with this 0.39 s (medians of three, whole process, user
- * and system, class archive); on the smallest entry nodes a second of it takes three.
+ * <p>The Log4j API is bridged to the JDK's logging, which starts faster than Log4j's own core.
  */
 final class LogLines extends Handler {
 
-  /** Chooses the library that the API of Log4j hands its lines to. */
+  /** System property that selects the implementation behind the Log4j API. */
   static final String PROVIDER_KEY = "log4j.provider";
 
-  /** The JDK's own logging. */
+  /** The Log4j provider that forwards to {@code java.util.logging}. */
   static final String PROVIDER = "org.apache.logging.log4j.tojul.JULProvider";
 
-  /** Lines that may wait: two seconds of a daemon that answers 300 requests a second. */
-  private static final int QUEUED_LINES = 2_048;
+  /** Capacity of the queue, in lines. */
+  private static final int QUEUE_CAPACITY = 2_048;
 
   /**
-   * The least time between two writes, in milliseconds. A daemon that answers eight requests a
-   * second logs 24 lines; written one by one each wakes a thread and makes a system call.
+   * Minimum time between two writes, in milliseconds. Batching saves a thread wake-up and a system
+   * call per line.
    */
   private static final long BATCH_MILLIS = 100;
 
-  /** How long a stop waits for the last lines, in milliseconds. */
-  private static final long LAST_LINES_MILLIS = 500;
+  /** How long {@link #close} waits for the remaining lines to be written, in milliseconds. */
+  private static final long CLOSE_TIMEOUT_MILLIS = 500;
 
   private final BlockingQueue<LogRecord> queue;
   private final AtomicLong dropped = new AtomicLong();
@@ -49,8 +47,8 @@
   /**
    * Creates a log.
    *
-   * @param out where the lines go
-   * @param queuedLines how many lines may wait
+   * @param out receives the lines
+   * @param queuedLines the capacity of the queue
    */
   LogLines(PrintStream out, int queuedLines) {
     super();
@@ -61,14 +59,15 @@
   }
 
   /**
-   * Sends all lines of the process here. It must come before the first logger is made.
+   * Installs this log for all loggers of the process and starts it. Must be called before the first
+   * logger is created.
    *
-   * @return the log, to be closed at the end
+   * @return the log, which the caller closes at shutdown
    */
-  static LogLines begin() {
+  static LogLines install() {
     System.setProperty(PROVIDER_KEY, PROVIDER);
     LogManager.getLogManager().reset();
-    LogLines lines = new LogLines(System.out, QUEUED_LINES);
+    LogLines lines = new LogLines(System.out, QUEUE_CAPACITY);
     lines.start();
     Logger root = Logger.getLogger("");
     root.addHandler(lines);
@@ -76,7 +75,7 @@
     return lines;
   }
 
-  /** Starts to write. */
+  /** Starts the writer thread. */
   void start() {
     writer.start();
   }
@@ -100,7 +99,7 @@
     flush();
   }
 
-  /** Writes the lines that wait with one call. */
+  /** Writes the given line and all queued lines with a single call. */
   private void writeBatch(LogRecord first) {
     List<LogRecord> lines = new ArrayList<>();
     lines.add(first);
@@ -109,9 +108,9 @@
     lines.forEach(line -> LogLineFormat.append(text, line));
     long lost = dropped.getAndSet(0);
     if (lost > 0) {
-      LogRecord note = new LogRecord(Level.WARNING, "lines=" + lost + " outcome=dropped");
-      note.setLoggerName("log");
-      LogLineFormat.append(text, note);
+      LogRecord dropNotice = new LogRecord(Level.WARNING, "lines=" + lost + " outcome=dropped");
+      dropNotice.setLoggerName("log");
+      LogLineFormat.append(text, dropNotice);
     }
     out.print(text);
     out.flush();
@@ -130,7 +129,7 @@
   public void close() {
     writer.interrupt();
     try {
-      writer.join(TimeUnit.MILLISECONDS.toMillis(LAST_LINES_MILLIS));
+      writer.join(TimeUnit.MILLISECONDS.toMillis(CLOSE_TIMEOUT_MILLIS));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/Logs.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/Logs.java
@@ -10,7 +10,7 @@
 import org.apache.logging.log4j.core.config.builder.impl.BuiltConfiguration;
 import org.fawnvale.core.settings.DaemonSettings;
 
-/** Sets the logs of the product's own form up: standard error, as text or as JSON lines. */
+/** Configures Log4j for {@code serve}: standard error, as text or as JSON lines. */
 final class Logs {
 
   private static final String PATTERN = "%d{ISO8601} %-5level [%logger] %msg%n%xEx";
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/Main.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/Main.java
@@ -15,16 +15,16 @@
 public final class Main {
 
   private static final String EXIT_CODES =
-      "Exit codes: 0 done; 1 refused by the system; 2 bad usage, settings or bundle; "
-          + "3 outcome unknown, since an answer was lost.";
+      "Exit codes: 0 success; 1 refused or failed; 2 invalid usage, settings or bundle; "
+          + "3 outcome unknown because a response was lost.";
 
   private static final String VERSION = "version";
 
-  /** What most programs take for the same. */
+  /** Accepted as an alias of the {@code version} command. */
   private static final String VERSION_OPTION = "--version";
 
-  /** First words of the command line. */
-  private static final List<String> WORDS =
+  /** Names of the top-level commands. */
+  private static final List<String> COMMAND_NAMES =
       List.of(
           "serve",
           EdgeCommand.NAME,
@@ -49,7 +49,7 @@
     System.exit(code.code());
   }
 
-  /** A daemon starts so; the parser would take 23 of 200 ms until it listens. */
+  /** Bypasses the argument parser for a plain {@code edge}, to shorten the start of a daemon. */
   private static boolean isPlainEdge(String[] arguments) {
     return arguments.length == 1 && EdgeCommand.NAME.equals(arguments[0]);
   }
@@ -58,18 +58,18 @@
    * Runs the program.
    *
    * @param arguments the command line
-   * @param console where it prints
+   * @param console receives the output
    * @return the exit code
    */
   public static ExitCode run(String[] arguments, Console console) {
-    return runWords(isVersionOption(arguments) ? new String[] {VERSION} : arguments, console);
+    return parseAndRun(isVersionOption(arguments) ? new String[] {VERSION} : arguments, console);
   }
 
   private static boolean isVersionOption(String[] arguments) {
     return arguments.length == 1 && VERSION_OPTION.equals(arguments[0]);
   }
 
-  private static ExitCode runWords(String[] arguments, Console console) {
+  private static ExitCode parseAndRun(String[] arguments, Console console) {
     Map<String, Command> commands = new LinkedHashMap<>();
     ArgumentParser parser = parser(arguments, commands);
     try {
@@ -86,28 +86,28 @@
   }
 
   /**
-   * Knows only the command that is named, when there is one: with all of them the start of a daemon
-   * would load and build what it never uses.
+   * Creates a parser. If the first argument names a command, only that command is registered, so
+   * that a daemon does not load the classes of the others.
    */
   private static ArgumentParser parser(String[] arguments, Map<String, Command> commands) {
     ArgumentParser parser =
         ArgumentParsers.newFor("fawnvale")
-            // It would start another process to ask for the width.
+            // Detecting the width would start a subprocess.
             .terminalWidthDetection(false)
             .build()
             .description("Serving system for models whose replicas span several nodes.")
             .epilog(EXIT_CODES);
     Subparsers subparsers = parser.addSubparsers().title("commands").metavar("COMMAND");
-    if (arguments.length > 0 && WORDS.contains(arguments[0])) {
+    if (arguments.length > 0 && COMMAND_NAMES.contains(arguments[0])) {
       add(arguments[0], subparsers, commands);
     } else {
-      WORDS.forEach(word -> add(word, subparsers, commands));
+      COMMAND_NAMES.forEach(name -> add(name, subparsers, commands));
     }
     return parser;
   }
 
-  private static void add(String word, Subparsers subparsers, Map<String, Command> commands) {
-    switch (word) {
+  private static void add(String name, Subparsers subparsers, Map<String, Command> commands) {
+    switch (name) {
       case "serve" -> ServeCommand.addTo(subparsers, commands);
       case EdgeCommand.NAME -> EdgeCommand.addTo(subparsers, commands);
       case "bundle" -> BundleCommands.addTo(subparsers, commands);
@@ -116,7 +116,7 @@
       case "explain-day" -> ExplainCommand.addDayTo(subparsers, commands);
       case "settings" -> SettingsCommand.addTo(subparsers, commands);
       case VERSION -> VersionCommand.addTo(subparsers, commands);
-      default -> throw new IllegalArgumentException(word + " is no command; add it here.");
+      default -> throw new IllegalArgumentException(name + " is not handled by Main.add.");
     }
   }
 }
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/OperatorClient.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/OperatorClient.java
@@ -25,18 +25,18 @@
 import org.fawnvale.core.result.ProblemKind;
 import org.jspecify.annotations.Nullable;
 
-/** Talks to a daemon's operator port. */
+/** HTTP client of a daemon's operator port. */
 final class OperatorClient {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final int TIMEOUT_SECONDS = 30;
-  private static final int FIRST_ERROR = 400;
+  private static final int FIRST_ERROR_STATUS = 400;
 
   private final String address;
   private final String key;
   private final @Nullable String trustFile;
 
-  /** What came back. */
+  /** The result of a call: a successful response, or the problems that prevented it. */
   sealed interface Reply {
     record Done(JsonNode body) implements Reply {}
 
@@ -77,15 +77,15 @@
             request.build(),
             Timeout.of(TIMEOUT_SECONDS, TimeUnit.SECONDS),
             HttpCoreContext.create(),
-            this::reply);
+            this::parseReply);
       }
     } catch (URISyntaxException | IllegalArgumentException e) {
-      return refused(ProblemKind.INVALID, "The address is not of the form IP:port.");
+      return refused(ProblemKind.INVALID, "The address must have the form IP:port.");
     } catch (ConnectException e) {
       return refused(ProblemKind.UNAVAILABLE, "The daemon cannot be reached; nothing was changed.");
     } catch (IOException | HttpException e) {
       ProblemKind kind = changes ? ProblemKind.OUTCOME_UNKNOWN : ProblemKind.UNAVAILABLE;
-      return refused(kind, "The daemon's answer was lost: " + e.getMessage() + ".");
+      return refused(kind, "The daemon's response was lost: " + e.getMessage() + ".");
     }
   }
 
@@ -93,14 +93,14 @@
     String remedy =
         kind == ProblemKind.OUTCOME_UNKNOWN
             ? "Run 'fawnvale bundle history' to see whether the change is listed."
-            : "Name another daemon's operator port by --daemon, and look at this one's logs.";
+            : "Pass another daemon's operator port to --daemon, and check this daemon's logs.";
     return new Reply.Refused(List.of(new Problem(kind, "--daemon", address, message, remedy)));
   }
 
-  private Reply reply(ClassicHttpResponse response) throws IOException, HttpException {
+  private Reply parseReply(ClassicHttpResponse response) throws IOException, HttpException {
     byte[] body = EntityUtils.toByteArray(response.getEntity());
     JsonNode tree = MAPPER.readTree(new String(body, StandardCharsets.UTF_8));
-    if (response.getCode() < FIRST_ERROR) {
+    if (response.getCode() < FIRST_ERROR_STATUS) {
       return new Reply.Done(tree);
     }
     List<Problem> problems = new ArrayList<>();
@@ -108,7 +108,8 @@
       problems.add(MAPPER.treeToValue(problem, Problem.class));
     }
     if (problems.isEmpty()) {
-      return refused(ProblemKind.UNAVAILABLE, "The daemon answered " + response.getCode() + ".");
+      return refused(
+          ProblemKind.UNAVAILABLE, "The daemon responded with status " + response.getCode() + ".");
     }
     return new Reply.Refused(problems);
   }
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/ReplayCommand.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/ReplayCommand.java
@@ -18,7 +18,10 @@
 import org.fawnvale.core.result.Problem;
 import org.fawnvale.core.result.Result;
 
-/** Runs a recorded trace through the decisions and compares the result with what it states. */
+/**
+ * Replays a trace through the routing or formation policies and compares the result with the
+ * outcome that the trace states.
+ */
 final class ReplayCommand {
 
   private static final String RANDOM = "L64X128MixRandom";
@@ -30,17 +33,23 @@
     Subparser replay =
         subparsers
             .addParser("replay")
-            .help("run a recorded trace through the decisions")
+            .help("replay a trace through the routing or formation policies")
             .description(
-                "Runs a trace of requests, or of nodes that fail and return, through the same "
-                    + "decisions as a daemon's. Exits with 1 when a stated outcome is not met.")
+                "Runs a trace of requests, or of nodes that fail and return, through the "
+                    + "policies that a daemon uses. Exits with 1 when a stated outcome is not met.")
             .epilog("Example: fawnvale replay traces/tavua-overload.jsonl --policy all");
-    replay.addArgument("trace").help("the trace, JSON lines; docs/TRACES.md has its form");
+    replay
+        .addArgument("trace")
+        .help("the trace, as JSON lines; docs/TRACES.md describes the format");
     replay
         .addArgument("--policy")
         .setDefault("own")
-        .help("a policy's name, or 'all' to compare; the daemon's own one by default");
-    replay.addArgument("--seed").type(Long.class).setDefault(1L).help("seed of random numbers");
+        .help("a policy's name, or 'all' to compare; defaults to the daemon's policy");
+    replay
+        .addArgument("--seed")
+        .type(Long.class)
+        .setDefault(1L)
+        .help("seed of the random number generator");
     replay.setDefault("command", "replay");
     commands.put("replay", ReplayCommand::run);
   }
@@ -78,9 +87,9 @@
                   }
                 }
               }
-              return end(console, wanted, RoutingPolicy.all().keySet(), runs, misses);
+              return finish(console, wanted, RoutingPolicy.all().keySet(), runs, misses);
             },
-            problem -> bad(problem, console));
+            problem -> badUsage(problem, console));
   }
 
   private static ExitCode formation(String lines, Namespace options, Console console) {
@@ -102,27 +111,27 @@
                   }
                 }
               }
-              return end(console, wanted, FormationPolicy.all().keySet(), runs, misses);
+              return finish(console, wanted, FormationPolicy.all().keySet(), runs, misses);
             },
-            problem -> bad(problem, console));
+            problem -> badUsage(problem, console));
   }
 
-  private static ExitCode end(
+  private static ExitCode finish(
       Console console, String wanted, Iterable<String> names, int runs, List<String> misses) {
     if (runs == 0) {
       Problem problem =
           Problem.invalid(
               "--policy",
               wanted,
-              "There is no such policy.",
-              "Take 'all' or one of " + String.join(", ", names) + ".");
-      return bad(problem, console);
+              "Unknown policy.",
+              "Use 'all' or one of " + String.join(", ", names) + ".");
+      return badUsage(problem, console);
     }
     misses.forEach(miss -> console.err().println("fawnvale: stated outcome missed: " + miss));
     return misses.isEmpty() ? ExitCode.DONE : ExitCode.REFUSED;
   }
 
-  private static ExitCode bad(Problem problem, Console console) {
+  private static ExitCode badUsage(Problem problem, Console console) {
     console.print(List.of(problem));
     return ExitCode.BAD_USAGE;
   }
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/ServeCommand.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/ServeCommand.java
@@ -16,7 +16,7 @@
 import org.fawnvale.daemon.Keys;
 import org.fawnvale.kernel.ServiceException;
 
-/** Runs an entry daemon until it is told to stop. */
+/** Runs an entry daemon until SIGTERM or, if so configured, the end of standard input. */
 final class ServeCommand {
 
   private static final Logger LOG = LogManager.getLogger("daemon");
@@ -29,14 +29,14 @@
             .addParser("serve")
             .help("run an entry daemon")
             .description(
-                "Runs an entry daemon. SIGTERM stops it: readiness turns false, requests under "
-                    + "way end, the lease is released, and it exits with 0.")
+                "Runs an entry daemon. SIGTERM stops it: readiness turns false, requests in "
+                    + "progress finish, the lease is released, and it exits with 0.")
             .epilog("Example: fawnvale serve --settings entry-1.json");
     serve.addArgument("--settings").required(true).metavar("FILE").help("the settings file");
     serve
         .addArgument("--until-input-ends")
         .action(Arguments.storeTrue())
-        .help("stop as well when standard input ends");
+        .help("also stop at the end of standard input");
     serve.setDefault("command", "serve");
     commands.put("serve", ServeCommand::run);
   }
@@ -60,16 +60,17 @@
 
   private static ExitCode serve(
       DaemonSettings settings, Keys keys, boolean untilInputEnds, Console console) {
-    CountDownLatch told = new CountDownLatch(1);
+    CountDownLatch stopRequested = new CountDownLatch(1);
     try {
       Daemon daemon = Daemon.create(settings, keys);
       daemon.start();
-      Runtime.getRuntime().addShutdownHook(new Thread(() -> tellAndWait(told), "stop"));
+      Runtime.getRuntime()
+          .addShutdownHook(new Thread(() -> requestStopAndBlock(stopRequested), "stop"));
       if (untilInputEnds) {
-        watchInput(told);
+        watchInput(stopRequested);
       }
       console.line("serving " + daemon.ports());
-      told.await();
+      stopRequested.await();
       daemon.stop();
       LogManager.shutdown();
       return ExitCode.DONE;
@@ -81,13 +82,15 @@
       Thread.currentThread().interrupt();
       return ExitCode.REFUSED;
     } finally {
-      Runtime.getRuntime().halt(told.getCount() == 0 ? 0 : ExitCode.REFUSED.code());
+      Runtime.getRuntime().halt(stopRequested.getCount() == 0 ? 0 : ExitCode.REFUSED.code());
     }
   }
 
-  /** Waits for ever: the exit code is the main thread's to give, once everything has stopped. */
-  private static void tellAndWait(CountDownLatch told) {
-    told.countDown();
+  /**
+   * Blocks the shutdown hook until the main thread has stopped the daemon and halts the process.
+   */
+  private static void requestStopAndBlock(CountDownLatch stopRequested) {
+    stopRequested.countDown();
     try {
       new CountDownLatch(1).await();
     } catch (InterruptedException e) {
@@ -95,7 +98,7 @@
     }
   }
 
-  private static void watchInput(CountDownLatch told) {
+  private static void watchInput(CountDownLatch stopRequested) {
     Thread watcher =
         new Thread(
             () -> {
@@ -106,9 +109,9 @@
                   length = System.in.read(buffer);
                 }
               } catch (IOException e) {
-                LOG.debug("Standard input failed.", e);
+                LOG.debug("Reading standard input failed.", e);
               }
-              told.countDown();
+              stopRequested.countDown();
             },
             "input");
     watcher.setDaemon(true);
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/SettingsCommand.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/SettingsCommand.java
@@ -9,7 +9,7 @@
 import org.fawnvale.core.result.Problem;
 import org.fawnvale.core.settings.DaemonSettings;
 
-/** Checks settings files. */
+/** The {@code settings check} subcommand: validates settings files. */
 final class SettingsCommand {
 
   private SettingsCommand() {}
@@ -21,7 +21,7 @@
             .addSubparsers()
             .metavar("ACTION")
             .addParser("check")
-            .help("list every fault of a settings file")
+            .help("validate a settings file and list every error")
             .epilog("Example: fawnvale settings check entry-1.json");
     check.addArgument("file").help("the settings file");
     check.setDefault("command", "settings check");
@@ -33,7 +33,7 @@
             console.print(checked.problems());
             return ExitCode.BAD_USAGE;
           }
-          console.line("The settings of " + checked.value().name() + " are in order.");
+          console.line("The settings of " + checked.value().name() + " are valid.");
           return ExitCode.DONE;
         });
   }
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/StatusTable.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/StatusTable.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Locale;
 
-/** The status as a table for people. */
+/** Renders the JSON status of a daemon as text tables. */
 final class StatusTable {
 
   private static final long NEVER_MILLIS = 365L * 24 * 3600 * 1000;
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/Trust.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/Trust.java
@@ -10,7 +10,7 @@
 import javax.net.ssl.SSLContext;
 import javax.net.ssl.TrustManagerFactory;
 
-/** TLS that trusts the certificates of one PEM file. */
+/** Creates TLS contexts that trust only the certificates of one PEM file. */
 final class Trust {
 
   private Trust() {}
@@ -20,11 +20,11 @@
       KeyStore store = KeyStore.getInstance("PKCS12");
       store.load(null, null);
       byte[] pem = java.nio.file.Files.readAllBytes(Path.of(file));
-      int number = 0;
+      int index = 0;
       for (Certificate certificate :
           CertificateFactory.getInstance("X.509")
               .generateCertificates(new ByteArrayInputStream(pem))) {
-        store.setCertificateEntry("trusted-" + number++, certificate);
+        store.setCertificateEntry("trusted-" + index++, certificate);
       }
       TrustManagerFactory managers =
           TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
@@ -33,7 +33,7 @@
       context.init(null, managers.getTrustManagers(), null);
       return context;
     } catch (GeneralSecurityException e) {
-      throw new IOException("the file named by --trust holds no PEM certificate", e);
+      throw new IOException("cannot load PEM certificates from the file given by --trust", e);
     }
   }
 }
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/package-info.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/package-info.java
@@ -1,4 +1,4 @@
-/** The command line. */
+/** The {@code fawnvale} command line: subcommands, console output and logging setup. */
 @NullMarked
 package org.fawnvale.cli;
 
--- a/fawnvale-cli/src/test/java/org/fawnvale/cli/CommandLineTest.java
+++ b/fawnvale-cli/src/test/java/org/fawnvale/cli/CommandLineTest.java
@@ -43,22 +43,22 @@
         "tavua-nodes-16-spare-rich",
         "semilla-viva-nodes-16-spare-rich"
       })
-  void aTraceMeetsItsStatedOutcome(String trace) {
+  void replayMeetsStatedOutcome(String trace) {
     ExitCode code = run("replay", ROOT.resolve("traces/" + trace + ".jsonl").toString());
     assertThat(code).as(printed()).isEqualTo(ExitCode.DONE);
   }
 
   @Test
-  void theVersionIsPrintedByTheWordAndByTheOption() {
+  void versionCommandAndOptionPrintTheSame() {
     assertThat(run("version")).isEqualTo(ExitCode.DONE);
-    String byWord = printed();
+    String byCommand = printed();
     printed.reset();
     assertThat(run("--version")).isEqualTo(ExitCode.DONE);
-    assertThat(printed()).isEqualTo(byWord).startsWith("fawnvale ");
+    assertThat(printed()).isEqualTo(byCommand).startsWith("fawnvale ");
   }
 
   @Test
-  void aMissedOutcomeIsNamedAndRefused() throws IOException {
+  void replayReportsMissedOutcome() throws IOException {
     String trace = Files.readString(ROOT.resolve("traces/tavua-normal.jsonl"));
     Path strict = folder.resolve("strict.jsonl");
     Files.writeString(
@@ -68,39 +68,39 @@
   }
 
   @Test
-  void aTraceThatCannotBeReadNamesItsLine() throws IOException {
-    Path torn = folder.resolve("torn.jsonl");
-    Files.writeString(torn, "{\"name\": \"x\"}\n{\"atMillis\": ");
-    assertThat(run("replay", torn.toString())).isEqualTo(ExitCode.BAD_USAGE);
+  void replayReportsLineOfInvalidTrace() throws IOException {
+    Path truncated = folder.resolve("torn.jsonl");
+    Files.writeString(truncated, "{\"name\": \"x\"}\n{\"atMillis\": ");
+    assertThat(run("replay", truncated.toString())).isEqualTo(ExitCode.BAD_USAGE);
     assertThat(printed()).contains("line 2").contains("docs/TRACES.md");
   }
 
   @Test
-  void anUnknownPolicyIsAnsweredWithTheKnownOnes() {
+  void replayListsPoliciesForUnknownPolicy() {
     String trace = ROOT.resolve("traces/tavua-normal.jsonl").toString();
     assertThat(run("replay", trace, "--policy", "best")).isEqualTo(ExitCode.BAD_USAGE);
     assertThat(printed()).contains("round-robin");
   }
 
   @Test
-  void theExampleBundleIsInOrder() {
+  void exampleBundleIsValid() {
     assertThat(run("bundle", "check", ROOT.resolve("examples/bundle.json").toString()))
         .isEqualTo(ExitCode.DONE);
   }
 
   @Test
-  void rolesThatAreNotBuiltYetAreRefused() throws IOException {
+  void rejectsUnsupportedRoleKind() throws IOException {
     String bundle = Files.readString(ROOT.resolve("examples/bundle.json"));
-    Path parted = folder.resolve("parted.json");
+    Path withPrefillRole = folder.resolve("parted.json");
     Files.writeString(
-        parted,
+        withPrefillRole,
         bundle.replace("\"nodesPerReplica\"", "\"kind\": \"prefill\", \"nodesPerReplica\""));
-    assertThat(run("bundle", "check", parted.toString())).isEqualTo(ExitCode.BAD_USAGE);
+    assertThat(run("bundle", "check", withPrefillRole.toString())).isEqualTo(ExitCode.BAD_USAGE);
     assertThat(printed()).contains("roles[drafter].kind").contains("combined");
   }
 
   @Test
-  void missingFilesAndUnknownCommandsAreBadUsage() {
+  void missingFilesAndUnknownCommandsExitWithBadUsage() {
     assertThat(run("settings", "check", folder.resolve("none").toString()))
         .isEqualTo(ExitCode.BAD_USAGE);
     assertThat(run("fly")).isEqualTo(ExitCode.BAD_USAGE);
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void aDaemonThatCannotBeReachedIsNamed() throws IOException {
+  void reportsAddressOfUnreachableDaemon() throws IOException {
     Path key = folder.resolve("operator.key");
     Files.writeString(key, "key");
     ExitCode code =
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void explainTellsARequestsStoryFromTheLogsOfSeveralDaemons() throws IOException {
+  void explainMergesLogsOfSeveralDaemons() throws IOException {
     Path first = folder.resolve("edge-1.log");
     Path second = folder.resolve("edge-2.log");
     Files.writeString(
@@ -139,7 +139,7 @@
   }
 
   @Test
-  void explainSaysWhenNoLogNamesTheRequest() throws IOException {
+  void explainReportsUnknownRequest() throws IOException {
     Path log = folder.resolve("edge-1.log");
     Files.writeString(log, logLine("10:00:00.100", "gateway", "request=r1 sent_to=i-a"));
     assertThat(run("explain", "r2", log.toString())).isEqualTo(ExitCode.REFUSED);
--- a/fawnvale-cli/src/test/java/org/fawnvale/cli/LogLinesTest.java
+++ b/fawnvale-cli/src/test/java/org/fawnvale/cli/LogLinesTest.java
@@ -13,44 +13,44 @@
 import java.util.logging.LogRecord;
 import org.junit.jupiter.api.Test;
 
-/** Lines of an entry daemon's log: JSON, bounded, and none is waited for. */
+/** Guards against malformed JSON log lines, unbounded queueing and lines lost at shutdown. */
 class LogLinesTest {
 
-  private static LogRecord line(Level level, String message) {
-    LogRecord line = new LogRecord(level, message);
-    line.setLoggerName("store");
-    line.setInstant(Instant.parse("2026-03-04T05:06:07.089Z"));
-    return line;
+  private static LogRecord logRecord(Level level, String message) {
+    LogRecord logRecord = new LogRecord(level, message);
+    logRecord.setLoggerName("store");
+    logRecord.setInstant(Instant.parse("2026-03-04T05:06:07.089Z"));
+    return logRecord;
   }
 
-  private static String written(LogRecord line) {
+  private static String format(LogRecord logRecord) {
     StringBuilder text = new StringBuilder();
-    LogLineFormat.append(text, line);
+    LogLineFormat.append(text, logRecord);
     return text.toString();
   }
 
   @Test
-  void aLineIsJsonWithTimeLevelPartAndMessage() {
-    assertThat(written(line(Level.WARNING, "kind=NODES outcome=store_lost")))
+  void formatsRecordAsJsonLine() {
+    assertThat(format(logRecord(Level.WARNING, "kind=NODES outcome=store_lost")))
         .isEqualTo(
             "{\"t\":\"05:06:07.089\",\"level\":\"WARN\",\"part\":\"store\","
                 + "\"msg\":\"kind=NODES outcome=store_lost\"}\n");
   }
 
   @Test
-  void whatCallersSendCannotBreakALine() throws IOException {
-    String nasty = "a\"b\\c\nd\te\u0001f\u00e9";
-    String text = written(line(Level.INFO, nasty));
+  void escapesControlAndQuoteCharacters() throws IOException {
+    String special = "a\"b\\c\nd\te\u0001f\u00e9";
+    String text = format(logRecord(Level.INFO, special));
     assertThat(text.indexOf('\n')).isEqualTo(text.length() - 1);
     JsonNode json = new ObjectMapper().readTree(text);
-    assertThat(json.path("msg").asText()).isEqualTo(nasty);
+    assertThat(json.path("msg").asText()).isEqualTo(special);
   }
 
   @Test
   void aFailureTellsItsStackTrace() throws IOException {
-    LogRecord line = line(Level.SEVERE, "A timed task failed.");
-    line.setThrown(new IllegalStateException("for a test"));
-    JsonNode json = new ObjectMapper().readTree(written(line));
+    LogRecord logRecord = logRecord(Level.SEVERE, "A timed task failed.");
+    logRecord.setThrown(new IllegalStateException("for a test"));
+    JsonNode json = new ObjectMapper().readTree(format(logRecord));
     assertThat(json.path("level").asText()).isEqualTo("ERROR");
     assertThat(json.path("trace").asText())
         .contains("IllegalStateException: for a test")
@@ -58,11 +58,11 @@
   }
 
   @Test
-  void linesThatFindTheQueueFullAreDroppedAndCounted() {
+  void dropsAndCountsLinesWhenQueueIsFull() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     LogLines lines = new LogLines(new PrintStream(out, true, StandardCharsets.UTF_8), 3);
     for (int number = 0; number < 5; number++) {
-      lines.publish(line(Level.INFO, "number=" + number));
+      lines.publish(logRecord(Level.INFO, "number=" + number));
     }
     lines.flush();
     assertThat(out.toString(StandardCharsets.UTF_8).lines())
@@ -73,12 +73,12 @@
   }
 
   @Test
-  void theLastLinesAreWrittenAtTheEnd() {
+  void closeWritesQueuedLines() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     LogLines lines = new LogLines(new PrintStream(out, true, StandardCharsets.UTF_8), 100);
     lines.start();
     for (int number = 0; number < 50; number++) {
-      lines.publish(line(Level.INFO, "number=" + number));
+      lines.publish(logRecord(Level.INFO, "number=" + number));
     }
     lines.close();
     assertThat(out.toString(StandardCharsets.UTF_8).lines()).hasSize(50);
