--- a/fawnvale-core/src/main/java/org/fawnvale/core/claims/ClaimSlot.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/claims/ClaimSlot.java
@@ -55,7 +55,6 @@
   /**
    * Evaluates a claim against this slot.
    *
-   * @param keyDigest the digest of the key
    * @param owner the owner that claims the key
    * @param nowMillis the current time
    * @return GRANTED when the owner already holds the key, or when the key is free and the slot is
@@ -86,7 +85,6 @@
   /**
    * Releases a claim whose request did not run.
    *
-   * @param keyDigest the digest of the key
    * @param owner the owner that holds the claim
    * @return a slot without the claim, or this slot when the owner does not hold it
    */
--- a/fawnvale-core/src/main/java/org/fawnvale/core/claims/IssuedRequestKeys.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/claims/IssuedRequestKeys.java
@@ -64,7 +64,6 @@
   /**
    * Parses the issuer of a key.
    *
-   * @param key the key
    * @return the issuer, or nothing when the key does not have the form of an issued key
    */
   public static Optional<Issuer> issuerOf(String key) {
@@ -100,11 +99,7 @@
     }
   }
 
-  /**
-   * Marks a key as unused, because its request did not run.
-   *
-   * @param key the key
-   */
+  /** Marks a key as unused, because its request did not run. */
   public synchronized void release(String key) {
     int number = number(key);
     if (number >= 0 && number < issuedCount) {
--- a/fawnvale-core/src/main/java/org/fawnvale/core/hash/Rendezvous.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/hash/Rendezvous.java
@@ -14,7 +14,6 @@
   /**
    * Selects the candidates with the highest rank for a key.
    *
-   * @param key the key
    * @param candidates the candidates, in any order
    * @param count maximum number of candidates to select
    * @return the selected candidates, the highest rank first; fewer when there are fewer candidates
--- a/fawnvale-core/src/main/java/org/fawnvale/core/limits/AdmissionQueue.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/limits/AdmissionQueue.java
@@ -65,7 +65,6 @@
    * @param weight the weight of the flow, greater than 0
    * @param deadlineNanos the deadline of the request
    * @param nowNanos the current time
-   * @param request the request
    * @return the reason for the refusal and the time to retry after; nothing when the request is
    *     queued
    */
--- a/fawnvale-core/src/main/java/org/fawnvale/core/limits/FairQueue.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/limits/FairQueue.java
@@ -45,7 +45,6 @@
    * @param flow the flow of the item
    * @param weight the weight of the flow, greater than 0
    * @param cost the cost of the item, greater than 0
-   * @param item the item
    * @return false when the flow is full; the item was not added
    */
   public boolean offer(String flow, double weight, double cost, T item) {
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Bundle.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Bundle.java
@@ -8,10 +8,7 @@
  * services and workspaces.
  *
  * @param name a display name
- * @param models the models
- * @param roles the roles
  * @param services the plain services
- * @param workspaces the workspaces
  * @param policy the weights for forming replicas
  */
 public record Bundle(
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Lease.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Lease.java
@@ -19,7 +19,6 @@
   /**
    * Returns the lease with the next epoch, held by another daemon.
    *
-   * @param newHolder the new holder
    * @param newDurationMillis the lease duration of the new holder, milliseconds
    */
   public Lease takenBy(String newHolder, long newDurationMillis) {
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Order.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Order.java
@@ -39,7 +39,6 @@
   /**
    * Creates an order that assigns a node to its replica.
    *
-   * @param replica the replica
    * @param node the member
    * @param epoch the sender's lease epoch
    * @param weightGigabytes size of the weights to load, gigabytes
@@ -62,7 +61,6 @@
   /**
    * Creates an order that preloads weights on a node outside all replicas.
    *
-   * @param node the node
    * @param epoch the sender's lease epoch
    * @param generation the last generation assigned in the domain
    * @param model the model to load
@@ -85,7 +83,6 @@
   /**
    * Creates an order that removes a node from all replicas.
    *
-   * @param node the node
    * @param epoch the sender's lease epoch
    * @param generation the last generation assigned in the domain
    */
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Rollout.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Rollout.java
@@ -41,7 +41,6 @@
    *
    * @param operation identifier of the operation, chosen by the client
    * @param operator name of the operator
-   * @param action the action
    * @param revision the revision that the action applied to
    */
   public record Change(String operation, String operator, String action, long revision) {}
--- a/fawnvale-core/src/main/java/org/fawnvale/core/readiness/ReadinessTable.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/readiness/ReadinessTable.java
@@ -131,7 +131,6 @@
   /**
    * Tells whether a replica may serve.
    *
-   * @param replica the replica
    * @param nowNanos the current time
    * @return true when the replica is not draining and every member is confirmed as ready
    */
@@ -142,7 +141,6 @@
   /**
    * Finds the first member that is excluded or not confirmed as ready.
    *
-   * @param replica the replica
    * @param nowNanos the current time
    * @return the member's name, or null when all members are ready
    */
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationReplay.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationReplay.java
@@ -61,8 +61,6 @@
   /**
    * Replays a trace, after a simulated warm-up in which the replicas are formed.
    *
-   * @param trace the trace
-   * @param policy the policy
    * @return the result, without the warm-up
    */
   public static FormationResult run(FormationTrace trace, FormationPolicy policy) {
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationResult.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationResult.java
@@ -54,7 +54,6 @@
   /**
    * Compares the result with the expectation of the trace.
    *
-   * @param expectation the expectation
    * @return a text for each bound that is not met; empty when all are met
    */
   public List<String> unmetExpectations(FormationTrace.Expectation expectation) {
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationTrace.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationTrace.java
@@ -9,7 +9,6 @@
  * A trace of node events as JSON lines: first the fleet, then the events in chronological order.
  *
  * @param fleet the nodes and the bundle
- * @param events the events
  */
 public record FormationTrace(Fleet fleet, List<Event> events) {
 
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/RequestReplay.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/RequestReplay.java
@@ -198,8 +198,6 @@
   /**
    * Replays a trace.
    *
-   * @param trace the trace
-   * @param policy the policy
    * @param random random numbers; an equally seeded generator gives the same result
    * @return the result
    */
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/RequestTrace.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/RequestTrace.java
@@ -9,7 +9,6 @@
  * A trace of requests as JSON lines: first the fleet, then the requests in the order of arrival.
  *
  * @param fleet the daemons and replicas that serve the requests
- * @param requests the requests
  */
 public record RequestTrace(Fleet fleet, List<Request> requests) {
 
@@ -66,7 +65,6 @@
    *
    * @param atMillis arrival time, milliseconds from the start
    * @param workspace the workspace of the caller
-   * @param requestClass the class of the request
    * @param family identifies requests that share a prompt prefix
    * @param sharedCharacters length of the shared prefix, in characters
    * @param characters length of the whole prompt, in characters
--- a/fawnvale-core/src/main/java/org/fawnvale/core/result/Result.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/result/Result.java
@@ -12,7 +12,6 @@
   /**
    * A successful result.
    *
-   * @param value the value
    * @param <T> the type of the value
    */
   record Success<T>(T value) implements Result<T> {}
@@ -20,7 +19,6 @@
   /**
    * A failed result.
    *
-   * @param problem the problem
    * @param <T> the type of the value that is missing
    */
   record Failure<T>(Problem problem) implements Result<T> {}
@@ -28,7 +26,6 @@
   /**
    * Creates a successful result.
    *
-   * @param value the value
    * @param <T> the type of the value
    */
   static <T> Result<T> success(T value) {
@@ -38,7 +35,6 @@
   /**
    * Creates a failed result.
    *
-   * @param problem the problem
    * @param <T> the type of the value that is missing
    */
   static <T> Result<T> failure(Problem problem) {
--- a/fawnvale-core/src/main/java/org/fawnvale/core/routing/Router.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/routing/Router.java
@@ -45,7 +45,6 @@
    * Creates a router.
    *
    * @param index estimates of the prefixes that each replica has cached
-   * @param settings the settings
    */
   public static Router create(PrefixIndex index, Settings settings) {
     return new Router(index, settings);
--- a/fawnvale-core/src/main/java/org/fawnvale/core/settings/DaemonSettings.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/settings/DaemonSettings.java
@@ -53,7 +53,6 @@
    * An address to connect to.
    *
    * @param address the IP address
-   * @param port the port
    */
   public record Endpoint(String address, int port) {}
 
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/ClaimService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/claim/ClaimService.java
@@ -70,7 +70,6 @@
   /**
    * Claims a key and waits for the result. Blocks the calling thread.
    *
-   * @param keyDigest the key's digest
    * @param owner identifies this attempt to run the request; unique among all requests
    * @param timeoutMillis how long to wait, milliseconds
    * @return the result; granted only if the owner holds the key for the whole claim window
@@ -92,7 +91,6 @@
   /**
    * Releases a claim whose request did not run.
    *
-   * @param keyDigest the key's digest
    * @param owner the owner that the claim was made for
    * @param timeoutMillis how long to wait, milliseconds
    * @return true when the store confirmed that this owner no longer holds the key
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/Progress.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/Progress.java
@@ -20,8 +20,6 @@
   /**
    * One role in one data centre.
    *
-   * @param dataCentre the data centre
-   * @param role the role
    * @param wanted number of replicas that the bundle asks for
    * @param standing number of replicas in the data centre's domains, of any version
    * @param current number of those replicas that have the bundle's version and are not draining
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/evidence/NodeProbe.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/evidence/NodeProbe.java
@@ -36,7 +36,6 @@
    * @param engines the client for engines
    * @param upstream the client for plain services
    * @param context the daemon's settings, identity, clocks and executors
-   * @return the probe
    */
   public static NodeProbe create(EngineClient engines, UpstreamClient upstream, Context context) {
     return new NodeProbe(engines, upstream, context);
@@ -45,7 +44,6 @@
   /**
    * Probes a node.
    *
-   * @param node the node
    * @param timeoutMillis the timeout in milliseconds
    * @return the node's report, or the problem that prevented it
    */
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Answer.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Answer.java
@@ -13,18 +13,10 @@
   /** Header with the outcome of the request: whether it was answered, did not run or is unknown. */
   String OUTCOME_HEADER = "Fawnvale-Outcome";
 
-  /**
-   * Returns the HTTP status code.
-   *
-   * @return the status code
-   */
+  /** Returns the HTTP status code. */
   int status();
 
-  /**
-   * Returns the HTTP headers, including the content type.
-   *
-   * @return the headers
-   */
+  /** Returns the HTTP headers, including the content type. */
   Map<String, String> headers();
 
   /**
@@ -32,8 +24,6 @@
    *
    * @param outcome whether the request was answered, did not run or is unknown
    * @param status the HTTP status
-   * @param headers the headers
-   * @param body the body
    */
   record Whole(Outcome outcome, int status, Map<String, String> headers, byte[] body)
       implements Answer {
@@ -48,7 +38,6 @@
    * An answer whose body is copied to the caller while it arrives from the upstream.
    *
    * @param status the HTTP status
-   * @param headers the headers
    * @param body copies the body to the caller
    */
   record Streamed(int status, Map<String, String> headers, Body body) implements Answer {
@@ -81,7 +70,6 @@
    * @param code the error code, for programs
    * @param message what is wrong
    * @param remedy what the caller can do about it
-   * @return the answer
    */
   static Whole error(int status, Outcome outcome, String code, String message, String remedy) {
     Map<String, String> headers = new LinkedHashMap<>();
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/CallerRequest.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/CallerRequest.java
@@ -16,7 +16,6 @@
  * @param method the HTTP method
  * @param path the path, including the query
  * @param contentType the body's content type
- * @param body the body
  * @param forwarded true when another daemon forwarded the request; this daemon then doesn't forward
  *     it again
  */
@@ -37,7 +36,6 @@
    * Returns a copy of the request with another request key.
    *
    * @param nextKey the request key
-   * @return the copy
    */
   public CallerRequest withKey(String nextKey) {
     return new CallerRequest(
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Gateway.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Gateway.java
@@ -44,7 +44,6 @@
     /**
      * Forwards a request to another data centre.
      *
-     * @param request the request
      * @return the answer, or empty when no other data centre ran the request
      */
     Optional<Answer> send(CallerRequest request);
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/InFlightCounter.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/InFlightCounter.java
@@ -51,11 +51,7 @@
     return true;
   }
 
-  /**
-   * Returns the number of requests in flight.
-   *
-   * @return the number of requests
-   */
+  /** Returns the number of requests in flight. */
   public synchronized int count() {
     return count;
   }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/RoutingTable.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/RoutingTable.java
@@ -34,7 +34,6 @@
    * Creates an empty table.
    *
    * @param dataCentre the name of this daemon's data centre
-   * @return the table
    */
   public static RoutingTable create(String dataCentre) {
     return new RoutingTable(dataCentre);
@@ -44,7 +43,6 @@
    * Returns the key of a model's targets.
    *
    * @param model the model's name
-   * @return the key
    */
   public static String modelKey(String model) {
     return "model/" + model;
@@ -54,7 +52,6 @@
    * Returns the key of a plain service's targets.
    *
    * @param service the service's name
-   * @return the key
    */
   public static String serviceKey(String service) {
     return "service/" + service;
@@ -136,11 +133,7 @@
     return targets.getOrDefault(key, TargetList.EMPTY);
   }
 
-  /**
-   * Returns the targets of all models and plain services.
-   *
-   * @return the targets
-   */
+  /** Returns the targets of all models and plain services. */
   public List<Target> all() {
     return targets.values().stream().flatMap(list -> list.targets().stream()).toList();
   }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/TargetList.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/TargetList.java
@@ -21,12 +21,7 @@
     targets.forEach(target -> byKey.put(target.candidate().key(), target));
   }
 
-  /**
-   * Creates a list.
-   *
-   * @param targets the targets
-   * @return the list
-   */
+  /** Creates a list that keeps the order of the targets and finds a target by its candidate. */
   public static TargetList of(List<Target> targets) {
     return new TargetList(targets);
   }
@@ -53,7 +48,6 @@
    * Returns the target of a candidate.
    *
    * @param candidate one of the candidates
-   * @return the target
    */
   public Target target(Candidate candidate) {
     return byKey.get(candidate.key());
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/metrics/DaemonMetrics.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/metrics/DaemonMetrics.java
@@ -41,8 +41,6 @@
   /**
    * Records a request that has ended.
    *
-   * @param workspace its workspace
-   * @param requestClass its class
    * @param outcome the label of its outcome
    * @param nanos how long it took, nanoseconds
    */
@@ -54,8 +52,6 @@
   /**
    * Records how long a request waited in the admission queue.
    *
-   * @param workspace its workspace
-   * @param requestClass its class
    * @param nanos how long, nanoseconds
    */
   public void recordQueueTime(String workspace, RequestClass requestClass, long nanos) {
@@ -65,8 +61,6 @@
   /**
    * Records the time from sending a request upstream to the first piece of its stream.
    *
-   * @param workspace its workspace
-   * @param requestClass its class
    * @param nanos how long, nanoseconds
    */
   public void recordTimeToFirstToken(String workspace, RequestClass requestClass, long nanos) {
@@ -76,8 +70,6 @@
   /**
    * Records the time between two pieces of a stream.
    *
-   * @param workspace its workspace
-   * @param requestClass its class
    * @param nanos how long, nanoseconds
    */
   public void recordInterTokenTime(String workspace, RequestClass requestClass, long nanos) {
@@ -104,7 +96,6 @@
   /**
    * Registers a gauge whose value is read at each scrape.
    *
-   * @param name its name
    * @param unit its unit; empty for none
    * @param description the description shown with the metric
    * @param value supplies the current value; called by the scraping thread
@@ -120,20 +111,14 @@
   /**
    * Returns the counter with a name and a tag; registers it on first use.
    *
-   * @param name its name
    * @param tag the name of its tag
    * @param value the tag's value
-   * @return the counter
    */
   public Counter counter(String name, String tag, String value) {
     return Counter.builder(name).tag(tag, value).register(registry);
   }
 
-  /**
-   * Returns all metrics in the Prometheus text format.
-   *
-   * @return the text
-   */
+  /** Returns all metrics in the Prometheus text format. */
   public String scrape() {
     return registry.scrape();
   }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/OperatorService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/OperatorService.java
@@ -55,7 +55,6 @@
    * @param stateService distributes the objects that operators change
    * @param store the platform's object store
    * @param status builds the status
-   * @param metrics the metrics
    */
   public OperatorService(
       Context context,
@@ -88,11 +87,7 @@
     server.stop();
   }
 
-  /**
-   * Returns the actual port of the listener.
-   *
-   * @return the port
-   */
+  /** Returns the actual port of the listener. */
   public int port() {
     return server.port();
   }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/Status.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/Status.java
@@ -9,7 +9,6 @@
  * The status that a daemon reports to operators; the component names are the JSON keys.
  *
  * @param daemon the daemon that answers
- * @param dataCentre its data centre
  * @param rollout the rollout, as this daemon knows it
  * @param bundle name of the bundle in force; null before the first one
  * @param confirmedMillisAgo milliseconds since the platform confirmed the daemon's copy of the
@@ -41,9 +40,7 @@
    *
    * @param id its identifier
    * @param domain its fabric domain
-   * @param role its role
    * @param version the model's full version
-   * @param generation its generation
    * @param members its nodes
    * @param state {@code serving}, {@code draining}, or {@code waits for} and the member that is not
    *     ready
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/StatusReporter.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/operate/StatusReporter.java
@@ -62,11 +62,7 @@
     this.linked = linked;
   }
 
-  /**
-   * Returns the current status.
-   *
-   * @return the status
-   */
+  /** Returns the current status. */
   public Status status() {
     FleetView view = state.view();
     long age = stateService.ageMillis();
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/peer/PeerService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/peer/PeerService.java
@@ -187,7 +187,6 @@
   /**
    * Returns the dialed links to the daemons of a data centre.
    *
-   * @param dataCentre the data centre
    * @return the links that are up
    */
   public List<Link> linksTo(String dataCentre) {
@@ -196,11 +195,7 @@
         .toList();
   }
 
-  /**
-   * Sends a message to all linked daemons of the own data centre.
-   *
-   * @param message the message
-   */
+  /** Sends a message to all linked daemons of the own data centre. */
   public void sendToDataCentre(Message message) {
     linksTo(context.identity().dataCentre()).forEach(link -> link.send(message));
   }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/Documents.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/Documents.java
@@ -18,7 +18,6 @@
   /**
    * Serializes a value.
    *
-   * @param value the value
    * @return the value as JSON
    */
   public static byte[] write(Object value) {
@@ -35,7 +34,6 @@
    * @param json the value as JSON
    * @param type the class of the value
    * @param <T> the type of the value
-   * @return the value
    * @throws IOException if the JSON is malformed or does not fit the type
    */
   public static <T> T read(byte[] json, Class<T> type) throws IOException {
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/FleetState.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/FleetState.java
@@ -175,7 +175,6 @@
    * Returns the objects that are newer than a peer's copies.
    *
    * @param versions the peer's versions by object name; an absent object counts as version 0
-   * @return the newer objects
    */
   public synchronized List<StoredObject> newerThan(Map<String, Long> versions) {
     List<StoredObject> newer = new ArrayList<>();
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/FleetView.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/FleetView.java
@@ -44,7 +44,6 @@
   /**
    * Returns the fabric domains of a data centre.
    *
-   * @param dataCentre the data centre
    * @return the domains by domain name
    */
   public Map<String, DomainState> domainsOf(String dataCentre) {
@@ -60,19 +59,13 @@
   /**
    * Returns the nodes that the platform lists in a data centre.
    *
-   * @param dataCentre the data centre
    * @return the nodes; empty for an unknown data centre
    */
   public List<Node> nodesOf(String dataCentre) {
     return nodes.getOrDefault(dataCentre, List.of());
   }
 
-  /**
-   * Returns the registered daemons of a data centre.
-   *
-   * @param dataCentre the data centre
-   * @return the daemons
-   */
+  /** Returns the registered daemons of a data centre. */
   public List<Registration> daemonsOf(String dataCentre) {
     List<Registration> found = new ArrayList<>();
     for (Registration daemon : daemons) {
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/ObjectNames.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/ObjectNames.java
@@ -27,7 +27,6 @@
    * Returns the object name of a bundle.
    *
    * @param revision the bundle's revision
-   * @return the object name
    */
   public static String bundle(long revision) {
     return BUNDLES + revision;
@@ -38,28 +37,17 @@
    *
    * @param dataCentre the domain's data centre
    * @param domain the domain's name
-   * @return the object name
    */
   public static String domain(String dataCentre, String domain) {
     return DOMAINS + dataCentre + "/" + domain;
   }
 
-  /**
-   * Returns the object name of a data centre's list of registered daemons.
-   *
-   * @param dataCentre the data centre
-   * @return the object name
-   */
+  /** Returns the object name of a data centre's list of registered daemons. */
   public static String daemons(String dataCentre) {
     return DAEMONS + dataCentre;
   }
 
-  /**
-   * Returns the object name of the lease for which a data centre's daemons compete.
-   *
-   * @param dataCentre the data centre
-   * @return the object name
-   */
+  /** Returns the object name of the lease for which a data centre's daemons compete. */
   public static String lease(String dataCentre) {
     return "lease/" + dataCentre;
   }
@@ -68,18 +56,12 @@
    * Returns the object name of a slot of claimed request keys.
    *
    * @param slot the slot's number
-   * @return the object name
    */
   public static String claims(int slot) {
     return "claims/" + slot;
   }
 
-  /**
-   * Returns the object name of a data centre's list of nodes.
-   *
-   * @param dataCentre the data centre
-   * @return the object name
-   */
+  /** Returns the object name of a data centre's list of nodes. */
   public static String nodes(String dataCentre) {
     return NODES + dataCentre;
   }
--- a/fawnvale-kernel/src/main/java/org/fawnvale/kernel/Kernel.java
+++ b/fawnvale-kernel/src/main/java/org/fawnvale/kernel/Kernel.java
@@ -21,7 +21,6 @@
    * Registers a service under a name.
    *
    * @param name the name by which other services find it
-   * @param service the service
    * @throws ServiceException if the name is taken
    */
   public synchronized void register(String name, Service service) throws ServiceException {
@@ -36,7 +35,6 @@
    * @param name the name under which it was registered
    * @param type the type that the caller needs
    * @param <T> the type that the caller needs
-   * @return the service
    * @throws ServiceException if no service of that name and type is registered
    */
   public synchronized <T> T find(String name, Class<T> type) throws ServiceException {
--- a/fawnvale-platform/src/main/java/org/fawnvale/platform/HttpObjectStore.java
+++ b/fawnvale-platform/src/main/java/org/fawnvale/platform/HttpObjectStore.java
@@ -72,11 +72,9 @@
    * Creates a client.
    *
    * @param address the platform's address
-   * @param port its port
    * @param timeoutMillis timeout of a response, milliseconds
    * @param watchMillis longest wait that a watch requests, milliseconds; added to the timeout
    * @param counter called with the kind of each call
-   * @return the client
    */
   public static HttpObjectStore create(
       String address, int port, long timeoutMillis, long watchMillis, Consumer<CallKind> counter) {
--- a/fawnvale-platform/src/main/java/org/fawnvale/platform/ObjectStore.java
+++ b/fawnvale-platform/src/main/java/org/fawnvale/platform/ObjectStore.java
@@ -42,7 +42,6 @@
   /**
    * Reads the list of live and leaving nodes of a data centre.
    *
-   * @param dataCentre the data centre
    * @return the nodes, or the reason why the read failed
    */
   Result<List<Node>> nodes(String dataCentre);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/ModelDemand.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/ModelDemand.java
@@ -55,7 +55,6 @@
    * Returns the demand that the configuration declares: shares of the work are shares of the nodes.
    *
    * @param engine the performance parameters of the engines
-   * @return the demand
    */
   public static ModelDemand declared(EngineSpec engine) {
     Map<String, Double> groups = new HashMap<>();
@@ -72,7 +71,6 @@
    * @param engine the performance parameters of the engines
    * @param busy by model, how many groups the observed work would keep busy
    * @param seconds how long traffic has been observed, in seconds
-   * @return the demand
    */
   public static ModelDemand observed(EngineSpec engine, Map<String, Double> busy, double seconds) {
     double nodes = 0;
@@ -97,7 +95,6 @@
   /**
    * Returns the demand for one model.
    *
-   * @param model the model
    * @return the groups that it keeps busy, relative to one node
    */
   public double of(ModelSpec model) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/OfferedLoad.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/OfferedLoad.java
@@ -44,7 +44,6 @@
   /**
    * Adds the work of a caller's first attempt.
    *
-   * @param model the model
    * @param workMillis the time of one group that the request occupies, in milliseconds
    * @param nowNanos the monotonic time, in nanoseconds
    */
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
@@ -212,7 +212,6 @@
   /**
    * Returns what this daemon has observed of an upstream.
    *
-   * @param nodeId its id
    * @return its state, created when it is new
    */
   public UpstreamState state(String nodeId) {
@@ -244,7 +243,6 @@
    * Chooses an upstream. Upstreams that reject requests, and those for which another daemon has to
    * permit the request first, are used only when no other has room.
    *
-   * @param request the request
    * @param excluded ids of upstreams that the request must not be sent to again
    * @return the choice
    */
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
@@ -43,11 +43,7 @@
     this.limits = limits;
   }
 
-  /**
-   * Returns the limits that nodes advertise.
-   *
-   * @return the limits
-   */
+  /** Returns the limits that nodes advertise. */
   public SharedLimits limits() {
     return limits;
   }
@@ -137,7 +133,6 @@
   /**
    * Checks a caller's request just before it is written and counts it against the node's limit.
    *
-   * @param node the node
    * @param nowNanos the monotonic time, in nanoseconds
    * @return false when the request must not be written: the node is paused, is leaving, or has no
    *     room within its limit
@@ -149,7 +144,6 @@
   /**
    * Returns when the first of some nodes accepts requests again.
    *
-   * @param nodes the nodes
    * @param nowNanos the monotonic time, in nanoseconds
    * @return nanoseconds from now until the first pause ends or there is room within a limit; {@link
    *     #NOW} when no node is paused or at its limit
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/LogLine.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/explain/LogLine.java
@@ -20,7 +20,6 @@
   /**
    * Returns the value of a key in the message. A value extends to the next key.
    *
-   * @param key the key
    * @return the first value; null when the message has none
    */
   public @Nullable String value(String key) {
@@ -36,7 +35,6 @@
   /**
    * Tells whether the message has the given value for a key.
    *
-   * @param key the key
    * @param expected the value
    * @return true when it has
    */
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ExpectedGroups.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ExpectedGroups.java
@@ -28,7 +28,6 @@
    * @param groupCounts the groups of each model that exist or are being formed
    * @param rule which nodes may join groups of which model
    * @param soonFree the nodes that are free or about to be, by domain
-   * @return the groups
    */
   static ExpectedGroups of(
       EngineSpec engine,
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/FormationPolicy.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/FormationPolicy.java
@@ -26,7 +26,6 @@
   /**
    * A group to form.
    *
-   * @param model its model
    * @param members its members, the head first
    * @param loads the number of loads from the weight store that it needs
    * @param readyMillis the time until all members are ready, in milliseconds
@@ -36,8 +35,6 @@
   /**
    * Tells whether a node has a model's weights, in memory or on its host.
    *
-   * @param node the node
-   * @param model the model
    * @return true when it can join a group of the model without loading from the weight store
    */
   static boolean holds(Node node, ModelSpec model) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupKey.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupKey.java
@@ -6,9 +6,6 @@
 /**
  * Identity of a group. A name is never used for two lists of members, and epochs increase. The name
  * ends with the id of the head, so that any leader can derive which node may serve for the group.
- *
- * @param name its name
- * @param epoch its epoch
  */
 public record GroupKey(String name, long epoch) {
 
@@ -19,7 +16,6 @@
    *
    * @param prefix prefix of the name; must not be used twice
    * @param head the id of the head
-   * @param epoch its epoch
    * @return its identity
    */
   static GroupKey of(String prefix, String head, long epoch) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupOrder.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupOrder.java
@@ -7,7 +7,6 @@
 /**
  * An order to a node, or a request for its report.
  *
- * @param node the node
  * @param kind the kind of order
  * @param group the name of the group; empty for a report and for staging
  * @param epoch the group's epoch
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -180,8 +180,6 @@
   /**
    * Returns the groups that were opened or dissolved recently. Other daemons use them before the
    * list shows the change.
-   *
-   * @return the groups
    */
   public RecentGroups recent() {
     return recentGroups;
@@ -609,8 +607,6 @@
    * Processes the outcome of an order. Outcomes of orders to an earlier incarnation of a node are
    * ignored.
    *
-   * @param order the order
-   * @param outcome its outcome
    * @param now the monotonic time, in nanoseconds
    */
   public void outcome(GroupOrder order, GroupOrder.Outcome outcome, long now) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/JoinRule.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/JoinRule.java
@@ -16,7 +16,6 @@
   /**
    * Decides for one node.
    *
-   * @param node the node
    * @param model the model of the group
    * @return true when it may join
    */
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/MixPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/MixPlanner.java
@@ -114,7 +114,6 @@
   /**
    * The relative loss of a model's callers. It can be compared between models and group counts.
    *
-   * @param model the model
    * @param groups its number of groups
    * @return the loss; decreases with each group
    */
@@ -131,7 +130,6 @@
   /**
    * The work of a model that is not done in time.
    *
-   * @param model the model
    * @param groups its number of groups
    * @return the number of groups that this work would keep busy
    */
@@ -144,7 +142,6 @@
   /**
    * The gain of one more group of a model.
    *
-   * @param model the model
    * @param groups its current number of groups
    * @return the reduction of the loss
    */
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/NodeReport.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/NodeReport.java
@@ -26,7 +26,6 @@
   /**
    * Tells whether the report is of the known incarnation of a node.
    *
-   * @param node the node
    * @return false when it is of another incarnation; true also when either start is not known
    */
   boolean isFromIncarnationOf(Node node) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ObservedGroup.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ObservedGroup.java
@@ -100,7 +100,6 @@
   /**
    * Tells whether any member is in a state.
    *
-   * @param state the state
    * @return true when there is such a member
    */
   public boolean anyMemberIs(MemberState state) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StagingPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StagingPlanner.java
@@ -76,7 +76,6 @@
    * @param mix computes the gain of one more group of a model
    * @param groupCounts the groups of each model that exist or are being formed
    * @param forming the models of groups that are being formed, by domain
-   * @return the loads
    */
   List<Candidate> candidates(
       Collection<Node> nodes,
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StallEvidence.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StallEvidence.java
@@ -50,7 +50,6 @@
   /**
    * What one daemon reports.
    *
-   * @param dataCentre its data centre
    * @param suspects heads that it suspects to be stalled, as {@code ID@EPOCH}
    * @param busy ids of the heads at which it has requests
    */
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/AdvertisedLimit.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/AdvertisedLimit.java
@@ -24,7 +24,6 @@
    *
    * @param perSecond requests per second
    * @param text the limit as the node wrote it
-   * @return the limit
    */
   public static AdvertisedLimit of(double perSecond, String text) {
     return new AdvertisedLimit(perSecond, truncate(text), true);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Configuration.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Configuration.java
@@ -8,7 +8,6 @@
  * One version of the operator's configuration.
  *
  * @param version its version; versions increase
- * @param routes the routes
  * @param services the services by name
  * @param workspaces the workspaces by API key; null when callers need no keys
  * @param maxHeaderBytes the largest request header section, in bytes
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Endpoint.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Endpoint.java
@@ -4,7 +4,6 @@
  * An IP address and a port.
  *
  * @param host the IPv4 address in dotted decimal form
- * @param port the port
  */
 public record Endpoint(String host, int port) {
 
@@ -13,7 +12,6 @@
   /**
    * Parses {@code HOST:PORT}.
    *
-   * @param text the text
    * @return the endpoint
    * @throws IllegalArgumentException when the text has another form or the port is out of range
    */
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/EngineSpec.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/EngineSpec.java
@@ -42,7 +42,6 @@
   /**
    * Finds a model.
    *
-   * @param name its name
    * @return the model; null when the engines do not serve it
    */
   public @Nullable ModelSpec model(String name) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/IncarnationTracker.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/IncarnationTracker.java
@@ -34,7 +34,6 @@
   /**
    * Tells whether a node is the latest known incarnation of its id.
    *
-   * @param node the node
    * @return true also when the id is unknown; false when another incarnation has been recorded
    */
   public boolean isCurrent(Node node) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/ModelSpec.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/ModelSpec.java
@@ -3,7 +3,6 @@
 /**
  * A model that groups of engines serve.
  *
- * @param name its name
  * @param size the number of members of its groups
  * @param share its declared share of the work, 0 to 1
  * @param timeFactor the factor by which all times of its groups are multiplied
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Node.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Node.java
@@ -9,7 +9,6 @@
  * @param incarnation its id and start time
  * @param service the service that it belongs to
  * @param endpoint the address that it listens on
- * @param dataCentre its data centre
  * @param slots requests that it processes concurrently
  * @param draining whether it is leaving and accepts no new requests
  * @param domain its fabric domain; empty for a plain service
@@ -29,11 +28,7 @@
     List<String> staged,
     @Nullable Membership membership) {
 
-  /**
-   * Returns the id, which an earlier incarnation may have had too.
-   *
-   * @return the id
-   */
+  /** Returns the id, which an earlier incarnation may have had too. */
   public String id() {
     return incarnation.id();
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/NodeIncarnation.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/NodeIncarnation.java
@@ -15,12 +15,7 @@
    */
   public static final long UNKNOWN_START = 0;
 
-  /**
-   * Returns the incarnation of a node that does not report its start.
-   *
-   * @param id the id
-   * @return the incarnation
-   */
+  /** Returns the incarnation of a node that does not report its start. */
   public static NodeIncarnation only(String id) {
     return new NodeIncarnation(id, UNKNOWN_START);
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/RequestSize.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/RequestSize.java
@@ -3,7 +3,6 @@
 /**
  * The declared size of a request.
  *
- * @param promptTokens the tokens of its prompt
  * @param answerTokens the expected number of tokens of its answer
  */
 public record RequestSize(int promptTokens, int answerTokens) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Route.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Route.java
@@ -5,7 +5,6 @@
 /**
  * A rule that sends requests of one host and path prefix to services.
  *
- * @param name its name
  * @param host the host that requests name
  * @param pathPrefix the prefix of the path; begins and ends with a slash
  * @param kind whether a request may be repeated
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/ServiceSpec.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/ServiceSpec.java
@@ -5,7 +5,6 @@
 /**
  * A service that routes name.
  *
- * @param name its name
  * @param maxConnections connections that one upstream accepts in total
  * @param engine the performance parameters of its engines; null for a plain service
  */
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Settings.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Settings.java
@@ -7,7 +7,6 @@
  *
  * @param name the daemon's name
  * @param address its IP address
- * @param dataCentre its data centre
  * @param frontend the address that callers connect to
  * @param ready the address of the readiness endpoint for the load balancer
  * @param metrics the address of the metrics endpoint
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/route/RouteTable.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/route/RouteTable.java
@@ -27,21 +27,12 @@
     byHost.values().forEach(routes -> routes.sort(longestFirst));
   }
 
-  /**
-   * Creates the lookup of a configuration.
-   *
-   * @param configuration the configuration
-   * @return its lookup
-   */
+  /** Creates the lookup of a configuration. */
   public static RouteTable of(Configuration configuration) {
     return new RouteTable(configuration);
   }
 
-  /**
-   * Returns the configuration of this lookup.
-   *
-   * @return the configuration
-   */
+  /** Returns the configuration of this lookup. */
   public Configuration configuration() {
     return configuration;
   }
@@ -81,7 +72,6 @@
   /**
    * Tells whether requests of a route need a key.
    *
-   * @param route the route
    * @return true when a request without a known key has to be refused
    */
   public boolean needsKey(Route route) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/EraFilter.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/EraFilter.java
@@ -34,7 +34,6 @@
   /**
    * Evaluates a response.
    *
-   * @param responseEra the era of the response
    * @param current the position of the local copy
    * @param requested the position since which changes were requested; {@link StorePosition#NONE}
    *     for a full list. The local copy may have moved on meanwhile, by a copy from a peer.
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -230,7 +230,6 @@
   /**
    * Starts a daemon.
    *
-   * @param settings the settings
    * @param platform the adapter to the platform
    * @param callers the open listener for callers
    * @return the running daemon
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SettingsReader.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/SettingsReader.java
@@ -45,7 +45,6 @@
    * Reads a settings file.
    *
    * @param file a JSON file
-   * @return the settings
    * @throws BadSettingsException when the file can't be read or a value is invalid
    */
   public static Settings read(Path file) throws BadSettingsException {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/UpstreamSelector.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/UpstreamSelector.java
@@ -58,7 +58,6 @@
    * @param nodes all nodes
    * @param configuration the active configuration
    * @param announced the leader's announcements of groups
-   * @return the upstreams
    */
   List<Node> select(
       Collection<Node> nodes, Configuration configuration, GroupAnnouncements announced) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -446,11 +446,7 @@
     return streamMonitor;
   }
 
-  /**
-   * Returns the quarantine of requests that crash nodes.
-   *
-   * @return the quarantine
-   */
+  /** Returns the quarantine of requests that crash nodes. */
   public RequestQuarantine quarantine() {
     return quarantine;
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
@@ -41,7 +41,6 @@
     /**
      * Called when a request becomes quarantined.
      *
-     * @param requestRecord record of the request
      * @param own whether this daemon observed the last node exit; false if a peer reported it
      */
     void quarantined(QuarantineRecord requestRecord, boolean own);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/LimitLog.java
@@ -76,7 +76,6 @@
   /**
    * Records the change that another daemon's update caused.
    *
-   * @param update the update
    * @param change the change of the node's limit
    */
   public void updateReceived(LimitUpdate update, KnownLimits.Change change) {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/Timers.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/Timers.java
@@ -43,7 +43,6 @@
    * Runs a task once.
    *
    * @param delayMillis the delay in milliseconds; a negative one counts as 0
-   * @param task the task
    * @return a handle that can cancel the task
    */
   public ScheduledFuture<?> after(long delayMillis, Runnable task) {
@@ -54,7 +53,6 @@
    * Runs a task periodically.
    *
    * @param periodMillis the delay before the first run and between two runs, in milliseconds
-   * @param task the task
    */
   public void every(long periodMillis, Runnable task) {
     executor.scheduleWithFixedDelay(
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitUpdateCodec.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitUpdateCodec.java
@@ -36,7 +36,6 @@
    * Reads limit records.
    *
    * @param in source
-   * @return records
    * @throws IOException if the input is malformed
    */
   public static List<LimitUpdate> read(MessageUnpacker in) throws IOException {
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Call.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Call.java
@@ -16,7 +16,6 @@
    * Creates a GET request without a body.
    *
    * @param target path and query
-   * @return the request
    */
   public static Call get(String target) {
     return new Call("GET", target, Map.of(), new byte[0]);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
@@ -33,11 +33,7 @@
    */
   HeaderNames headers();
 
-  /**
-   * Returns the path of the readiness check that the load balancer calls.
-   *
-   * @return path
-   */
+  /** Returns the path of the readiness check that the load balancer calls. */
   String readyPath();
 
   /**
@@ -55,7 +51,6 @@
    * @param kind kind of the objects
    * @param afterName name after which the page begins; empty for the first page
    * @param allowStale whether the store may return a list that is seconds old, which is cheaper
-   * @return call
    */
   Call list(Kind kind, String afterName, boolean allowStale);
 
@@ -65,7 +60,6 @@
    * @param kind kind of the objects
    * @param place position in the history after which changes are reported
    * @param waitMillis time that the store may wait for a change, in milliseconds
-   * @return call
    */
   Call watch(Kind kind, StorePosition place, int waitMillis);
 
@@ -112,7 +106,6 @@
    * already.
    *
    * @param kept record to store
-   * @return call
    */
   Call create(StoredQuarantineRecord kept);
 
@@ -121,7 +114,6 @@
    *
    * @param kind kind of the object
    * @param name name of the object
-   * @return call
    */
   Call remove(Kind kind, String name);
 
@@ -129,7 +121,6 @@
    * Creates the call that sends an order to a node or requests its report.
    *
    * @param order order to send
-   * @return call
    */
   Call order(GroupOrder order);
 
@@ -137,7 +128,6 @@
    * Maps the status of the response to an order to an outcome.
    *
    * @param status HTTP status
-   * @return outcome of the order
    */
   GroupOrder.Outcome outcome(int status);
 
@@ -145,7 +135,6 @@
    * Reads a node's report.
    *
    * @param body body of the response
-   * @return report
    * @throws IOException if the body is malformed
    */
   NodeReport report(byte[] body) throws IOException;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/MergePolicy.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/MergePolicy.java
@@ -25,7 +25,6 @@
    * Creates a policy that prefers no version, so that the positions in the store alone decide.
    *
    * @param <T> the type of the objects
-   * @return the policy
    */
   static <T> MergePolicy<T> byPosition() {
     return (version, other) -> false;
--- a/fawnvale-upstream/src/main/java/org/fawnvale/upstream/Deadline.java
+++ b/fawnvale-upstream/src/main/java/org/fawnvale/upstream/Deadline.java
@@ -19,7 +19,6 @@
    *
    * @param nanoClock the monotonic clock, nanoseconds
    * @param millis time until the deadline, milliseconds
-   * @return the deadline
    */
   public static Deadline in(LongSupplier nanoClock, long millis) {
     return new Deadline(nanoClock, nanoClock.getAsLong() + TimeUnit.MILLISECONDS.toNanos(millis));
--- a/fawnvale-upstream/src/main/java/org/fawnvale/upstream/EngineClient.java
+++ b/fawnvale-upstream/src/main/java/org/fawnvale/upstream/EngineClient.java
@@ -37,7 +37,6 @@
    * @param client client that sends the requests
    * @param nanoClock the monotonic clock, nanoseconds
    * @param incarnation incarnation of this daemon
-   * @return the client
    */
   public static EngineClient create(
       UpstreamClient client, LongSupplier nanoClock, String incarnation) {
@@ -47,7 +46,6 @@
   /**
    * Fetches a node's report.
    *
-   * @param node the node
    * @param timeoutMillis timeout of the exchange, milliseconds
    * @return the report, or the reason why it is unavailable
    */
@@ -71,8 +69,6 @@
   /**
    * Sends an order to a node's engine.
    *
-   * @param node the node
-   * @param order the order
    * @param timeoutMillis timeout of the exchange, milliseconds
    * @return the outcome
    */
--- a/fawnvale-upstream/src/main/java/org/fawnvale/upstream/UpstreamClient.java
+++ b/fawnvale-upstream/src/main/java/org/fawnvale/upstream/UpstreamClient.java
@@ -57,7 +57,6 @@
    *
    * @param connectMillis timeout of each connection attempt, milliseconds
    * @param stallMillis longest wait for further bytes of a response body, milliseconds
-   * @return the client
    */
   public static UpstreamClient create(int connectMillis, long stallMillis) {
     return new UpstreamClient(connectMillis, stallMillis);
@@ -66,7 +65,6 @@
   /**
    * Sends a request and waits for the head of its response.
    *
-   * @param request the request
    * @param deadline deadline of the whole exchange
    * @return the outcome, as far as the response head shows it
    */
--- a/fawnvale-wire/src/main/java/org/fawnvale/wire/FrameCodec.java
+++ b/fawnvale-wire/src/main/java/org/fawnvale/wire/FrameCodec.java
@@ -31,7 +31,6 @@
    * Creates a codec.
    *
    * @param maximumBytes maximum size of an encoded or decoded payload, bytes
-   * @return the codec
    */
   public static FrameCodec withLimit(int maximumBytes) {
     return new FrameCodec(maximumBytes);
@@ -40,8 +39,6 @@
   /**
    * Encodes a message as the payload of a frame.
    *
-   * @param message the message
-   * @return the payload
    * @throws FrameException if the payload exceeds the limit or cannot be encoded
    */
   public byte[] encode(Message message) throws FrameException {
@@ -60,7 +57,6 @@
   /**
    * Writes a payload as a frame.
    *
-   * @param payload the payload
    * @param out the destination, not flushed
    * @throws IOException if the connection fails
    */
--- a/fawnvale-wire/src/main/java/org/fawnvale/wire/Link.java
+++ b/fawnvale-wire/src/main/java/org/fawnvale/wire/Link.java
@@ -122,7 +122,6 @@
   /**
    * Queues a message for sending; closes the link if the queue is full.
    *
-   * @param message the message
    * @return false if the link is closed, the message is too large, or the queue is full
    */
   public boolean send(Message message) {
--- a/fawnvale-wire/src/main/java/org/fawnvale/wire/Message.java
+++ b/fawnvale-wire/src/main/java/org/fawnvale/wire/Message.java
@@ -64,7 +64,6 @@
    * The state of all nodes that answer the sender's probes; replaces its earlier vouches.
    *
    * @param version rises with every change
-   * @param nodes the nodes
    * @param lost nodes that stopped answering since the last vouches; a node that is in neither list
    *     is now probed by another daemon
    */
@@ -102,7 +101,6 @@
   /**
    * Objects of the platform that the receiver may not have yet.
    *
-   * @param objects the objects
    * @param platformAgeMillis time since the platform last confirmed them, to the sender or to the
    *     daemon that the sender received them from; milliseconds
    */
@@ -165,10 +163,8 @@
    * @param number identifies the request on this link
    * @param workspace the workspace that the sender has authenticated
    * @param method the HTTP method
-   * @param path the path
    * @param headers the request's headers
    * @param remainingMillis time remaining until the deadline, milliseconds
-   * @param body the body
    */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record Forward(
--- a/fawnvale-wire/src/main/java/org/fawnvale/wire/MessageHandler.java
+++ b/fawnvale-wire/src/main/java/org/fawnvale/wire/MessageHandler.java
@@ -8,7 +8,6 @@
    * Handles one message. Must not block for long: it runs on the link's reader task.
    *
    * @param link the link that received the message
-   * @param message the message
    */
   void handle(Link link, Message message);
 }
