--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/Context.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/Context.java
@@ -7,15 +7,13 @@
 import org.fawnvale.wire.Identity;
 
 /**
- * What every service of a daemon needs.
+ * Settings, keys, identity, clocks and executors that all services of a daemon share.
  *
- * @param settings the settings
- * @param keys the keys
- * @param identity who this daemon is
- * @param nanoClock the monotonic clock, nanoseconds
- * @param wallClock the wall clock, milliseconds
- * @param executor runs what blocks
- * @param scheduler runs what is due; nothing on it may block
+ * @param identity the name, data centre and incarnation of the daemon
+ * @param nanoClock monotonic clock, nanoseconds
+ * @param wallClock wall clock, milliseconds since the epoch
+ * @param executor runs tasks that may block
+ * @param scheduler runs delayed and periodic tasks, which must not block
  */
 public record Context(
     DaemonSettings settings,
@@ -27,7 +25,7 @@
     ScheduledExecutorService scheduler) {
 
   /**
-   * Now, by the monotonic clock.
+   * Returns the current time of the monotonic clock.
    *
    * @return nanoseconds
    */
@@ -36,9 +34,9 @@
   }
 
   /**
-   * This daemon's name and incarnation; no other start of any daemon has the same.
+   * Returns the daemon's name and incarnation, which differ for each start of a daemon.
    *
-   * @return name, slash, incarnation
+   * @return {@code NAME/INCARNATION}
    */
   public String holder() {
     return identity.daemon() + "/" + identity.incarnation();
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/Daemon.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/Daemon.java
@@ -37,13 +37,13 @@
 import org.fawnvale.wire.Identity;
 import org.jspecify.annotations.Nullable;
 
-/** An entry daemon: its services, put together and registered with the kernel. */
+/** An entry daemon. Creates its services and registers them with the kernel. */
 public final class Daemon {
 
   private static final Logger LOG = LogManager.getLogger("daemon");
-  private static final int CONNECT_MILLIS = 1000;
-  private static final long PLATFORM_MILLIS = 2000;
-  private static final long LONGEST_WATCH_MILLIS = 5000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1000;
+  private static final long PLATFORM_TIMEOUT_MILLIS = 2000;
+  private static final long MAX_WATCH_MILLIS = 5000;
   private static final int SCHEDULER_THREADS = 2;
 
   private final Context context;
@@ -57,18 +57,16 @@
   }
 
   /**
-   * Puts a daemon together.
+   * Creates a daemon and registers its services.
    *
-   * @param settings its settings
-   * @param keys its keys
    * @return the daemon, not yet started
-   * @throws ServiceException when two services have one name
+   * @throws ServiceException if two services have the same name
    */
   public static Daemon create(DaemonSettings settings, Keys keys) throws ServiceException {
     String incarnation = UUID.randomUUID().toString().replace("-", "").substring(0, 12);
-    ExecutorService executor = Executors.newCachedThreadPool(threads("work"));
+    ExecutorService executor = Executors.newCachedThreadPool(threadFactory("work"));
     ScheduledExecutorService scheduler =
-        Executors.newScheduledThreadPool(SCHEDULER_THREADS, threads("timer"));
+        Executors.newScheduledThreadPool(SCHEDULER_THREADS, threadFactory("timer"));
     Context context =
         new Context(
             settings,
@@ -83,7 +81,7 @@
     return daemon;
   }
 
-  private static ThreadFactory threads(String prefix) {
+  private static ThreadFactory threadFactory(String prefix) {
     AtomicInteger number = new AtomicInteger();
     return task -> {
       Thread thread = new Thread(task, prefix + "-" + number.incrementAndGet());
@@ -94,15 +92,15 @@
 
   private void register() throws ServiceException {
     DaemonSettings settings = context.settings();
-    long fresh = TimeUnit.MILLISECONDS.toNanos(settings.timing().freshMillis());
+    long freshNanos = TimeUnit.MILLISECONDS.toNanos(settings.timing().freshMillis());
     DaemonMetrics metrics = new DaemonMetrics();
-    HttpObjectStore store = store(metrics);
+    HttpObjectStore store = createStore(metrics);
     UpstreamClient upstream =
-        UpstreamClient.create(CONNECT_MILLIS, settings.timing().stallMillis());
+        UpstreamClient.create(CONNECT_TIMEOUT_MILLIS, settings.timing().stallMillis());
     EngineClient engines =
         EngineClient.create(upstream, context.nanoClock(), context.identity().incarnation());
     FleetState state = new FleetState();
-    ReadinessTable table = ReadinessTable.create(fresh);
+    ReadinessTable table = ReadinessTable.create(freshNanos);
     RoutingTable routing = RoutingTable.create(settings.dataCentre());
     state.onChange(routing::update);
 
@@ -127,7 +125,7 @@
     this.operators = operators;
     this.callers = gateway.callers();
     context.scheduler().scheduleAtFixedRate(status::countDowntime, 1, 1, TimeUnit.SECONDS);
-    gauges(metrics, state, stateService, lease, status);
+    registerGauges(metrics, state, stateService, lease, status);
 
     metrics.gauge("fawnvale.links.sent", "bytes", "Sent over links to daemons.", peers::sentBytes);
     metrics.gauge(
@@ -146,7 +144,7 @@
     kernel.register("callers", gateway.callers());
   }
 
-  private HttpObjectStore store(DaemonMetrics metrics) {
+  private HttpObjectStore createStore(DaemonMetrics metrics) {
     Map<HttpObjectStore.CallKind, Counter> counters = new ConcurrentHashMap<>();
     for (HttpObjectStore.CallKind kind : HttpObjectStore.CallKind.values()) {
       String label = kind.name().toLowerCase(Locale.ROOT);
@@ -156,12 +154,12 @@
     return HttpObjectStore.create(
         platform.address(),
         platform.port(),
-        PLATFORM_MILLIS,
-        LONGEST_WATCH_MILLIS,
+        PLATFORM_TIMEOUT_MILLIS,
+        MAX_WATCH_MILLIS,
         kind -> counters.get(kind).increment());
   }
 
-  private static void gauges(
+  private static void registerGauges(
       DaemonMetrics metrics,
       FleetState state,
       StateService stateService,
@@ -207,7 +205,7 @@
   /**
    * Starts all services.
    *
-   * @throws ServiceException when one cannot start; those before it are stopped again
+   * @throws ServiceException if a service cannot start; the services started before it are stopped
    */
   public void start() throws ServiceException {
     kernel.start();
@@ -219,13 +217,13 @@
   }
 
   /**
-   * The ports that it really listens on.
+   * Returns the actual ports of callers and operators and the registered address for peers.
    *
-   * @return one line of names and ports
+   * @return {@code callers=PORT operators=PORT peers=ADDRESS}
    */
   public String ports() {
     if (callers == null || operators == null || peers == null) {
-      return "nothing yet";
+      return "no services registered";
     }
     return "callers="
         + callers.port()
@@ -235,7 +233,7 @@
         + peers.registration().address();
   }
 
-  /** Stops all services: requests under way end first, then the lease is released. */
+  /** Stops all services: requests in flight end first, then the lease is released. */
   public void stop() {
     kernel.stop();
     context.scheduler().shutdownNow();
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/Keys.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/Keys.java
@@ -14,67 +14,70 @@
 import org.fawnvale.core.result.Result;
 import org.fawnvale.core.settings.DaemonSettings;
 
-/** Keys of callers, operators and daemons; only digests of the first two are kept. */
+/** Keys of callers and operators, kept as SHA-256 digests, and the key that daemons share. */
 public final class Keys {
 
-  private static final TypeReference<Map<String, String>> TEXTS = new TypeReference<>() {};
-  private static final int SHORTEST_KEY = 8;
+  private static final TypeReference<Map<String, String>> STRING_MAP = new TypeReference<>() {};
+  private static final int MIN_KEY_BYTES = 8;
 
   private final Map<String, String> workspaces;
   private final Map<String, String> operators;
   private final byte[] peers;
 
   private Keys(Map<String, String> workspaces, Map<String, String> operators, byte[] peers) {
-    this.workspaces = digested(workspaces);
-    this.operators = digested(operators);
+    this.workspaces = digestKeys(workspaces);
+    this.operators = digestKeys(operators);
     this.peers = peers.clone();
   }
 
-  private static Map<String, String> digested(Map<String, String> byKey) {
+  private static Map<String, String> digestKeys(Map<String, String> byKey) {
     Map<String, String> byDigest = new HashMap<>();
     byKey.forEach((key, name) -> byDigest.put(DigestUtils.sha256Hex(key), name));
     return Map.copyOf(byDigest);
   }
 
   /**
-   * Reads the files with keys.
+   * Reads the key files.
    *
-   * @param files where they are
-   * @return the keys, or the first problem
+   * @param files paths of the key files
+   * @return the keys, or the first problem found
    */
   public static Result<Keys> read(DaemonSettings.KeyFiles files) {
     try {
       byte[] peers = Files.readString(Path.of(files.peers())).strip().getBytes(UTF_8);
-      if (peers.length < SHORTEST_KEY) {
-        return problem("keyFiles.peers", files.peers(), "The key is too short.");
+      if (peers.length < MIN_KEY_BYTES) {
+        return invalidKeyFile("keyFiles.peers", files.peers(), "The key is too short.");
       }
-      Map<String, String> callers = texts(files.callers());
-      Map<String, String> operators = texts(files.operators());
+      Map<String, String> callers = readNamesByKey(files.callers());
+      Map<String, String> operators = readNamesByKey(files.operators());
       return Result.success(new Keys(callers, operators, peers));
     } catch (IOException e) {
-      return problem("keyFiles", e.getMessage(), "A file with keys cannot be read.");
+      return invalidKeyFile("keyFiles", e.getMessage(), "A key file cannot be read.");
     }
   }
 
-  private static Map<String, String> texts(String file) throws IOException {
+  private static Map<String, String> readNamesByKey(String file) throws IOException {
     try {
-      return new ObjectMapper().readValue(Files.readString(Path.of(file)), TEXTS);
+      return new ObjectMapper().readValue(Files.readString(Path.of(file)), STRING_MAP);
     } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
-      throw new IOException(file + " is no JSON object of texts", e);
+      throw new IOException(file + " is not a JSON object with string values", e);
     }
   }
 
-  private static Result<Keys> problem(String key, String value, String message) {
+  private static Result<Keys> invalidKeyFile(String key, String value, String message) {
     return Result.failure(
         Problem.invalid(
-            key, value, message, "Name a readable file: JSON, key to name; peers: one long text."));
+            key,
+            value,
+            message,
+            "Name a readable file: a JSON object from key to name; for peers, one key as text."));
   }
 
   /**
    * Finds the workspace of a caller's key.
    *
-   * @param key the key
-   * @return the workspace, when the key is known
+   * @param key the key as the caller or operator sent it, not its digest
+   * @return the workspace, or empty if the key is unknown
    */
   public Optional<String> workspace(String key) {
     return Optional.ofNullable(workspaces.get(DigestUtils.sha256Hex(key)));
@@ -83,17 +86,17 @@
   /**
    * Finds the operator of a key.
    *
-   * @param key the key
-   * @return the operator, when the key is known
+   * @param key the key as the caller or operator sent it, not its digest
+   * @return the operator, or empty if the key is unknown
    */
   public Optional<String> operator(String key) {
     return Optional.ofNullable(operators.get(DigestUtils.sha256Hex(key)));
   }
 
   /**
-   * The key that all daemons share.
+   * Returns the key that all daemons share.
    *
-   * @return its bytes
+   * @return a copy of its UTF-8 bytes
    */
   public byte[] peers() {
     return peers.clone();
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/package-info.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/package-info.java
@@ -1,4 +1,4 @@
-/** The entry daemon: its services and how they are put together. */
+/** The entry daemon: creates its services and registers them with the kernel. */
 @NullMarked
 package org.fawnvale.daemon;
 
