--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/EngineTimes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/EngineTimes.java
@@ -22,7 +22,7 @@
    */
   public static double passMillis(EngineSpec engine, ModelSpec model, double sequences) {
     double step = engine.stepMillis() + engine.perSequenceMillis() * sequences;
-    return step * engine.stride() * model.timeFactor();
+    return step * engine.stride() * model.pace();
   }
 
   /**
@@ -34,9 +34,9 @@
    */
   public static double maxPrefillMillis(EngineSpec engine, ModelSpec model) {
     double tokens = (double) engine.stride() * engine.chunk();
-    double plain = tokens * MILLIS_PER_SECOND / engine.prefillTokensPerSecond();
+    double plain = tokens * MILLIS_PER_SECOND / engine.readTokensPerSecond();
     double pairs = engine.stride() * pairsMillis(engine, engine.chunk());
-    return (plain + pairs) * model.timeFactor();
+    return (plain + pairs) * model.pace();
   }
 
   private static double pairsMillis(EngineSpec engine, int promptTokens) {
@@ -52,8 +52,8 @@
    * @return milliseconds
    */
   public static double prefillMillis(EngineSpec engine, ModelSpec model, int promptTokens) {
-    double plain = promptTokens * MILLIS_PER_SECOND / engine.prefillTokensPerSecond();
-    return (plain + pairsMillis(engine, promptTokens)) * model.timeFactor();
+    double plain = promptTokens * MILLIS_PER_SECOND / engine.readTokensPerSecond();
+    return (plain + pairsMillis(engine, promptTokens)) * model.pace();
   }
 
   /**
@@ -67,9 +67,9 @@
    */
   public static double workMillis(EngineSpec engine, ModelSpec model, RequestSize size) {
     boolean known = size.promptTokens() > 0;
-    int prompt = known ? size.promptTokens() : engine.typicalRequest().promptTokens();
-    int answer = known ? size.answerTokens() : engine.typicalRequest().answerTokens();
+    int prompt = known ? size.promptTokens() : engine.usual().promptTokens();
+    int answer = known ? size.answerTokens() : engine.usual().answerTokens();
     double token = engine.stepMillis() / engine.slots() + engine.perSequenceMillis();
-    return prefillMillis(engine, model, prompt) + answer * token * model.timeFactor();
+    return prefillMillis(engine, model, prompt) + answer * token * model.pace();
   }
 }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
@@ -201,7 +201,7 @@
       for (Node node : nodes) {
         UpstreamState state = states.get(node.id());
         boolean rejects = state != null && state.isRejecting(now);
-        if (rejects || gate.isPaused(node.incarnation(), now)) {
+        if (rejects || gate.isPaused(node.life(), now)) {
           rejecting.add(node.id());
         }
       }
@@ -256,7 +256,7 @@
       boolean eligible = !excluded.contains(node.id()) && !state.isSuspect();
       SharedLimits.Admission room = gate.limits().admission(node, now);
       boolean hasRoom = room != SharedLimits.Admission.EXHAUSTED;
-      if (eligible && hasRoom && gate.acceptsRequests(node.incarnation(), now)) {
+      if (eligible && hasRoom && gate.acceptsRequests(node.life(), now)) {
         usable.add(node);
         boolean accepts = !state.isBackedOff(now) && !reportedRejecting.contains(node.id());
         if (accepts && room != SharedLimits.Admission.ASK_OWNER) {
@@ -276,7 +276,7 @@
     if (retryAfterNanos == UpstreamGate.NOW) {
       return new Choice.Refuse("no upstream serves", retryAfterNanos);
     }
-    boolean paused = candidates.stream().anyMatch(node -> gate.isPaused(node.incarnation(), now));
+    boolean paused = candidates.stream().anyMatch(node -> gate.isPaused(node.life(), now));
     return new Choice.Refuse(
         paused ? "every upstream rests or was tried" : "every upstream is at its limit",
         retryAfterNanos);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/UpstreamGate.java
@@ -138,7 +138,7 @@
    *     room within its limit
    */
   public boolean tryAcquire(Node node, long nowNanos) {
-    return acceptsRequests(node.incarnation(), nowNanos) && limits.tryAcquire(node, nowNanos);
+    return acceptsRequests(node.life(), nowNanos) && limits.tryAcquire(node, nowNanos);
   }
 
   /**
@@ -150,7 +150,7 @@
    */
   public long nanosUntilAvailable(Collection<Node> nodes, long nowNanos) {
     return nodes.stream()
-        .filter(node -> !isLeaving(node.incarnation()))
+        .filter(node -> !isLeaving(node.life()))
         .mapToLong(node -> nanosUntilAvailable(node, nowNanos))
         .filter(nanos -> nanos != NOW)
         .min()
@@ -158,8 +158,7 @@
   }
 
   private long nanosUntilAvailable(Node node, long nowNanos) {
-    long pause =
-        isPaused(node.incarnation(), nowNanos) ? pauseEnds.get(node.incarnation()) - nowNanos : NOW;
+    long pause = isPaused(node.life(), nowNanos) ? pauseEnds.get(node.life()) - nowNanos : NOW;
     return Math.max(pause, limits.nanosUntilAvailable(node, nowNanos));
   }
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/NodeReport.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/NodeReport.java
@@ -29,7 +29,7 @@
    * @return false when it is of another incarnation; true also when either start is not known
    */
   boolean isFromIncarnationOf(Node node) {
-    long known = node.incarnation().startedMillis();
+    long known = node.life().startedMillis();
     boolean startUnknown =
         startedMillis == NodeIncarnation.UNKNOWN_START || known == NodeIncarnation.UNKNOWN_START;
     return startUnknown || startedMillis == known;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
@@ -81,12 +81,12 @@
 
   private static boolean isLater(Node known, Node listed) {
     boolean startedDraining =
-        known.draining() && !listed.draining() && known.incarnation().equals(listed.incarnation());
+        known.draining() && !listed.draining() && known.life().equals(listed.life());
     return startedDraining || isLaterIncarnation(known, listed);
   }
 
   private static boolean isLaterIncarnation(Node known, Node listed) {
-    return known.incarnation().startedMillis() > listed.incarnation().startedMillis();
+    return known.life().startedMillis() > listed.life().startedMillis();
   }
 
   /**
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/SharedLimits.java
@@ -139,10 +139,10 @@
    * @param nowNanos the monotonic time
    */
   public Admission admission(Node node, long nowNanos) {
-    if (knownLimits.perSecond(node.incarnation()) == LimitUpdate.UNLIMITED) {
+    if (knownLimits.perSecond(node.life()) == LimitUpdate.UNLIMITED) {
       return Admission.UNLIMITED;
     }
-    if (holdsPermit(node.incarnation(), nowNanos)) {
+    if (holdsPermit(node.life(), nowNanos)) {
       return Admission.PERMITTED;
     }
     if (nanosUntilAvailable(node, nowNanos) > 0) {
@@ -176,16 +176,16 @@
    * @return false when the request must not be written, since the limit of the node is used up
    */
   public boolean tryAcquire(Node node, long nowNanos) {
-    double limit = knownLimits.perSecond(node.incarnation());
+    double limit = knownLimits.perSecond(node.life());
     if (limit == LimitUpdate.UNLIMITED) {
       return true;
     }
-    if (holdsPermit(node.incarnation(), nowNanos)) {
-      usePermit(node.incarnation());
+    if (holdsPermit(node.life(), nowNanos)) {
+      usePermit(node.life());
       return true;
     }
     return owners.isOwner(node.id(), node.dataCentre())
-        && bucket(node.incarnation(), node.dataCentre(), nowNanos)
+        && bucket(node.life(), node.dataCentre(), nowNanos)
             .tryAcquire(limit, owners.share(), nowNanos);
   }
 
@@ -247,15 +247,15 @@
    * @return nanoseconds; 0 when the node has no limit or a request may be possible now
    */
   public long nanosUntilAvailable(Node node, long nowNanos) {
-    double limit = knownLimits.perSecond(node.incarnation());
+    double limit = knownLimits.perSecond(node.life());
     if (limit == LimitUpdate.UNLIMITED) {
       return 0;
     }
     if (owners.isOwner(node.id(), node.dataCentre())) {
-      return bucket(node.incarnation(), node.dataCentre(), nowNanos)
+      return bucket(node.life(), node.dataCentre(), nowNanos)
           .nanosUntilAvailable(limit, owners.share(), nowNanos);
     }
-    return nanosUntilRetry(node.incarnation(), nowNanos);
+    return nanosUntilRetry(node.life(), nowNanos);
   }
 
   /**
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/EngineSpec.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/EngineSpec.java
@@ -15,13 +15,13 @@
  * @param stepMillis duration of a step, in milliseconds
  * @param perSequenceMillis time that each decoding request adds to a step, in milliseconds
  * @param contextMillis time added for each 1,000 tokens of context, in milliseconds
- * @param prefillTokensPerSecond prompt tokens that are prefilled per second
+ * @param readTokensPerSecond prompt tokens that are prefilled per second
  * @param pairsMillis time added for each million pairs of a prompt token and an earlier one
  *     (attention), in milliseconds
  * @param loadsPerSecond loads from the weight store that may start per second
  * @param loadsAtOnce loads that run concurrently at full speed
  * @param formMillis time from the opening of a head to its first request, in milliseconds
- * @param typicalRequest the mean size of a request
+ * @param usual the mean size of a request
  */
 public record EngineSpec(
     int slots,
@@ -32,12 +32,12 @@
     double stepMillis,
     double perSequenceMillis,
     double contextMillis,
-    double prefillTokensPerSecond,
+    double readTokensPerSecond,
     double pairsMillis,
     double loadsPerSecond,
     int loadsAtOnce,
     int formMillis,
-    RequestSize typicalRequest) {
+    RequestSize usual) {
 
   /**
    * Finds a model.
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/IncarnationTracker.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/IncarnationTracker.java
@@ -23,8 +23,8 @@
   public Set<String> update(Collection<Node> nodes) {
     Set<String> restarted = new HashSet<>();
     for (Node node : nodes) {
-      NodeIncarnation previous = latest.put(node.id(), node.incarnation());
-      if (previous != null && !previous.equals(node.incarnation())) {
+      NodeIncarnation previous = latest.put(node.id(), node.life());
+      if (previous != null && !previous.equals(node.life())) {
         restarted.add(node.id());
       }
     }
@@ -38,7 +38,7 @@
    */
   public boolean isCurrent(Node node) {
     NodeIncarnation known = latest.get(node.id());
-    return known == null || known.equals(node.incarnation());
+    return known == null || known.equals(node.life());
   }
 
   /**
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Node.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/model/Node.java
@@ -4,9 +4,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One incarnation of an upstream node, as the platform lists it.
+ * One incarnation of an upstream node, as the platform lists it. Jackson writes the component names
+ * into the copies that daemons exchange.
  *
- * @param incarnation its id and start time
+ * @param life its id and start time
  * @param service the service that it belongs to
  * @param endpoint the address that it listens on
  * @param slots requests that it processes concurrently
@@ -17,7 +18,7 @@
  * @param membership its membership of a group; null when it has none
  */
 public record Node(
-    NodeIncarnation incarnation,
+    NodeIncarnation life,
     String service,
     Endpoint endpoint,
     String dataCentre,
@@ -30,7 +31,7 @@
 
   /** Returns the id, which an earlier incarnation may have had too. */
   public String id() {
-    return incarnation.id();
+    return life.id();
   }
 
   /**
@@ -44,7 +45,7 @@
   public Node withGroup(
       @Nullable String newModel, List<String> newStaged, @Nullable Membership newMembership) {
     return new Node(
-        incarnation,
+        life,
         service,
         endpoint,
         dataCentre,
@@ -64,7 +65,7 @@
    */
   public Node withSlots(int groupSlots) {
     return new Node(
-        incarnation,
+        life,
         service,
         endpoint,
         dataCentre,
@@ -83,6 +84,6 @@
    */
   public Node asDraining() {
     return new Node(
-        incarnation, service, endpoint, dataCentre, slots, true, domain, model, staged, membership);
+        life, service, endpoint, dataCentre, slots, true, domain, model, staged, membership);
   }
 }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadSimulation.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/dispatch/LoadSimulation.java
@@ -337,7 +337,7 @@
     }
     NodeResponse response =
         new NodeResponse(503, true, false, phase.retryAfterMillis(), null, null);
-    daemon.gate.recordResponse(head.node.incarnation(), response, nowNanos());
+    daemon.gate.recordResponse(head.node.life(), response, nowNanos());
   }
 
   private void begin(Caller caller, Head head) {
@@ -373,7 +373,7 @@
       prefilled += part;
     }
     List<Caller> sequences = List.copyOf(head.decoding);
-    double millis = prefilled * 1e3 / engine.prefillTokensPerSecond() * load.model().timeFactor();
+    double millis = prefilled * 1e3 / engine.readTokensPerSecond() * load.model().pace();
     if (!sequences.isEmpty()) {
       millis += EngineTimes.passMillis(engine, load.model(), sequences.size());
     }
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/formation/RestoredNodesTest.java
@@ -116,10 +116,10 @@
     addKnown(node("n", 9));
     list(node("n", 7), 20);
     rollBack();
-    assertThat(shown("n", SECOND).incarnation().startedMillis()).isEqualTo(9);
-    assertThat(shown("n", MUCH_LATER).incarnation().startedMillis()).isEqualTo(9);
+    assertThat(shown("n", SECOND).life().startedMillis()).isEqualTo(9);
+    assertThat(shown("n", MUCH_LATER).life().startedMillis()).isEqualTo(9);
     list(node("n", 9), 23);
-    assertThat(shown("n", SECOND).incarnation().startedMillis()).isEqualTo(9);
+    assertThat(shown("n", SECOND).life().startedMillis()).isEqualTo(9);
   }
 
   /**
@@ -134,7 +134,7 @@
     list(node("gone", 7), 21);
     rollBack("gone");
     long lastAnswer = SECOND;
-    assertThat(shown("n", lastAnswer).incarnation().startedMillis()).isEqualTo(9);
+    assertThat(shown("n", lastAnswer).life().startedMillis()).isEqualTo(9);
     assertThat(shown("gone", lastAnswer)).isNull();
   }
 
--- a/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulation.java
+++ b/fawnvale-serving-core/src/test/java/org/fawnvale/serving/core/limit/SharedLimitSimulation.java
@@ -233,7 +233,7 @@
   }
 
   private boolean isUnknown(Daemon daemon) {
-    return daemon.limits.knownLimits().perSecond(node.incarnation()) == LimitUpdate.UNLIMITED;
+    return daemon.limits.knownLimits().perSecond(node.life()) == LimitUpdate.UNLIMITED;
   }
 
   private void sendIfAdmitted(Daemon daemon) {
@@ -253,10 +253,10 @@
   private void requestPermit(Daemon daemon) {
     String name = daemon.limits.ownerOf(node).name();
     Daemon owner = daemons.get(Integer.parseInt(name.substring(1)));
-    LimitUpdate update = daemon.limits.updateFor(node.incarnation(), now);
+    LimitUpdate update = daemon.limits.updateFor(node.life(), now);
     long delay = (1 + random.nextInt(4)) * MILLI;
     if (!owner.alive || owner.side != daemon.side || update == null) {
-      daemon.limits.permitDenied(node.incarnation(), 300 * MILLI, now);
+      daemon.limits.permitDenied(node.life(), 300 * MILLI, now);
       return;
     }
     schedule(
@@ -264,18 +264,18 @@
         () -> {
           owner.limits.merge(update, now);
           SharedLimits.Reply reply =
-              owner.limits.requestPermit(node.incarnation(), node.dataCentre(), now);
+              owner.limits.requestPermit(node.life(), node.dataCentre(), now);
           schedule(now + delay, () -> receiveReply(daemon, reply));
         });
   }
 
   private void receiveReply(Daemon daemon, SharedLimits.Reply reply) {
     if (reply instanceof SharedLimits.Granted) {
-      daemon.limits.permitGranted(node.incarnation(), now);
+      daemon.limits.permitGranted(node.life(), now);
       sendIf(daemon, daemon.limits.tryAcquire(node, now));
     } else {
       long wait = reply instanceof SharedLimits.Denied denied ? denied.nanos() : 300 * MILLI;
-      daemon.limits.permitDenied(node.incarnation(), wait, now);
+      daemon.limits.permitDenied(node.life(), wait, now);
     }
   }
 
@@ -284,11 +284,11 @@
       return;
     }
     arrivals.add(now);
-    int version = daemon.limits.knownLimits().version(node.incarnation());
+    int version = daemon.limits.knownLimits().version(node.life());
     NodeResponse response =
         new NodeResponse(200, false, false, 0, null, AdvertisedLimit.of(scenario.limit(), "named"));
     schedule(
         now + ANSWER_NANOS,
-        () -> daemon.limits.recordResponse(node.incarnation(), response, version, true, now));
+        () -> daemon.limits.recordResponse(node.life(), response, version, true, now));
   }
 }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
@@ -79,7 +79,7 @@
       return listed;
     }
     return listed.stream()
-        .map(node -> gate.isLeaving(node.incarnation()) ? node.asDraining() : node)
+        .map(node -> gate.isLeaving(node.life()) ? node.asDraining() : node)
         .toList();
   }
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -520,7 +520,7 @@
     long now = System.nanoTime();
     Set<String> paused = new HashSet<>();
     for (Node node : engines) {
-      if (gate.isPaused(node.incarnation(), now)) {
+      if (gate.isPaused(node.life(), now)) {
         paused.add(node.id());
       }
     }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestQuarantine.java
@@ -172,7 +172,7 @@
   }
 
   private void recordExit(Fingerprint fingerprint, Node node) {
-    int exits = quarantine.recordFailure(fingerprint, node.incarnation(), System.nanoTime());
+    int exits = quarantine.recordFailure(fingerprint, node.life(), System.nanoTime());
     boolean quarantined = exits >= Quarantine.MAX_FAILURES;
     metrics.nodeExit(quarantined);
     LOG.info("fingerprint={} node={} ends={} outcome=ended", fingerprint, node.id(), exits);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/http/NodeClient.java
@@ -85,7 +85,7 @@
    */
   public ClientExchange send(
       Node node, HttpRequest request, byte[] body, NodeResponseListener listener) {
-    NodeIncarnation incarnation = node.incarnation();
+    NodeIncarnation incarnation = node.life();
     BooleanSupplier mayWrite = () -> gate.tryAcquire(node, System.nanoTime());
     return client.send(
         node.endpoint(),
@@ -105,7 +105,7 @@
    * @param done called once with the result, with the daemon's lock held
    */
   public void call(Node node, Call call, long timeoutMillis, Consumer<BufferedCall.Reply> done) {
-    NodeIncarnation incarnation = node.incarnation();
+    NodeIncarnation incarnation = node.life();
     Endpoint endpoint = node.endpoint();
     BooleanSupplier mayWrite = () -> !gate.isPaused(incarnation, System.nanoTime());
     BufferedCall.Sender sender =
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/limit/LimitPermitService.java
@@ -70,7 +70,7 @@
    * @param result receives whether the request may be sent; called once, with the lock held
    */
   public void requestPermit(Node node, Consumer<Boolean> result) {
-    LimitUpdate known = limits.updateFor(node.incarnation(), System.nanoTime());
+    LimitUpdate known = limits.updateFor(node.life(), System.nanoTime());
     if (known == null) {
       result.accept(true);
       return;
@@ -91,7 +91,7 @@
     String outcome = "granted";
     long waitNanos = 0;
     if (reply instanceof SharedLimits.Granted) {
-      limits.permitGranted(node.incarnation(), now);
+      limits.permitGranted(node.life(), now);
     } else if (reply instanceof SharedLimits.Denied denied) {
       outcome = "denied";
       waitNanos = denied.nanos();
@@ -100,7 +100,7 @@
       waitNanos = OWNER_RETRY_NANOS;
     }
     if (waitNanos > 0) {
-      limits.permitDenied(node.incarnation(), waitNanos, now);
+      limits.permitDenied(node.life(), waitNanos, now);
     }
     registry.counter("fawnvale.limits.asked", "outcome", outcome).increment();
     LOG.info(
