--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/ModelDemand.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/ModelDemand.java
@@ -6,12 +6,12 @@
 import org.fawnvale.serving.core.model.ModelSpec;
 
 /**
- * How much of the fleet each model needs, relative to the other models. All nodes together count as
- * one.
+ * The demand for each model, relative to the total demand.
  *
- * @param groups by model, the groups that it keeps busy, relative to one node
- * @param confidence how far the demand was observed: 0 when it is only declared, approaching 1 with
- *     time
+ * @param groups by model, the number of groups that it keeps busy, divided by the number of nodes
+ *     that all models together keep busy
+ * @param confidence the weight of the observed demand against the declared one: 0 when only the
+ *     declared demand counts, approaching 1 with the time of observation
  * @param busyNodes the nodes that all models together keep busy; 0 when that is not known
  */
 public record ModelDemand(Map<String, Double> groups, double confidence, double busyNodes) {
@@ -22,8 +22,8 @@
   private static final double CONFIDENCE_SECONDS = 3;
 
   /**
-   * The least demand that is assumed for a model without requests, since callers may request it at
-   * any time: a part of its declared demand. Also the least declared share.
+   * The smallest demand of a model, as a fraction of its declared demand, since callers may request
+   * the model at any time. Also the smallest declared share of the work.
    */
   private static final double MIN_DECLARED_SHARE = 0.05;
 
@@ -36,7 +36,8 @@
   /**
    * Creates a demand that is certain.
    *
-   * @param groups by model, the groups that it keeps busy, relative to one node
+   * @param groups by model, the number of groups that it keeps busy, divided by the number of nodes
+   *     that all models together keep busy
    */
   public ModelDemand(Map<String, Double> groups) {
     this(groups, 1, 0);
@@ -95,7 +96,7 @@
   /**
    * Returns the demand for one model.
    *
-   * @return the groups that it keeps busy, relative to one node
+   * @return its value in {@link #groups}; 0 when the model is unknown
    */
   public double of(ModelSpec model) {
     return groups.getOrDefault(model.name(), 0.0);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/OfferedLoad.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/OfferedLoad.java
@@ -32,7 +32,8 @@
   }
 
   /**
-   * Returns the part of steady work that the decaying sum shows some time after the first request.
+   * Returns the fraction of a constant load that the decaying sum has reached some time after the
+   * first request.
    *
    * @param seconds the time since the first request, in seconds
    * @return above 0, approaching 1
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/CallerRetryDetector.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/CallerRetryDetector.java
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Returns the bucket that all but the share {@link #MAX_MISTAKEN_SHARE} of the first attempts
-     * reach.
+     * Returns the bucket below which at most the share {@link #MAX_MISTAKEN_SHARE} of the first
+     * attempts lies; 0 while there are too few first attempts.
      */
     private int shortest() {
       if (all < MIN_FIRST_ATTEMPTS) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/Dispatcher.java
@@ -324,9 +324,9 @@
   }
 
   /**
-   * Moves upstreams with an idle connection into the sample, except for its first place, which
-   * stays random. Each daemon thus reuses its connections to a few of many heads, and the random
-   * place still finds heads with less load.
+   * Moves upstreams with an idle connection to the front of the list, from which the sample is
+   * taken, but keeps the first upstream, which is random. Each daemon thus reuses its connections
+   * to a few of many heads, and the random upstream may still be a head with less load.
    */
   private void preferConnected(List<Node> nodes, int wanted) {
     int place = 1;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/RetryBudget.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/RetryBudget.java
@@ -9,7 +9,7 @@
  */
 public final class RetryBudget {
 
-  /** The part of the allowed retries that is used, as a safety margin. */
+  /** The fraction of the allowed retries that is used; the rest is a safety margin. */
   private static final double SAFETY_FACTOR = 0.8;
 
   private final double ratio;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/StallDetector.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/dispatch/StallDetector.java
@@ -6,9 +6,9 @@
 
 /**
  * Decides from the pauses of streams whether the group behind them has stalled. The timeout is the
- * longest pause of a working group: one pass that prefills as many prompts as fit. A timeout learnt
- * from observed pauses would be shorter and would dissolve groups that have just received many
- * prompts, for example after the loss of another group.
+ * longest pause of a working group: one pass that prefills as many prompts as fit. A timeout
+ * derived from observed pauses would be shorter and would dissolve groups that have just received
+ * many prompts, for example after the loss of another group.
  */
 public final class StallDetector {
 
@@ -52,16 +52,17 @@
   }
 
   /**
-   * Judges an upstream by the streams that it has started. A daemon does not judge by a missing
-   * first event alone, since a head to which many daemons have just sent requests may take long for
-   * it; it does so only where there are other grounds for suspicion.
+   * Tells whether an upstream has stalled. While none of its responses to this daemon has started,
+   * it counts as stalled only with {@code suspectedElsewhere}, since a head to which many daemons
+   * have just sent requests may take long to send a first event.
    *
    * @param state what this daemon has observed of the upstream
    * @param timeoutNanos the longest pause of a working group, in nanoseconds
    * @param suspectedElsewhere whether another daemon with streams there reports a stall, or the
    *     upstream's data centre is unreachable
    * @param nowNanos the monotonic time, in nanoseconds
-   * @return true when requests are in flight and no event has arrived within the timeout
+   * @return true when requests are in flight and the upstream has made no progress within the
+   *     timeout
    */
   public static boolean isStalled(
       UpstreamState state, long timeoutNanos, boolean suspectedElsewhere, long nowNanos) {
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Dissolver.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/Dissolver.java
@@ -207,8 +207,8 @@
   }
 
   /**
-   * Processes the report of a node. The report is newer than the list and than earlier answers: a
-   * head that answered a leave before it had joined may have joined since by another leader's
+   * Processes the report of a node. The report takes precedence over the list and over earlier
+   * answers: a head that accepted a leave may have joined the group since, on another leader's
    * order. Reports received within {@link #REPORT_LAG_NANOS} after a leave may predate it and are
    * not taken as a return.
    */
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ExchangePolicy.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ExchangePolicy.java
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Describes for each model its groups and the number of groups that it keeps busy, divided by the
-   * number of nodes.
+   * Describes for each model the number of its groups and its demand, as in {@link
+   * MixPlanner#demand}.
    */
   String describeMix() {
     StringBuilder text = new StringBuilder();
@@ -108,7 +108,10 @@
     return text.toString();
   }
 
-  /** The members that hold one model only. Groups with few of them are exchanged first. */
+  /**
+   * Counts the members that hold fewer than two models. Groups with few of them are exchanged
+   * first.
+   */
   private long singleModelNodes(ObservedGroup group) {
     return group.members().stream()
         .filter(
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/FormationPolicy.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/FormationPolicy.java
@@ -13,9 +13,9 @@
  * Decides which free nodes of one domain become members of which group.
  *
  * <p>By default only nodes that hold a model's weights join its groups: a node that has to load
- * them first would keep the other members idle, which could form a group with the survivors of the
- * next failure instead. There are two exceptions: while loads are not limited, and for a model that
- * no group serves.
+ * them first would keep the other members idle, although they could form a group with the survivors
+ * of the next failure. Nodes without the weights may also join while the rate of loads is not
+ * limited, and for a model that no group serves.
  */
 final class FormationPolicy {
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -40,8 +40,8 @@
   private static final long MIX_LOG_INTERVAL_NANOS = 2_000 * MILLI;
 
   /**
-   * While one plus one in this many groups is being dissolved, further groups with a draining
-   * member have to wait.
+   * Determines how many groups are dissolved at a time: a serving group with a draining member
+   * waits while {@code 1 + groups / GROUPS_PER_DISSOLUTION} or more groups are being dissolved.
    */
   private static final int GROUPS_PER_DISSOLUTION = 4;
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/MissingMembers.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/MissingMembers.java
@@ -7,8 +7,8 @@
 
 /**
  * Tolerates for a while that members of a group are not listed. An entry is missing when its node
- * has died, which stalled streams show sooner. It is also missing when only the node's connection
- * to the store or the store itself failed; then the group keeps serving.
+ * has died; stalled streams reveal that sooner. An entry is also missing when the store or only the
+ * node's connection to it has failed; then the group keeps serving.
  */
 final class MissingMembers {
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/MixPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/MixPlanner.java
@@ -28,7 +28,7 @@
    */
   private static final int LOSS_EXPONENT = 8;
 
-  /** The number of groups that a model without any counts as having, so that its loss is finite. */
+  /** Replaces the number of groups of a model that has none, so that its loss is finite. */
   private static final double MIN_GROUPS = 0.5;
 
   /**
@@ -106,7 +106,7 @@
     return loss;
   }
 
-  /** The number of groups that a model keeps busy, divided by the number of nodes. */
+  /** The demand for a model, as in {@link ModelDemand#groups}. */
   double demand(ModelSpec model) {
     return demand.of(model);
   }
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/OrderTracker.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/OrderTracker.java
@@ -111,9 +111,10 @@
   }
 
   /**
-   * Records an accepted leave. A node accepts a leave also if another leader's join has moved it
-   * before. The order count is therefore known afterwards only if the leave named the expected
-   * count; otherwise a later join could pass at a node that was moved in the meantime.
+   * Records an accepted leave. A node accepts a leave even if another leader has moved it to
+   * another group. The order count is therefore known afterwards only if the leave named the
+   * expected count; with a wrongly assumed count, a node that was moved in the meantime could
+   * accept a later join.
    */
   private static void recordLeave(Entry entry, GroupOrder order) {
     boolean known = order.expectedOrders() != UNKNOWN;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ScarceModels.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/ScarceModels.java
@@ -9,14 +9,15 @@
 import org.fawnvale.serving.core.model.Node;
 
 /**
- * Reserves nodes for the model that needs them more. A node that joins a group from its host loses
- * the weights that it has in memory, and needs a load of many seconds to get them again.
+ * Reserves nodes for the model that needs them more. A node that joins a group with weights from
+ * its host loses the weights that it has in memory, and loading those again takes many seconds.
  */
 final class ScarceModels implements JoinRule {
 
   /**
-   * How many times the gain of a group of the lost model must exceed that of the joined one for the
-   * node to stay idle. Noise in the demand must not decide, as in {@link ExchangePolicy}.
+   * A node stays idle only if one more group of the model whose weights it would lose gains, per
+   * node, more than this many times as much as one more group of the model that it would join. The
+   * margin allows for noise in the demand, as in {@link ExchangePolicy}.
    */
   private static final double MIN_GAIN_RATIO = 3.0;
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/KnownLimits.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/KnownLimits.java
@@ -26,8 +26,9 @@
   public static final int UNKNOWN_VERSION = 0;
 
   /**
-   * Consecutive responses without a limit that end a limit. With one response only, a node whose
-   * overload pauses for a moment would receive all waiting requests at once.
+   * The number of consecutive responses without a limit after which a known limit ends. If one
+   * response were enough, a node whose overload pauses for a moment would receive all waiting
+   * requests at once.
    */
   private static final int RESPONSES_TO_END = 2;
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/LimitUpdate.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/limit/LimitUpdate.java
@@ -6,8 +6,8 @@
  * The limit of one node, as daemons send it to each other.
  *
  * @param incarnation the incarnation of the node
- * @param version counts the known changes of this incarnation's limit; of two updates, the one with
- *     the higher version was made with knowledge of the other one
+ * @param version counts the known changes of this incarnation's limit; an update with a higher
+ *     version replaces one with a lower version
  * @param perSecond the requests per second that the node accepts from all daemons together; {@link
  *     #UNLIMITED} when it advertises no limit any more
  * @param ageMillis the time since a daemon last received a response that confirms the limit, in
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreOutages.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreOutages.java
@@ -24,10 +24,10 @@
   private static final long RECOVERY_NANOS = 2_000_000_000L;
 
   /**
-   * Fraction of the observations during an outage in which a peer reached the store, from which the
-   * outage counts as local. A daemon that is cut off learns at once that its peers still reach the
-   * store. In a fleet-wide outage the peers lose it soon after, and regain it up to a second
-   * earlier.
+   * An outage counts as local if a peer reached the store in at least this fraction of the
+   * observations during the outage. A daemon that is cut off learns at once that its peers still
+   * reach the store. In a fleet-wide outage the peers lose it soon after, and regain it up to a
+   * second earlier.
    */
   private static final double LOCAL_OUTAGE_RATIO = 0.75;
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ClusterView.java
@@ -73,7 +73,7 @@
     return lastModels.complete(withDraining(listed));
   }
 
-  /** Marks the nodes as draining whose responses say so before their entries do. */
+  /** Marks nodes as draining that have announced in a response that they are leaving. */
   private Collection<Node> withDraining(Collection<Node> listed) {
     if (gate.leavingCount() == 0) {
       return listed;
@@ -83,7 +83,10 @@
         .toList();
   }
 
-  /** While the watch of nodes is inactive, the watch of the configuration shows the last answer. */
+  /**
+   * Returns the time of the last answer. An inactive watch of nodes makes no calls, so the watch of
+   * the configuration is used instead.
+   */
   private long lastAnswerNanos() {
     return nodes.isActive() ? nodes.lastAnswerNanos() : configurations.lastAnswerNanos();
   }
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/ServingDaemon.java
@@ -69,7 +69,7 @@
   /** Ticks between two regular peer messages: 150 ms. */
   private static final int MESSAGE_TICKS = 6;
 
-  /** A daemon that does not lead skips all but every second run of the formation. */
+  /** A daemon that does not lead performs only every second run of the formation. */
   private static final int FOLLOWER_FORMATION_RUNS = 2;
 
   /** The offset of the port for peer queries from the port for peer messages. */
@@ -542,8 +542,8 @@
   }
 
   /**
-   * Sends the regular message, as an urgent one if the leader's announcements have changed. They
-   * wait for the regular message to save bandwidth.
+   * Sends the regular message, as an urgent one if the leader's announcements have changed. Changed
+   * announcements wait for the next regular message to save bandwidth.
    */
   private void sendRegularMessage() {
     boolean urgent = announcementsChanged;
@@ -576,8 +576,9 @@
   /**
    * Sends the state of this daemon to its peers.
    *
-   * @param urgent whether the message is also sent to the leader, to the own data centre and to the
-   *     relays of large clusters when no regular message to them is due; from the leader to all
+   * @param urgent whether to send the message also to the leader, to all daemons of this data
+   *     centre and to the relays of the others, even if no regular message to them is due; the
+   *     leader sends it to all daemons
    */
   private void sendPeerMessage(boolean urgent) {
     Map<String, Integer> inFlight = new HashMap<>();
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/spi/Platform.java
@@ -67,7 +67,7 @@
    * Reads the era of the store from a response.
    *
    * @param head head of the response
-   * @return era; {@link StoreEra#UNTOLD} if the response has none or a malformed one
+   * @return era; {@link StoreEra#UNKNOWN} if the response has none or a malformed one
    */
   StoreEra era(HttpResponse head);
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
@@ -33,7 +33,7 @@
   private static final int NOT_FOUND = 404;
   private static final int CONFLICT = 409;
 
-  /** The same time as that for which a daemon keeps a record in memory without updates. */
+  /** Equal to the time for which a daemon keeps a record in memory without updates. */
   private static final long RETENTION_MILLIS = 1_800_000;
 
   /** Limits the records that wait to be saved; peers also receive the records in peer messages. */
