--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/EngineTimes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/demand/EngineTimes.java
@@ -63,7 +63,7 @@
    * @param engine the performance parameters
    * @param model the group's model
    * @param size the request's size; an unknown one counts as {@link EngineSpec#typicalRequest}
-   * @return milliseconds of one group
+   * @return the time of one group, in milliseconds
    */
   public static double workMillis(EngineSpec engine, ModelSpec model, RequestSize size) {
     boolean known = size.promptTokens() > 0;
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LastModels.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/LastModels.java
@@ -23,8 +23,8 @@
    * Records the models that the entries show and fills in those that they no longer show.
    *
    * @param nodes the nodes as they are listed
-   * @return the listed nodes; a node whose entry shows no model gets the model of its last group, if
-   *     known
+   * @return the listed nodes; a node whose entry shows no model gets the model of its last group,
+   *     if known
    */
   public Collection<Node> complete(Collection<Node> nodes) {
     models.keySet().removeAll(incarnations.update(nodes));
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/NodeReport.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/NodeReport.java
@@ -13,8 +13,8 @@
  * @param staged the models on its host
  * @param membership its membership of a group; null when it has none
  * @param orders the number of orders that it has taken in this incarnation
- * @param startedMillis when this incarnation began; {@link NodeIncarnation#UNKNOWN_START} when it
- *     is not known
+ * @param startedMillis when this incarnation started by the node's clock, in milliseconds of Unix
+ *     time; {@link NodeIncarnation#UNKNOWN_START} when it is not known
  */
 public record NodeReport(
     @Nullable String model,
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/PlanPacing.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/PlanPacing.java
@@ -26,7 +26,7 @@
   /**
    * Tells whether a plan is due. The caller has to plan when it is.
    *
-   * @param nodes the store position that the list of nodes shows
+   * @param nodes the position in the store's history that the list of nodes reflects
    * @param busy whether groups are being formed or dissolved, or anything else is urgent
    * @param now the monotonic time, in nanoseconds
    * @return true when a plan may differ from the last one
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/RestoredNodes.java
@@ -26,7 +26,8 @@
 public final class RestoredNodes {
 
   /**
-   * Entries of nodes that don't write lapse after three heartbeats of 1.2 s; this adds a margin.
+   * The time after which the entries of dead nodes have lapsed: three heartbeats of 1.2 s, and a
+   * margin.
    */
   private static final long LAPSE_NANOS = 5_000_000_000L;
 
@@ -37,7 +38,7 @@
    *
    * @param known the node as it was known; null when its entry was gone
    * @param listedPosition the store position of its entry in the copy
-   * @param sinceNanos when this daemon noticed the rollback
+   * @param sinceNanos the monotonic time at which this daemon noticed the rollback
    */
   private record Retained(@Nullable Node known, StorePosition listedPosition, long sinceNanos) {}
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StallEvidence.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/StallEvidence.java
@@ -23,14 +23,15 @@
   private static final int CONFIRMING_DAEMONS = 2;
 
   /**
-   * How long a single daemon must suspect a head. Two messages of the other daemons arrive within
-   * this time.
+   * How long a single daemon must suspect a head before the stall is confirmed. Two messages of the
+   * other daemons arrive within this time.
    */
   private static final long SINGLE_OBSERVER_NANOS = 300 * MILLI;
 
   /**
-   * How long daemons of other data centres must suspect a head. After a network partition ends,
-   * messages from the head's own data centre arrive within this time and show whether it serves.
+   * How long daemons of other data centres must suspect a head before the stall is confirmed. After
+   * a network partition ends, messages from the head's own data centre arrive within this time and
+   * show whether it serves.
    */
   private static final long REMOTE_OBSERVERS_NANOS = 600 * MILLI;
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/VanishedNodes.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/VanishedNodes.java
@@ -8,15 +8,15 @@
 import org.fawnvale.serving.core.model.Node;
 
 /**
- * Retains entries that vanish although their nodes live. Entries lapse while nodes can't write to
- * the store, and reappear within about two seconds after it has recovered. Meanwhile the nodes keep
- * serving.
+ * Retains entries that vanish although their nodes are alive. Entries lapse while nodes can't write
+ * to the store, and reappear within about two seconds after it has recovered. Meanwhile the nodes
+ * keep serving.
  */
 public final class VanishedNodes {
 
   /**
-   * How long an entry is retained. Two seconds after a node has really gone, nothing may be sent to
-   * it.
+   * How long an entry is retained. Less than two seconds, the time after which nothing may be sent
+   * to a node that has really gone.
    */
   private static final long RETENTION_NANOS = 1_500_000_000L;
 
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/RendezvousOwners.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/peer/RendezvousOwners.java
@@ -97,7 +97,8 @@
   /**
    * Returns the daemon that owns a key, which may be this one.
    *
-   * @param dataCentre the data centre that the key belongs to; a name without daemons if to none
+   * @param dataCentre the data centre that the key belongs to; if it belongs to none, a name that
+   *     is not the data centre of any daemon
    */
   public Daemon ownerOf(String key, String dataCentre) {
     if (owners.size() > MAX_CACHED_KEYS) {
@@ -109,7 +110,8 @@
   /**
    * Tells whether this daemon owns a key.
    *
-   * @param dataCentre the data centre that the key belongs to; a name without daemons if to none
+   * @param dataCentre the data centre that the key belongs to; if it belongs to none, a name that
+   *     is not the data centre of any daemon
    */
   public boolean isOwner(String key, String dataCentre) {
     return ownerOf(key, dataCentre).equals(self);
--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreSuspicion.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/watch/StoreSuspicion.java
@@ -2,9 +2,9 @@
 
 /**
  * Tells whether a daemon that has not called the store recently can rely on it. Once a peer in its
- * data centre has lost the store, it can't until the store has answered a call of its own.
- * Otherwise, in a partitioned data centre, one daemon after the other would consider itself
- * eligible, lead, and fail at its first call.
+ * data centre has lost the store, the daemon can't rely on it until the store has answered one of
+ * the daemon's own calls. Otherwise, in a partitioned data centre, one daemon after the other would
+ * consider itself eligible, lead, and fail at its first call.
  *
  * <p>Not thread-safe.
  */
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Gateway.java
@@ -241,7 +241,8 @@
   }
 
   /**
-   * Returns the Retry-After of a refused request; short only where an upstream could take it now.
+   * Returns the Retry-After of a refused request, in milliseconds; {@link #RETRY_AFTER_MILLIS} if
+   * an upstream could take the request now.
    */
   int retryAfterMillis(CallerRequest request, Set<String> tried) {
     long remainingMillis = (request.deadlineNanos() - System.nanoTime()) / NANOS_PER_MILLI;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerLink.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/peer/PeerLink.java
@@ -98,7 +98,7 @@
     }
     long now = System.nanoTime();
     lastSeenNanos.put(address, now);
-    // An address that only another daemon lists expires after half the time.
+    // An address that is known only from datagrams of other daemons expires after half the time.
     for (String other : datagram.addresses()) {
       if (!other.equals(settings.address())) {
         lastSeenNanos.putIfAbsent(other, now - ADDRESS_TTL_NANOS / 2);
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
@@ -94,7 +94,9 @@
         });
   }
 
-  /** The store may not know the kind before the first object of that kind is saved. */
+  /**
+   * Tells whether the store answered 404, as it may before the first object of the kind is saved.
+   */
   private static boolean isKindMissing(BufferedCall.Reply reply) {
     return reply instanceof BufferedCall.Answered answer && answer.status() == NOT_FOUND;
   }
