--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/PlannedStop.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/daemon/PlannedStop.java
@@ -17,9 +17,9 @@
   private static final long POLL_MILLIS = 50;
 
   /**
-   * Number of consecutive polls without a request in flight. The gateway counts a request as ended
-   * before the last bytes of its response are sent; the additional polls let those bytes leave
-   * before the connections are closed.
+   * Number of consecutive polls without a request in flight after which the daemon may exit. The
+   * gateway counts a request as ended before the last bytes of its response are sent; the
+   * additional polls let those bytes leave before the connections are closed.
    */
   private static final int IDLE_POLLS = 3;
 
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/Forwarder.java
@@ -40,9 +40,7 @@
   private static final int SUCCESS = 200;
   private static final int MAX_REJECTIONS = 3;
 
-  /**
-   * Limit of the permit requests for one caller's request, since the caller waits for each reply.
-   */
+  /** The most permit requests for one caller's request, since the caller waits for each reply. */
   private static final int MAX_PERMIT_REQUESTS = 3;
 
   private static final int CHOICE_RETRY_MILLIS = 100;
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestLog.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/gateway/RequestLog.java
@@ -77,7 +77,10 @@
     }
   }
 
-  /** The logged fingerprint identifies other attempts of the same request. */
+  /**
+   * Logs a broken connection, with the fingerprint that identifies other attempts of the same
+   * request.
+   */
   void upstreamBroke(
       CallerRequest request, Node node, Fingerprint fingerprint, long runMillis, Exception cause) {
     LOG.info(
--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/CopyPacing.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/CopyPacing.java
@@ -56,8 +56,9 @@
   }
 
   /**
-   * Schedules a fetch within the minimum interval for the end of that interval, so that it does not
-   * have to wait for the next message of a peer.
+   * Returns the delay of a fetch from a peer of the same data centre. Within the minimum interval,
+   * one fetch is scheduled for the end of the interval, so that it does not have to wait for the
+   * next message of a peer.
    */
   private int nearDelayMillis(long intervalEnds, long now) {
     if (now >= intervalEnds) {
