--- a/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
+++ b/fawnvale-serving/src/main/java/org/fawnvale/serving/store/QuarantineStore.java
@@ -33,7 +33,7 @@
   private static final int NOT_FOUND = 404;
   private static final int CONFLICT = 409;
 
-  /** The same time as that for which a daemon keeps a record in memory without updates. */
+  /** Equal to the time for which a daemon keeps a record in memory without updates. */
   private static final long RETENTION_MILLIS = 1_800_000;
 
   /** Limits the records that wait to be saved; peers also receive the records in peer messages. */
@@ -94,7 +94,9 @@
         });
   }
 
-  /** The store may not know the kind before the first object of that kind is saved. */
+  /**
+   * Tells whether the store answered 404, as it may before the first object of the kind is saved.
+   */
   private static boolean isKindMissing(BufferedCall.Reply reply) {
     return reply instanceof BufferedCall.Answered answer && answer.status() == NOT_FOUND;
   }
