--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/Console.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/Console.java
@@ -21,22 +21,14 @@
     return new Console(System.out, System.err);
   }
 
-  /**
-   * Prints each problem as one line on the error stream.
-   *
-   * @param problems the problems
-   */
+  /** Prints each problem as one line on the error stream. */
   public void print(List<Problem> problems) {
     for (Problem problem : problems) {
       err.println("fawnvale: " + problem.describe());
     }
   }
 
-  /**
-   * Prints a line on the result stream.
-   *
-   * @param line the line
-   */
+  /** Prints a line on the result stream. */
   public void line(String line) {
     out.println(line);
   }
--- a/fawnvale-cli/src/main/java/org/fawnvale/cli/EdgeProcess.java
+++ b/fawnvale-cli/src/main/java/org/fawnvale/cli/EdgeProcess.java
@@ -65,7 +65,8 @@
   }
 
   /**
-   * Blocks the shutdown hook until the main thread has stopped the daemon and halts the process.
+   * Requests the stop and blocks the shutdown hook. The main thread then stops the daemon and halts
+   * the process.
    */
   private static void requestStopAndBlock(CountDownLatch stopRequested) {
     stopRequested.countDown();
--- a/fawnvale-core/src/main/java/org/fawnvale/core/limits/WaitEstimate.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/limits/WaitEstimate.java
@@ -17,8 +17,8 @@
    * Records that an item left the queue.
    *
    * @param nowNanos the current time
-   * @param othersWait whether items still wait; only then does the next departure update the
-   *     estimate
+   * @param othersWait whether other items are still waiting; if not, the next departure does not
+   *     update the estimate
    */
   public synchronized void recordDeparture(long nowNanos, boolean othersWait) {
     if (busy) {
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Order.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Order.java
@@ -8,14 +8,15 @@
  *
  * @param node the node that receives the order
  * @param epoch the lease epoch of the sender; an engine with fencing refuses lower ones
- * @param generation the replica's generation; an engine with fencing refuses lower ones
- * @param replica the replica to join; null to leave all replicas
+ * @param generation the replica's generation, or the last one assigned in the domain when there is
+ *     no replica; an engine with fencing refuses lower ones
+ * @param replica the replica to join; null to leave all replicas or to preload weights
  * @param memberIndex index of the node among the members, from 0
- * @param members all members, the head first
+ * @param members all members, the head first; empty when leaving or preloading
  * @param model the model to serve; null when leaving
  * @param version the model's full version; null when leaving
  * @param weightGigabytes size of the weights to load, gigabytes
- * @param role the role; null when leaving
+ * @param role the role; null when leaving or preloading
  * @param draining true to finish running requests and take no new ones
  */
 public record Order(
--- a/fawnvale-core/src/main/java/org/fawnvale/core/model/Rollout.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/model/Rollout.java
@@ -51,7 +51,7 @@
   }
 
   /**
-   * Tells whether an operation has taken effect, for a client that lost the response.
+   * Returns whether an operation has taken effect, for a client that lost the response.
    *
    * @param operation identifier of the operation
    * @return true when the history contains the operation
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/NodeView.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/NodeView.java
@@ -20,7 +20,7 @@
   }
 
   /**
-   * Tells whether the node has already loaded the given weights.
+   * Returns whether the node has already loaded the given weights.
    *
    * @param weights model and version, as {@code model@version}
    * @return true when the node does not need to load them again
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/Orders.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/Orders.java
@@ -57,7 +57,7 @@
    * @param nodes the nodes by name
    * @param epoch the sender's lease epoch
    * @param settings whether spare nodes preload weights
-   * @return at most one order, so that the loads of a replica wait for at most one preload
+   * @return at most one order, so that a replica that loads weights waits for at most one preload
    */
   public static List<Order> preloads(
       Collection<DomainState> states,
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/Planner.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/Planner.java
@@ -142,8 +142,8 @@
   }
 
   /**
-   * Disbands the broken replica with the fewest survivors if its nodes complete the one with the
-   * most.
+   * Disbands the broken replica with the fewest reachable members if these, with the spare nodes,
+   * suffice to complete the broken replica with the most reachable members.
    */
   private void consolidate(DomainDraft draft) {
     List<Replica> broken =
@@ -313,8 +313,8 @@
   }
 
   /**
-   * Returns false when a new replica of the role would be an extra one and would take nodes that a
-   * broken or missing replica needs.
+   * Returns false when a new replica of the role would be an extra one while a required replica is
+   * missing or has an unreachable member.
    */
   private boolean mayForm(DomainDraft draft, Role role) {
     boolean extra = existingReplicas(role) >= role.replicasPerDataCentre();
@@ -356,8 +356,8 @@
   }
 
   /**
-   * Of the domains with enough spares, returns the one with the fewest loads, then the fewest
-   * spares.
+   * Selects the domain for a new replica: among those with enough spare nodes, the one where the
+   * fewest members have to load weights, then the one with the fewest spare nodes.
    */
   private Optional<DomainDraft> domainFor(Role role) {
     String requiredWeights = weights(role.model(), versionOf(role));
--- a/fawnvale-core/src/main/java/org/fawnvale/core/readiness/ReadinessTable.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/readiness/ReadinessTable.java
@@ -129,7 +129,7 @@
   }
 
   /**
-   * Tells whether a replica may serve.
+   * Returns whether a replica may serve.
    *
    * @param nowNanos the current time
    * @return true when the replica is not draining and every member is confirmed as ready
@@ -175,7 +175,7 @@
   }
 
   /**
-   * Tells whether the node of a plain service may be used.
+   * Returns whether the node of a plain service may be used.
    *
    * @param node the node's name
    * @param nowNanos the current time
--- a/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationReplay.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/replay/FormationReplay.java
@@ -142,7 +142,7 @@
   }
 
   /**
-   * Returns how many required replicas of the largest role no domain has enough running nodes for.
+   * Returns how many required replicas of the largest role cannot be formed from the running nodes.
    */
   private int unavoidablyMissingReplicas() {
     Role largest =
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/CoordinatorService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/CoordinatorService.java
@@ -250,7 +250,8 @@
   }
 
   /**
-   * Marks the rollout complete once every data centre runs the replicas that the bundle asks for.
+   * Marks the rollout complete once every data centre has the replicas that the bundle requires, in
+   * its version.
    */
   private void complete(FleetView view) {
     Rollout rollout = view.rollout();
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/Progress.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/Progress.java
@@ -20,7 +20,7 @@
   /**
    * One role in one data centre.
    *
-   * @param wanted number of replicas that the bundle asks for
+   * @param wanted number of replicas that the bundle requires
    * @param standing number of replicas in the data centre's domains, of any version
    * @param current number of those replicas that have the bundle's version and are not draining
    */
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/SilenceTracker.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/coordinate/SilenceTracker.java
@@ -12,7 +12,7 @@
 import org.fawnvale.core.planning.NodeView;
 import org.fawnvale.core.readiness.ReadinessTable;
 
-/** Tracks for each node since when it has not reported, its last report and its recent failures. */
+/** Tracks the last report, the start of the silence and the recent failures of each node. */
 final class SilenceTracker {
 
   private static final long FAILURE_RETENTION_NANOS = TimeUnit.HOURS.toNanos(6);
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/CallerService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/CallerService.java
@@ -114,7 +114,8 @@
   }
 
   /**
-   * Returns the port that the service listens on, also when the settings leave it to the system.
+   * Returns the port that the service listens on, which the system chooses if the settings specify
+   * 0.
    *
    * @return the port; 0 before the start
    */
@@ -160,7 +161,8 @@
   }
 
   /**
-   * Returns whether a target was ready once, or twice the freshness period has passed since start.
+   * Returns true once a target has been ready or twice the freshness period has passed since the
+   * start.
    */
   private boolean hasWarmedUp() {
     long limit = TimeUnit.MILLISECONDS.toNanos(2 * context.settings().timing().freshMillis());
@@ -257,7 +259,7 @@
         return millis;
       }
     } catch (NumberFormatException e) {
-      // Refused below like a number out of range.
+      // Rejected below, like a number that is out of range.
     }
     throw badHeader(DEADLINE_HEADER, text, "a whole number from 1 to " + maximum);
   }
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/InFlightCounter.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/InFlightCounter.java
@@ -21,7 +21,7 @@
     return true;
   }
 
-  /** Removes a request that has ended from the count. */
+  /** Decrements the count after a request has ended. */
   public synchronized void exit() {
     count--;
     notifyAll();
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/http/BoundedHttpServer.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/http/BoundedHttpServer.java
@@ -109,7 +109,8 @@
   }
 
   /**
-   * Returns the port that the server listens on, also when the settings leave it to the system.
+   * Returns the port that the server listens on, which the system chooses if the settings specify
+   * 0.
    *
    * @return the port; 0 before the start
    */
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/peer/PeerSelection.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/peer/PeerSelection.java
@@ -8,12 +8,12 @@
 import org.fawnvale.core.model.Registration;
 
 /**
- * Selects the daemons to dial: all of the own data centre and a selectByRendezvous of each other
- * data centre.
+ * Selects the daemons to dial: all of the own data centre and, by rendezvous hashing, up to {@link
+ * #LINKS_TO_OTHER_DATA_CENTRE} of each other data centre.
  */
 public final class PeerSelection {
 
-  /** Number of links that a daemon dials to each other data centre. */
+  /** Maximum number of links that a daemon dials to each other data centre. */
   public static final int LINKS_TO_OTHER_DATA_CENTRE = 2;
 
   private PeerSelection() {}
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/FleetState.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/FleetState.java
@@ -56,7 +56,8 @@
   }
 
   /**
-   * Applies the objects that are newer than this daemon's copies; notifies the listeners if any is.
+   * Applies the objects that are newer than this daemon's copies. Notifies the listeners once if at
+   * least one object was applied.
    *
    * @param offered the objects, from the platform or from a peer
    * @return the objects that were applied
@@ -197,7 +198,7 @@
   }
 
   /**
-   * Returns the highest version of all objects but the lists of nodes.
+   * Returns the highest version of all objects except the lists of nodes.
    *
    * @return the version; 0 before the first object
    */
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/Event.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/Event.java
@@ -16,7 +16,6 @@
    * @param atNanos when
    * @param attempt its id
    * @param daemon the number of the daemon that it was sent to
-   * @param kind its kind
    */
   record Sent(long atNanos, String attempt, int daemon, RequestKind kind) implements Event {}
 
@@ -123,7 +122,6 @@
    * @param atNanos when the request was sent
    * @param endNanos when the response arrived
    * @param daemon the number of the daemon
-   * @param version the version
    * @param status the status of the response; 0 without a response
    */
   record Probed(long atNanos, long endNanos, int daemon, long version, int status)
--- a/fawnvale-soak/src/main/java/org/fawnvale/soak/LimitCheck.java
+++ b/fawnvale-soak/src/main/java/org/fawnvale/soak/LimitCheck.java
@@ -16,10 +16,10 @@
   private static final long SECOND = 1_000_000_000L;
   private static final long WINDOW_NANOS = 4 * SECOND;
 
-  /** How long after a limit is first advertised or changes all daemons must respect it. */
+  /** Time within which all daemons must respect a new or changed limit. */
   private static final long PROPAGATION_NANOS = 3 * SECOND;
 
-  /** How long after the first response with the limit a daemon is counted as knowing it. */
+  /** Time from the first response with a limit until the daemon counts as knowing the limit. */
   private static final long PROCESSING_NANOS = SECOND / 2;
 
   private static final double TOLERANCE_FACTOR = 1.5;
@@ -140,7 +140,10 @@
     }
   }
 
-  /** A restart or freeze of a daemon that knows the limit exempts the window, as documented. */
+  /**
+   * Returns whether a daemon that knows the limit was stopped, frozen, resumed or started in or
+   * shortly before the window; the limit may then be exceeded.
+   */
   private static boolean wasAnyDaemonSignalled(
       RunHistory history, LimitPeriod period, long fromNanos) {
     return period.knownNanos.keySet().stream()
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/Call.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/Call.java
@@ -10,7 +10,6 @@
  * @param path the path without the query
  * @param query the query parameters by name
  * @param headers the headers by name in lower case
- * @param body the body
  */
 record Call(
     String method,
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/Reply.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/Reply.java
@@ -11,7 +11,6 @@
  *
  * @param status the HTTP status
  * @param headers the headers besides Content-Type
- * @param contentType the content type
  * @param body the body; null when {@code stream} is set
  * @param stream writes the body; null when {@code body} is set
  */
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/fleet/FleetPlan.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/fleet/FleetPlan.java
@@ -6,7 +6,6 @@
 /**
  * The size and the settings of a local fleet.
  *
- * @param dataCentres the data centres
  * @param daemonsPerDataCentre number of entry daemons in each data centre
  * @param domainsPerDataCentre number of fabric domains in each data centre
  * @param nodesPerDomain number of nodes with engines in each fabric domain
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/fleet/LocalFleet.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/fleet/LocalFleet.java
@@ -339,7 +339,6 @@
    * Returns the URL of a path on a process.
    *
    * @param name the name of the process
-   * @param path the path
    * @return the URL
    */
   public URI url(String name, String path) {
@@ -377,7 +376,6 @@
   /**
    * Sends a request and waits up to 60 seconds for the complete response.
    *
-   * @param request the request
    * @return the response
    * @throws IOException when no complete response arrives
    */
--- a/fawnvale-upstream/src/main/java/org/fawnvale/upstream/OpenAnswer.java
+++ b/fawnvale-upstream/src/main/java/org/fawnvale/upstream/OpenAnswer.java
@@ -97,7 +97,7 @@
    *
    * @param out the receiver, flushed after each write
    * @param limitBytes maximum body size, bytes
-   * @return the outcome; a body counts as whole only if its end was detected
+   * @return the outcome; {@link CopyResult.Whole} only if the end of the body was detected
    */
   public CopyResult copyTo(OutputStream out, long limitBytes) {
     HttpEntity entity = response.getEntity();
--- a/fawnvale-wire/src/main/java/org/fawnvale/wire/Message.java
+++ b/fawnvale-wire/src/main/java/org/fawnvale/wire/Message.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** What daemons say to each other; one message fills one frame. */
+/** The messages that daemons exchange; one message fills one frame. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, include = JsonTypeInfo.As.WRAPPER_ARRAY)
 @JsonSubTypes({
   @JsonSubTypes.Type(value = Message.Hello.class, name = "h"),
@@ -47,25 +47,27 @@
   record Proof(byte[] mac) implements Message {}
 
   /**
-   * A heartbeat that also renews the sender's last readiness reports (vouches).
+   * A heartbeat that also renews the readiness reports in the sender's last {@link Vouches}.
    *
    * @param stamp the sender's monotonic clock, nanoseconds
-   * @param echo the receiver's newest stamp that is older than all probes behind the vouches; 0 if
-   *     there is none
-   * @param vouchVersion the version of the vouches that this heartbeat renews
+   * @param echo the receiver's newest stamp that arrived before the sender started the probes
+   *     behind those reports; 0 if there is none
+   * @param vouchVersion the version of the {@link Vouches} that this heartbeat renews
    * @param stateVersion the newest revision of the platform that the sender has applied
-   * @param loads running and waiting requests of each vouched node, in the order of the vouches
+   * @param loads sum of the running and waiting requests of each node, in the order of {@link
+   *     Vouches#nodes}
    */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record Beat(long stamp, long echo, long vouchVersion, long stateVersion, int[] loads)
       implements Message {}
 
   /**
-   * The state of all nodes that answer the sender's probes; replaces its earlier vouches.
+   * Readiness reports: the state of all nodes that answer the sender's probes. They replace all
+   * earlier reports of the sender.
    *
    * @param version rises with every change
-   * @param lost nodes that stopped answering since the last vouches; a node that is in neither list
-   *     is now probed by another daemon
+   * @param lost nodes that stopped answering since the sender's previous message of this type; a
+   *     node that is in neither list is now probed by another daemon
    */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record Vouches(long version, List<Vouch> nodes, List<String> lost) implements Message {
@@ -158,7 +160,7 @@
   record ClaimReply(long number, String verdict, @Nullable String owner) implements Message {}
 
   /**
-   * Forwards a caller's request to a daemon of another data centre.
+   * Forwards a caller's request to another daemon.
    *
    * @param number identifies the request on this link
    * @param workspace the workspace that the sender has authenticated
