--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/Orders.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/Orders.java
@@ -50,7 +50,8 @@
   }
 
   /**
-   * Returns an order that preloads weights on a spare node, unless some node is loading weights.
+   * Returns an order that preloads weights on a spare node, unless a reachable node is loading
+   * weights.
    *
    * @param states the data centre's domains
    * @param bundle the bundle in force
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/Planner.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/Planner.java
@@ -233,8 +233,8 @@
   }
 
   /**
-   * Replaces lost and leaving members. Returns false at the limit of concurrent rebuilds or without
-   * enough spares.
+   * Replaces lost and leaving members by spare nodes. Returns false and changes nothing when too
+   * many replicas are being rebuilt or there are too few spare nodes.
    */
   private boolean rebuild(
       DomainDraft draft, Replica replica, Role role, Collection<String> replaced) {
--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/RolloutMonitor.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/RolloutMonitor.java
@@ -16,8 +16,8 @@
  * Monitors the replicas that a rollout has rebuilt and decides when the rollout has to stop.
  *
  * <p>A rollout stops when a reachable member of such a replica reports FAILED, or when all members
- * are reachable and the replica is not ready within a timeout. A member that cannot be reached is
- * not attributed to the new version.
+ * are reachable and the replica is not ready within a timeout. An unreachable member does not count
+ * as a failure of the new version.
  */
 public final class RolloutMonitor {
 
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/Keys.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/Keys.java
@@ -76,7 +76,7 @@
   /**
    * Finds the workspace of a caller's key.
    *
-   * @param key the key as the caller or operator sent it, not its digest
+   * @param key the key as the caller sent it, not its digest
    * @return the workspace, or empty if the key is unknown
    */
   public Optional<String> workspace(String key) {
@@ -86,7 +86,7 @@
   /**
    * Finds the operator of a key.
    *
-   * @param key the key as the caller or operator sent it, not its digest
+   * @param key the key as the operator sent it, not its digest
    * @return the operator, or empty if the key is unknown
    */
   public Optional<String> operator(String key) {
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/evidence/Prober.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/evidence/Prober.java
@@ -57,7 +57,10 @@
     this.onChange = onChange;
   }
 
-  /** Starts a probe of each node assigned to this daemon that has no probe in flight. */
+  /**
+   * Starts a probe of each node that is assigned to this daemon, or was until recently, and has no
+   * probe in flight.
+   */
   void probeAll(Collection<Node> nodes, Collection<String> liveDaemons) {
     List<Node> assignedNodes = assignedNodes(nodes, liveDaemons);
     long now = context.nowNanos();
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Pool.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/gateway/Pool.java
@@ -124,7 +124,9 @@
     waiter.result().complete(new AdmissionResult.Granted(target, nowNanos - waiter.sinceNanos()));
   }
 
-  /** Picks another target for a request that was admitted before, ahead of the queue. */
+  /**
+   * Picks another target for a request that was already admitted; it does not wait in the queue.
+   */
   synchronized Optional<Target> pickForRetry(TargetRequest targetRequest) {
     Optional<Target> target = pick(targetRequest);
     target.ifPresent(each -> each.candidate().load().started());
--- a/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/StateService.java
+++ b/fawnvale-daemon/src/main/java/org/fawnvale/daemon/state/StateService.java
@@ -216,8 +216,9 @@
   }
 
   /**
-   * Distributes a changed list of nodes. The platform gives the list no version, so its version is
-   * derived from the wall clock, which orders the lists of successive lease holders.
+   * Distributes a changed list of nodes; ignores an empty list. The platform gives the list no
+   * version, so its version is derived from the wall clock, which orders the lists of successive
+   * lease holders.
    */
   private void applyNodes(String dataCentre, List<Node> nodes) {
     if (nodes.equals(state.view().nodesOf(dataCentre))) {
--- a/fawnvale-standins/src/main/java/org/fawnvale/standins/EngineNode.java
+++ b/fawnvale-standins/src/main/java/org/fawnvale/standins/EngineNode.java
@@ -48,7 +48,7 @@
     return cache;
   }
 
-  /** Starts a new incarnation without an order, weights or cache; the fence is kept. */
+  /** Restarts without an order, weights or cache; the highest epoch and generation are kept. */
   synchronized void restart() {
     incarnation = nextIncarnation();
     order = null;
--- a/fawnvale-upstream/src/main/java/org/fawnvale/upstream/OrderResult.java
+++ b/fawnvale-upstream/src/main/java/org/fawnvale/upstream/OrderResult.java
@@ -7,7 +7,8 @@
   record Taken() implements OrderResult {}
 
   /**
-   * The engine rejected the order: its fence holds a higher epoch or generation, or it is invalid.
+   * The engine rejected the order: the engine has accepted an order with a higher epoch or
+   * generation before, or the order is invalid.
    *
    * @param status the HTTP status of the response
    */
--- a/fawnvale-wire/src/main/java/org/fawnvale/wire/Message.java
+++ b/fawnvale-wire/src/main/java/org/fawnvale/wire/Message.java
@@ -55,7 +55,7 @@
    * @param vouchVersion the version of the {@link Vouches} that this heartbeat renews
    * @param stateVersion the newest revision of the platform that the sender has applied
    * @param loads sum of the running and waiting requests of each node, in the order of {@link
-   *     Vouches#nodes}
+   *     Vouches#nodes()}; empty in the first heartbeat on a link
    */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record Beat(long stamp, long echo, long vouchVersion, long stateVersion, int[] loads)
