--- a/fawnvale-core/src/main/java/org/fawnvale/core/planning/Orders.java
+++ b/fawnvale-core/src/main/java/org/fawnvale/core/planning/Orders.java
@@ -50,14 +50,15 @@
   }
 
   /**
-   * Returns an order that preloads weights on a spare node, unless some node is loading weights.
+   * Returns an order that preloads weights on a spare node, unless a reachable node is loading
+   * weights.
    *
    * @param states the data centre's domains
    * @param bundle the bundle in force
    * @param nodes the nodes by name
    * @param epoch the sender's lease epoch
    * @param settings whether spare nodes preload weights
-   * @return at most one order, so that the loads of a replica wait for at most one preload
+   * @return at most one order, so that a replica that loads weights waits for at most one preload
    */
   public static List<Order> preloads(
       Collection<DomainState> states,
