--- a/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
+++ b/fawnvale-serving-core/src/main/java/org/fawnvale/serving/core/formation/GroupPlanner.java
@@ -144,8 +144,7 @@
   /** Discards the state of nodes that restarted and marks their groups as having lost a member. */
   private void observeIncarnations(Map<String, Node> nodes, long now) {
     for (String id : incarnations.update(nodes.values())) {
-      logLines.add(
-          "node=" + id + " started_ms=" + nodes.get(id).life().startedMillis() + " anew");
+      logLines.add("node=" + id + " started_ms=" + nodes.get(id).life().startedMillis() + " anew");
       tracker.reset(id);
       dissolver.nodeRestarted(id, now);
       assembler.nodeRestarted(id);
